--- a/ingress/services/pieces/maker.go
+++ b/ingress/services/pieces/maker.go
@@ -75,9 +75,9 @@
 		if s.Pool == nil {
 			continue
 		}
-		divided[s.Name] = shard.IsDivided(v.Servers[s.Name], m.regions)
+		divided[s.Name] = shard.IsSharded(v.Servers[s.Name], m.regions)
 		for _, region := range m.regions {
-			pools[shard.Name(s.Name, region)] = s.Pool
+			pools[shard.QueueName(s.Name, region)] = s.Pool
 		}
 		for _, server := range v.Servers[s.Name] {
 			domains[server.Address] = server.Domain
--- a/ingress/services/pieces/owner.go
+++ b/ingress/services/pieces/owner.go
@@ -124,9 +124,9 @@
 		if s.Pool == nil {
 			continue
 		}
-		o.takeServers(s, shard.Name(s.Name, ""), v.Servers[s.Name])
-		for region, servers := range shard.Group(v.Servers[s.Name], o.options.Regions) {
-			o.takeServers(s, shard.Name(s.Name, region), servers)
+		o.takeServers(s, shard.QueueName(s.Name, ""), v.Servers[s.Name])
+		for region, servers := range shard.GroupByRegion(v.Servers[s.Name], o.options.Regions) {
+			o.takeServers(s, shard.QueueName(s.Name, region), servers)
 		}
 	}
 }
--- a/ingress/services/pieces/queues.go
+++ b/ingress/services/pieces/queues.go
@@ -16,7 +16,7 @@
 	stages := slices.Clone(c.Stages)
 	for i, s := range stages {
 		if m.divided[s.Service] {
-			stages[i].Service = shard.Name(s.Service, m.regions[c.Domain])
+			stages[i].Service = shard.QueueName(s.Service, m.regions[c.Domain])
 		}
 	}
 	return stages
@@ -24,7 +24,7 @@
 
 // rank lists the ingresses that may hold a queue.
 func (m *Maker) rank(queue string) []string {
-	_, region := shard.Parse(queue)
+	_, region := shard.ParseQueueName(queue)
 	return m.peers.RankIn(region, queue)
 }
 
@@ -32,9 +32,9 @@
 // spreads the callers, so the others have about as much under way as this one, those of
 // another region for its queue as this one for that of its own; called under the lock.
 func (m *Maker) countPending(queue string) ahead.Counts {
-	service, region := shard.Parse(queue)
+	service, region := shard.ParseQueueName(queue)
 	if region != "" {
-		queue = shard.Name(service, m.region)
+		queue = shard.QueueName(service, m.region)
 	}
 	return m.pending[queue].Scale(float64(max(m.ingresses[region], 1)))
 }
--- a/share/decide/shard/shard.go
+++ b/share/decide/shard/shard.go
@@ -1,6 +1,7 @@
-// Package shard divides the backend servers of a pool among queues. Where each region has
-// enough servers to fill calls, each has a queue of its own, which an ingress there holds:
-// jobs, calls and results then stay in the region. Elsewhere there is one queue of all servers.
+// Package shard divides the backend servers of a pool among queues. If every region has
+// enough servers to fill calls, each region has its own queue, held by an ingress in that
+// region, so that jobs, calls and results stay in the region. Otherwise one queue covers
+// all servers of the pool.
 package shard
 
 import (
@@ -9,23 +10,26 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// minServers is the fewest servers of a region for a queue of its own. Below it the calls
-// of one server too often wait for those of the only other one.
-const minServers = 3
+// minRegionServers is the minimum number of servers that every region needs for regional
+// queues. With only two servers in a region, calls to one of them too often wait for calls
+// to the other.
+const minRegionServers = 3
 
-// separator stands between the service and the region in the name of a queue.
+// separator separates the service from the region in a queue name.
 const separator = "@"
 
-// Name returns the name of a service's queue; an empty region stands for all of them.
-func Name(service, region string) string {
+// QueueName returns the name of the queue of a service in a region. An empty region means
+// the queue that covers all regions.
+func QueueName(service, region string) string {
 	if region == "" {
 		return service
 	}
 	return service + separator + region
 }
 
-// Parse returns the service and the region of a queue.
-func Parse(queue string) (service, region string) {
+// ParseQueueName returns the service and the region of a queue name. The region is empty for
+// a queue that covers all regions.
+func ParseQueueName(queue string) (service, region string) {
 	i := strings.LastIndex(queue, separator)
 	if i < 0 {
 		return queue, ""
@@ -33,8 +37,10 @@
 	return queue[:i], queue[i+len(separator):]
 }
 
-// Group lists the servers by their region. Regions maps failure domains to their regions.
-func Group(servers []site.Server, regions map[string]string) map[string][]site.Server {
+// GroupByRegion returns the servers of each region; regions maps each failure domain to its
+// region. Regions without servers are included, and servers in failure domains without a
+// known region are left out.
+func GroupByRegion(servers []site.Server, regions map[string]string) map[string][]site.Server {
 	groups := map[string][]site.Server{}
 	for _, region := range regions {
 		groups[region] = nil
@@ -47,11 +53,12 @@
 	return groups
 }
 
-// IsDivided tells whether each region has a queue of its own.
-func IsDivided(servers []site.Server, regions map[string]string) bool {
-	groups := Group(servers, regions)
+// IsSharded reports whether each region has its own queue: there are at least two regions,
+// and each has at least minRegionServers servers.
+func IsSharded(servers []site.Server, regions map[string]string) bool {
+	groups := GroupByRegion(servers, regions)
 	for _, group := range groups {
-		if len(group) < minServers {
+		if len(group) < minRegionServers {
 			return false
 		}
 	}
--- a/share/decide/shard/shard_test.go
+++ b/share/decide/shard/shard_test.go
@@ -20,31 +20,33 @@
 	return servers
 }
 
-func TestNamesOfQueues(t *testing.T) {
+// Guards against a service name that contains the separator being split at the wrong place.
+func TestQueueNameRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, c := range [][2]string{{"encoders", "a"}, {"encoders", ""}, {"en@coders", "a"}} {
-		service, region := shard.Parse(shard.Name(c[0], c[1]))
+		service, region := shard.ParseQueueName(shard.QueueName(c[0], c[1]))
 		is.Equal([2]string{service, region}, c)
 	}
-	is.Equal(shard.Name("encoders", ""), "encoders")
+	is.Equal(shard.QueueName("encoders", ""), "encoders")
 }
 
-// Guards against a region whose only server is slow, or gone, while others idle: few
-// servers are one queue.
-func TestFewServersAreOneQueue(t *testing.T) {
+// Guards against regional queues where a region has too few servers: if its only server is
+// slow or gone, its jobs wait while servers in other regions are idle.
+func TestTooFewServersPerRegionShareOneQueue(t *testing.T) {
 	is := is.New(t)
-	is.True(shard.IsDivided(newServers("a1", "a1", "a2", "b1", "b2", "b2"), regions))
-	is.True(!shard.IsDivided(newServers("a1", "a2", "a2", "a2", "b1", "b2"), regions))
-	is.True(!shard.IsDivided(newServers("a1", "a1", "a2"), regions))
-	is.True(!shard.IsDivided(newServers("a1", "a1", "a2", "a2"), map[string]string{"a1": "a", "a2": "a"})) // one region
-	is.True(!shard.IsDivided(nil, nil))
+	is.True(shard.IsSharded(newServers("a1", "a1", "a2", "b1", "b2", "b2"), regions))
+	is.True(!shard.IsSharded(newServers("a1", "a2", "a2", "a2", "b1", "b2"), regions))
+	is.True(!shard.IsSharded(newServers("a1", "a1", "a2"), regions))
+	is.True(!shard.IsSharded(newServers("a1", "a1", "a2", "a2"), map[string]string{"a1": "a", "a2": "a"})) // one region
+	is.True(!shard.IsSharded(nil, nil))
 }
 
-// Guards against a server of a failure domain without a known region being lost to the
-// queue of all.
-func TestGroupListsEachRegion(t *testing.T) {
+// Guards against two faults: a region without servers being left out, which would hide it
+// from IsSharded, and a server in a failure domain without a known region being counted in
+// some region.
+func TestGroupByRegionListsEveryRegion(t *testing.T) {
 	is := is.New(t)
-	groups := shard.Group(newServers("a1", "elsewhere", "a2"), regions)
+	groups := shard.GroupByRegion(newServers("a1", "elsewhere", "a2"), regions)
 	is.Equal(len(groups), 2)
 	is.Equal(len(groups["a"]), 2)
 	is.Equal(len(groups["b"]), 0)
