--- a/ingress/services/flow/flow.go
+++ b/ingress/services/flow/flow.go
@@ -159,7 +159,7 @@
 	Body    []byte
 	Arrived time.Time
 	// Grant is what the request may do, under the view that it was checked with.
-	Grant access.Grant
+	Grant access.Decision
 	View  *state.View
 }
 
--- a/ingress/services/flow/places_test.go
+++ b/ingress/services/flow/places_test.go
@@ -110,7 +110,7 @@
 		Domain: "n1", Region: "north", Regions: sceneRegions, Cold: cold.Settings{Overage: 1.5, Slack: 5},
 		Repeats: budget.Settings{Ratio: 1, Slack: 10, Window: time.Second},
 	})
-	grant := access.Grant{Verdict: access.Granted, Route: &route, Residency: site.NewResidency(route.AllowedRegions)}
+	grant := access.Decision{Verdict: access.Granted, Route: &route, Residency: site.NewResidency(route.AllowedRegions)}
 	answer := httptest.NewRecorder()
 	server.Serve(context.Background(), answer, &flow.Request{
 		Request: site.Request{AttemptID: "a", Patience: 5 * time.Second, Items: []int{2}},
--- a/ingress/services/flow/stream_test.go
+++ b/ingress/services/flow/stream_test.go
@@ -106,7 +106,7 @@
 	server.Serve(context.Background(), answer, &flow.Request{
 		Request: site.Request{AttemptID: "a", Patience: 5 * time.Second, Items: []int{2}},
 		Method:  http.MethodPost, Target: "/", Arrived: time.Now(), Header: http.Header{},
-		Grant: access.Grant{Verdict: access.Granted, Route: &route}, View: view,
+		Grant: access.Decision{Verdict: access.Granted, Route: &route}, View: view,
 	})
 	is.Equal(answer.Code, http.StatusOK)
 	is.Equal(answer.Body.String(), "id: 1\ndata: x\n\n")
--- a/share/decide/access/access.go
+++ b/share/decide/access/access.go
@@ -1,4 +1,5 @@
-// Package access decides which route and which team a request belongs to.
+// Package access determines the route and the team of a request and whether the request is
+// allowed.
 package access
 
 import (
@@ -8,69 +9,72 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// Verdict says why a request is let through or not.
+// Verdict states whether a request is admitted, and if not, why.
 type Verdict string
 
 // The verdicts.
 const (
-	Granted    Verdict = "granted"
-	NoRoute    Verdict = "no-route"
+	// Granted requests match a route and are allowed to use it.
+	Granted Verdict = "granted"
+	// NoRoute requests match no route.
+	NoRoute Verdict = "no-route"
+	// UnknownKey requests lack a valid team key, which their route requires.
 	UnknownKey Verdict = "unknown-key"
 )
 
-// Table is one version of the configuration, indexed for lookups. It does not change once made.
+// Table is one version of the configuration, indexed for lookups. It is immutable.
 type Table struct {
 	config *site.Config
-	// hosts holds the routes of each host, the longest prefix first.
-	hosts    map[string][]*site.Route
-	services map[string]*site.Service
-	routes   map[string]*site.Route
-	// teams holds the team of each key.
-	teams map[string]*site.Team
-	// teamsByName holds the teams by their names.
+	// routesByHost maps a lower-case host to its routes, longest prefix first.
+	routesByHost   map[string][]*site.Route
+	servicesByName map[string]*site.Service
+	routesByName   map[string]*site.Route
+	// teamsByKey maps each key to its team.
+	teamsByKey  map[string]*site.Team
 	teamsByName map[string]*site.Team
 }
 
-// NewTable indexes a configuration.
+// NewTable indexes a configuration, which must not change afterwards.
 func NewTable(config *site.Config) *Table {
 	t := &Table{
-		config:      config,
-		hosts:       map[string][]*site.Route{},
-		services:    map[string]*site.Service{},
-		routes:      map[string]*site.Route{},
-		teams:       map[string]*site.Team{},
-		teamsByName: map[string]*site.Team{},
+		config:         config,
+		routesByHost:   map[string][]*site.Route{},
+		servicesByName: map[string]*site.Service{},
+		routesByName:   map[string]*site.Route{},
+		teamsByKey:     map[string]*site.Team{},
+		teamsByName:    map[string]*site.Team{},
 	}
 	for i := range config.Routes {
 		r := &config.Routes[i]
 		host := strings.ToLower(r.Host)
-		t.hosts[host] = append(t.hosts[host], r)
-		t.routes[r.Name] = r
+		t.routesByHost[host] = append(t.routesByHost[host], r)
+		t.routesByName[r.Name] = r
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	for i := range config.Services {
-		t.services[config.Services[i].Name] = &config.Services[i]
+		t.servicesByName[config.Services[i].Name] = &config.Services[i]
 	}
 	for i := range config.Teams {
 		t.teamsByName[config.Teams[i].Name] = &config.Teams[i]
 		for _, key := range config.Teams[i].Keys {
-			t.teams[key] = &config.Teams[i]
+			t.teamsByKey[key] = &config.Teams[i]
 		}
 	}
 	return t
 }
 
-// Config returns the configuration that was indexed.
+// Config returns the indexed configuration.
 func (t *Table) Config() *site.Config { return t.config }
 
-// FindService returns a service, or nil.
-func (t *Table) FindService(name string) *site.Service { return t.services[name] }
+// FindService returns the service of that name, or nil.
+func (t *Table) FindService(name string) *site.Service { return t.servicesByName[name] }
 
-// FindRoute returns the route of a host with the longest prefix that begins the path, or nil.
+// FindRoute returns the route of the host with the longest prefix that matches the path, or
+// nil. The case and the port of the host are ignored.
 func (t *Table) FindRoute(host, path string) *site.Route {
-	for _, r := range t.hosts[strings.ToLower(trimPort(host))] {
+	for _, r := range t.routesByHost[strings.ToLower(trimPort(host))] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -78,47 +82,49 @@
 	return nil
 }
 
-// Grant is what a request may do.
-type Grant struct {
+// Decision is the result of an access check.
+type Decision struct {
 	Verdict Verdict
-	// Route is set unless there is none.
+	// Route is nil if the verdict is NoRoute.
 	Route *site.Route
-	// Team is empty on public routes and in a configuration without teams.
+	// Team is the name of the team. It is empty on public routes, in a configuration without
+	// teams and for refused requests.
 	Team string
-	// Rank orders the request by its team's priority and its route's.
+	// Rank orders the request by the priority of its team, then by that of its route.
 	Rank site.Rank
-	// Residency is that of the route and the team together.
+	// Residency allows the regions that both the route and the team allow.
 	Residency site.Residency
 }
 
-// Check finds the route and the team of a request.
-func (t *Table) Check(host, path, key string) Grant {
+// Check determines the route and the team of a request and whether the request is allowed.
+func (t *Table) Check(host, path, key string) Decision {
 	r := t.FindRoute(host, path)
 	if r == nil {
-		return Grant{Verdict: NoRoute}
+		return Decision{Verdict: NoRoute}
 	}
-	g := Grant{Verdict: Granted, Route: r, Rank: site.NewRank(nil, r.Priority), Residency: site.NewResidency(r.AllowedRegions)}
+	d := Decision{Verdict: Granted, Route: r, Rank: site.NewRank(nil, r.Priority), Residency: site.NewResidency(r.AllowedRegions)}
 	if r.Public || len(t.config.Teams) == 0 {
-		return g
+		return d
 	}
-	team := t.teams[key]
+	team := t.teamsByKey[key]
 	if team == nil {
-		g.Verdict = UnknownKey
-		return g
+		d.Verdict = UnknownKey
+		return d
 	}
-	g.Team = team.Name
-	g.Rank = site.NewRank(team.Priority, r.Priority)
-	g.Residency = site.NewResidency(r.AllowedRegions, team.AllowedRegions)
-	return g
+	d.Team = team.Name
+	d.Rank = site.NewRank(team.Priority, r.Priority)
+	d.Residency = site.NewResidency(r.AllowedRegions, team.AllowedRegions)
+	return d
 }
 
-// FindResidency returns the residency of a request that may have been checked with an
-// older version. A route or a team that is gone counts with what it had then.
-func (t *Table) FindResidency(g Grant) site.Residency {
-	route := t.routes[g.Route.Name]
-	team := t.teamsByName[g.Team]
-	if route == nil || g.Team != "" && team == nil {
-		return g.Residency
+// FindResidency returns the current residency of a granted request that may have been checked
+// with an older version of the configuration. If its route or its team no longer exists, the
+// residency from that check applies.
+func (t *Table) FindResidency(d Decision) site.Residency {
+	route := t.routesByName[d.Route.Name]
+	team := t.teamsByName[d.Team]
+	if route == nil || d.Team != "" && team == nil {
+		return d.Residency
 	}
 	if team == nil {
 		return site.NewResidency(route.AllowedRegions)
@@ -126,16 +132,16 @@
 	return site.NewResidency(route.AllowedRegions, team.AllowedRegions)
 }
 
-// PickService chooses among the services of a route by their weights; draw is uniform in [0, 1).
-func PickService(r *site.Route, draw float64) string {
+// PickService chooses a service of a route at random by weight; random is uniform in [0, 1).
+func PickService(r *site.Route, random float64) string {
 	total := 0
 	for _, b := range r.Backends {
 		total += max(b.Weight, 0)
 	}
-	left := draw * float64(total)
+	remaining := random * float64(total)
 	for _, b := range r.Backends {
-		left -= float64(max(b.Weight, 0))
-		if left < 0 {
+		remaining -= float64(max(b.Weight, 0))
+		if remaining < 0 {
 			return b.Service
 		}
 	}
--- a/share/decide/access/access_test.go
+++ b/share/decide/access/access_test.go
@@ -26,7 +26,9 @@
 	})
 }
 
-func TestCheck(t *testing.T) {
+// Guards against a request being matched to the wrong route or team, ranked wrongly, or
+// admitted without a valid key on a route that requires one.
+func TestCheckFindsRouteTeamAndRank(t *testing.T) {
 	for _, c := range []struct {
 		name, host, path, key string
 		verdict               access.Verdict
@@ -34,9 +36,9 @@
 		rank                  site.Rank
 	}{
 		{"longest prefix", "kits.example", "/orders/spruce/1", "k1", access.Granted, "spruce", "workshop", site.NewRank(nil, 2)},
-		{"prefix ends at its slash", "kits.example", "/orders/spruc", "k2", access.Granted, "orders", "workshop", site.NewRank(nil, 2)},
+		{"prefix must match up to its final slash", "kits.example", "/orders/spruc", "k2", access.Granted, "orders", "workshop", site.NewRank(nil, 2)},
 		{"host with port and capitals", "KITS.example:8080", "/x", "k1", access.Granted, "all", "workshop", site.NewRank(nil, 4)},
-		{"the team's priority goes first", "kits.example", "/orders/1", "k3", access.Granted, "orders", "press", site.NewRank(new(int), 2)},
+		{"team priority outranks route priority", "kits.example", "/orders/1", "k3", access.Granted, "orders", "press", site.NewRank(new(int), 2)},
 		{"unknown key", "kits.example", "/x", "k9", access.UnknownKey, "all", "", site.NewRank(nil, 4)},
 		{"no key", "kits.example", "/x", "", access.UnknownKey, "all", "", site.NewRank(nil, 4)},
 		{"public", "open.example", "/x", "k9", access.Granted, "open", "", site.NewRank(nil, 0)},
@@ -44,17 +46,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			g := newTable().Check(c.host, c.path, c.key)
-			is.Equal(g.Verdict, c.verdict)
-			is.Equal(g.Team, c.team)
-			is.Equal(g.Rank, c.rank)
+			d := newTable().Check(c.host, c.path, c.key)
+			is.Equal(d.Verdict, c.verdict)
+			is.Equal(d.Team, c.team)
+			is.Equal(d.Rank, c.rank)
 			if c.route != "" {
-				is.Equal(g.Route.Name, c.route)
+				is.Equal(d.Route.Name, c.route)
 			}
 		})
 	}
 }
 
+// Guards against traffic being split in other proportions than the weights of the services.
 func TestPickServiceByWeight(t *testing.T) {
 	is := is.New(t)
 	r := &site.Route{Backends: []site.Backend{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
@@ -65,24 +68,24 @@
 	is.Equal(access.PickService(&site.Route{}, 0.5), "")
 }
 
-// Guards against a request that goes on under an older version's regions after the
-// operator has taken them away.
-func TestNewestConfigurationDecidesTheRegions(t *testing.T) {
+// Guards against a request being served in a region that the operator has disallowed since
+// the request was checked.
+func TestResidencyFollowsTheNewestConfiguration(t *testing.T) {
 	is := is.New(t)
-	config := func(version uint64, route, team []string) *access.Table {
+	newVersion := func(version uint64, route, team []string) *access.Table {
 		return access.NewTable(&site.Config{
 			Version: version,
 			Routes:  []site.Route{{Name: "orders", Host: "h", Prefix: "/", AllowedRegions: route}},
 			Teams:   []site.Team{{Name: "workshop", Keys: []string{"k"}, AllowedRegions: team}},
 		})
 	}
-	before := config(1, []string{"north", "south"}, nil)
-	g := before.Check("h", "/x", "k")
-	is.True(g.Residency.Allows("north"))
-	after := config(2, []string{"north", "south"}, []string{"south"})
-	is.True(!after.FindResidency(g).Allows("north"))
-	is.True(after.FindResidency(g).Allows("south"))
+	before := newVersion(1, []string{"north", "south"}, nil)
+	d := before.Check("h", "/x", "k")
+	is.True(d.Residency.Allows("north"))
+	after := newVersion(2, []string{"north", "south"}, []string{"south"})
+	is.True(!after.FindResidency(d).Allows("north"))
+	is.True(after.FindResidency(d).Allows("south"))
 	gone := access.NewTable(&site.Config{Version: 3})
-	is.True(!gone.FindResidency(g).Allows("west")) // what it was checked with
-	is.True(gone.FindResidency(g).Allows("north"))
+	is.True(!gone.FindResidency(d).Allows("west")) // falls back to the residency from the check
+	is.True(gone.FindResidency(d).Allows("north"))
 }
