--- a/share/decide/cold/cold.go
+++ b/share/decide/cold/cold.go
@@ -1,8 +1,8 @@
-// Package cold bounds the requests that reach a backend server that has just started.
+// Package cold limits the rate of requests to a backend server that has just started.
 //
-// A cold server takes a few requests a second and crashes at a rate well above that. Each
-// ingress that sends to it counts for itself, and no message is on a request's way, so the
-// bound is divided beforehand.
+// A cold server handles a few requests per second and crashes at a rate well above that. Each
+// ingress counts only the requests that it sends itself, and ingresses exchange no messages on
+// the request path. The limit of a server is therefore divided among them in advance.
 package cold
 
 import (
@@ -10,29 +10,32 @@
 	"time"
 )
 
-// Settings are the bound of the requests that a cold server gets in a second, of all
-// ingresses together: its rate times Overage and Slack more.
+// Settings define the limit on requests per second to a cold server from all ingresses
+// together: the rate that the server handles times Overage, plus Slack.
 type Settings struct {
 	Overage float64
 	Slack   float64
 }
 
-// planners is how many ingresses may place for a service at the same time: the one that
-// has just been lost or cut off, and the next one. Each keeps to its part of the bound.
-const planners = 2
+// maxPlacers is how many ingresses may act as the placer of a service at the same time: one
+// that has just failed or been partitioned from the others, and its successor. Each keeps to
+// its part of the limit.
+const maxPlacers = 2
 
-// Limit returns how many requests one planner may have reach a cold server in a second;
-// rate is what the server takes. Without a rate there is no bound, and bound is false.
-func (s Settings) Limit(rate float64) (limit int, bound bool) {
+// Limit returns how many requests per second one placer may send to a cold server that
+// handles rate requests per second. Without a rate there is no limit, and limited is false.
+func (s Settings) Limit(rate float64) (limit int, limited bool) {
 	if rate <= 0 {
 		return 0, false
 	}
-	return int((max(s.Overage, 1)*rate + s.Slack) / planners), true
+	return int((max(s.Overage, 1)*rate + s.Slack) / maxPlacers), true
 }
 
-// Share returns how many requests a second one of several ingresses, each of which counts
-// only its own, may have reach a cold server. Rank is its place among them, from 0; the
-// first ones share the limit, and the others send nothing.
+// Share returns how many requests per second one of several ingresses may send to a cold
+// server. Rank is the position of the ingress among them, starting at 0; a negative rank means
+// that it is not one of them. Each ingress gets an equal part of limit, rounded down. If there
+// are more ingresses than limit, the first limit of them may send one request per second each
+// and the others none.
 func Share(rank, ingresses, limit int) int {
 	if rank < 0 || ingresses <= 0 || rank >= limit {
 		return 0
@@ -40,37 +43,37 @@
 	return max(limit/ingresses, 1)
 }
 
-// span is the time over which the requests to a cold server are counted.
-const span = time.Second
+// windowLength is the period over which requests to a cold server are counted.
+const windowLength = time.Second
 
-// Window counts the requests that may reach one server within a second. A request counts
-// from when it is reserved until a second after it was sent, so requests that wait for
-// different times and are sent together are all counted before.
+// Window counts the requests that may reach one server within one second. A request counts
+// from its reservation until one second after it is sent. Requests that are reserved at
+// different times but sent together are therefore all counted before they are sent.
 type Window struct {
-	waiting int
-	// sent holds when the requests of the last second were sent, the oldest first.
+	reserved int
+	// sent holds the send times of the requests of the last second, oldest first.
 	sent []time.Time
 }
 
-// Reserve notes a request that will be sent.
-func (w *Window) Reserve() { w.waiting++ }
+// Reserve counts a request that is to be sent later.
+func (w *Window) Reserve() { w.reserved++ }
 
-// Send notes that a reserved request is sent.
-func (w *Window) Send(now time.Time) {
-	w.waiting = max(w.waiting-1, 0)
-	w.forget(now)
+// MarkSent records that a reserved request is sent now.
+func (w *Window) MarkSent(now time.Time) {
+	w.reserved = max(w.reserved-1, 0)
+	w.evict(now)
 	w.sent = append(w.sent, now)
 }
 
-// Drop notes that a reserved request is not sent.
-func (w *Window) Drop() { w.waiting = max(w.waiting-1, 0) }
+// Cancel drops the reservation of a request that will not be sent.
+func (w *Window) Cancel() { w.reserved = max(w.reserved-1, 0) }
 
-// Count returns the requests that may reach the server within one second from now.
+// Count returns the number of reserved requests plus those sent within the last second.
 func (w *Window) Count(now time.Time) int {
-	w.forget(now)
-	return w.waiting + len(w.sent)
+	w.evict(now)
+	return w.reserved + len(w.sent)
 }
 
-func (w *Window) forget(now time.Time) {
-	w.sent = slices.DeleteFunc(w.sent, func(at time.Time) bool { return now.Sub(at) > span })
+func (w *Window) evict(now time.Time) {
+	w.sent = slices.DeleteFunc(w.sent, func(at time.Time) bool { return now.Sub(at) > windowLength })
 }
--- a/share/decide/place/place.go
+++ b/share/decide/place/place.go
@@ -205,7 +205,7 @@
 	if s := c.servers[id]; s != nil {
 		s.open++
 		s.recent.Reserve()
-		s.recent.Send(now)
+		s.recent.MarkSent(now)
 	}
 }
 
--- a/share/decide/place/seats.go
+++ b/share/decide/place/seats.go
@@ -9,7 +9,7 @@
 		return
 	}
 	s.sent = true
-	s.engine.arriving.Send(now)
+	s.engine.arriving.MarkSent(now)
 	e.endStages(s)
 	s.started = now
 	s.engine.sent += s.reading
@@ -111,7 +111,7 @@
 		s.learnSilence(now)
 	}
 	if !s.sent {
-		c.arriving.Drop()
+		c.arriving.Cancel()
 		s.forgetUnread()
 	}
 	c.streams--
