--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -141,7 +141,7 @@
 	i.desk = assign.NewDesk(i.mesh, i.book, i.placer, i.log)
 	i.screen = screen.NewScreen(screen.Options{
 		Peers: i.mesh, Store: i.store, Codec: record.Codec{}, Prober: client, Limit: poison.DefaultLimit,
-		Trials: poison.DefaultTrials(), Log: i.log,
+		Trials: poison.DefaultTrialSchedule(), Log: i.log,
 	})
 	i.maker = pieces.NewMaker(i.mesh, i.owner, i.log)
 	i.flow = flow.NewServer(flow.Options{
--- a/ingress/services/screen/report.go
+++ b/ingress/services/screen/report.go
@@ -105,7 +105,7 @@
 	now := time.Now()
 	got, err := s.options.Peers.TellCrash(ctx, name, &wire.Crash{
 		Request: string(id), Service: service, ServerId: c.Server, Version: c.Version,
-		SentAgoNanos: int64(now.Sub(c.Sent)), BrokeAgoNanos: int64(now.Sub(c.Broke)),
+		SentAgoNanos: int64(now.Sub(c.SentAt)), BrokeAgoNanos: int64(now.Sub(c.BrokeAt)),
 	})
 	return got.GetQuarantined(), err
 }
@@ -180,7 +180,7 @@
 	s.write(id, "quarantined", func(ctx context.Context) error {
 		return s.options.Store.Put(ctx, s.options.Codec.QuarantineKey(string(id)), value, 0)
 	})
-	for _, old := range poison.FindExcess(s.view.Load().Quarantines) {
+	for _, old := range poison.FindExcessQuarantines(s.view.Load().Quarantines) {
 		s.runEnd(old, "there are too many")
 	}
 }
--- a/ingress/services/screen/screen.go
+++ b/ingress/services/screen/screen.go
@@ -60,7 +60,7 @@
 	// Limit is how many servers a request may crash.
 	Limit int
 	// Trials are when a quarantined request is tried again.
-	Trials poison.Trials
+	Trials poison.TrialSchedule
 	Log    *zap.Logger
 }
 
@@ -71,8 +71,8 @@
 
 	lock sync.Mutex
 	// ledger holds what is counted here, served what was served here.
-	ledger *poison.Ledger
-	served *poison.Served
+	ledger *poison.CrashCounter
+	served *poison.ServedSet
 	// decided are quarantines that the view does not hold yet.
 	decided map[poison.ID]bool
 	// reported are the requests of which this ingress reported a crash, and that were not served since.
@@ -88,7 +88,7 @@
 // NewScreen returns a screen that knows no request.
 func NewScreen(options Options) *Screen {
 	s := &Screen{
-		options: options, ledger: poison.NewLedger(options.Limit), served: poison.NewServed(),
+		options: options, ledger: poison.NewCrashCounter(options.Limit), served: poison.NewServedSet(),
 		decided: map[poison.ID]bool{}, reported: map[poison.ID]bool{}, probes: map[string]*probe{},
 		since: map[poison.ID]time.Time{},
 	}
@@ -123,7 +123,7 @@
 // IsQuarantined tells whether a request is to reach no server.
 func (s *Screen) IsQuarantined(id poison.ID) bool {
 	v := s.view.Load()
-	if q, known := v.Quarantines[id]; known && poison.Binds(q, v.Servers[q.Service]) {
+	if q, known := v.Quarantines[id]; known && poison.QuarantineApplies(q, v.Servers[q.Service]) {
 		return true
 	}
 	s.lock.Lock()
@@ -148,7 +148,7 @@
 
 // NoteBroken notes an attempt that broke off its server, and has it counted where the server crashed.
 func (s *Screen) NoteBroken(id poison.ID, server site.Server, sent time.Time) {
-	go s.runReport(id, server, poison.Crash{Server: startOf(server), Version: server.Version, Sent: sent, Broke: time.Now()})
+	go s.runReport(id, server, poison.Crash{Server: startOf(server), Version: server.Version, SentAt: sent, BrokeAt: time.Now()})
 }
 
 // startOf names one start of a server.
@@ -161,7 +161,7 @@
 func (s *Screen) count(id poison.ID, service string, c poison.Crash) bool {
 	q, known := s.view.Load().Quarantines[id]
 	s.lock.Lock()
-	suspect := s.ledger.Note(time.Now(), id, c)
+	suspect := s.ledger.Record(time.Now(), id, c)
 	// Attempts that were under way when it was quarantined change nothing; other software does.
 	found := s.ledger.IsPoison(suspect) && !known || known && !slices.Contains(q.Versions, c.Version)
 	found = found && !s.decided[id] && !s.served.Has(id)
@@ -173,7 +173,7 @@
 	s.options.Log.Warn("crash-counted", zap.String("digest", string(id)), zap.String("service", service),
 		zap.Strings("servers", suspect.Servers), zap.Strings("versions", suspect.Versions), zap.Bool("quarantined", found))
 	if found {
-		go s.runPut(id, poison.Extend(q, service, suspect))
+		go s.runPut(id, poison.ExtendQuarantine(q, service, suspect))
 	}
 	return s.IsQuarantined(id)
 }
@@ -183,8 +183,8 @@
 	now := time.Now()
 	quarantined := s.count(poison.ID(told.GetRequest()), told.GetService(), poison.Crash{
 		Server: told.GetServerId(), Version: told.GetVersion(),
-		Sent:  now.Add(-time.Duration(told.GetSentAgoNanos())),
-		Broke: now.Add(-time.Duration(told.GetBrokeAgoNanos())),
+		SentAt:  now.Add(-time.Duration(told.GetSentAgoNanos())),
+		BrokeAt: now.Add(-time.Duration(told.GetBrokeAgoNanos())),
 	})
 	return &wire.CrashNoted{Quarantined: quarantined}
 }
--- a/ingress/services/screen/screen_test.go
+++ b/ingress/services/screen/screen_test.go
@@ -54,7 +54,7 @@
 	for _, name := range []string{"a", "b"} {
 		w.screens[name] = screen.NewScreen(screen.Options{
 			Peers: peer{w, name}, Store: w, Codec: record.Codec{}, Prober: w, Limit: 3,
-			Trials: poison.Trials{trialPause}, Log: zap.NewNop(),
+			Trials: poison.TrialSchedule{trialPause}, Log: zap.NewNop(),
 		})
 	}
 	return w
--- a/share/decide/poison/id.go
+++ b/share/decide/poison/id.go
@@ -1,5 +1,5 @@
-// Package poison finds requests that crash the backend servers that run them, by what
-// became of their attempts.
+// Package poison detects requests that crash the backend servers that run them, based on the
+// outcomes of their attempts.
 package poison
 
 import (
@@ -8,17 +8,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID tells requests apart over all their attempts, at any ingress.
+// ID identifies a request across all its attempts and at every ingress. Identical requests of
+// a team share an ID.
 type ID string
 
-// idBase is that of the number in an ID.
+// idBase is the numeric base of an ID.
 const idBase = 16
 
-// NewID returns the ID of a team's request: its host and path, without the query, and its body.
+// NewID returns the ID of a request: a hash of its team, host, path without the query, and
+// body.
 func NewID(team, host, path string, body []byte) ID {
 	h := xxhash.New()
 	for _, part := range []string{team, host, path} {
-		_, _ = h.WriteString(part) // a hash takes everything
+		_, _ = h.WriteString(part) // never returns an error
 		_, _ = h.Write([]byte{0})
 	}
 	_, _ = h.Write(body)
--- a/share/decide/poison/poison_test.go
+++ b/share/decide/poison/poison_test.go
@@ -15,12 +15,14 @@
 
 func after(d time.Duration) time.Time { return begin.Add(d) }
 
-// crash is an attempt that broke off its server 100 ms after it was sent.
-func crash(server string, sent time.Duration) poison.Crash {
-	return poison.Crash{Server: server, Version: "v1", Sent: after(sent), Broke: after(sent + 100*time.Millisecond)}
+// newCrash returns a crash whose attempt broke 100 ms after it was sent.
+func newCrash(server string, sent time.Duration) poison.Crash {
+	return poison.Crash{Server: server, Version: "v1", SentAt: after(sent), BrokeAt: after(sent + 100*time.Millisecond)}
 }
 
-func TestIDsTellRequestsApart(t *testing.T) {
+// Guards against two different requests sharing an ID, so that one is quarantined for the
+// crashes of the other.
+func TestIDsDistinguishRequests(t *testing.T) {
 	is := is.New(t)
 	id := poison.NewID("workshop", "kits.example", "/order/1", []byte("spruce"))
 	is.Equal(id, poison.NewID("workshop", "kits.example", "/order/1", []byte("spruce")))
@@ -34,103 +36,113 @@
 	}
 }
 
-func TestRequestThatCrashesInSeriesIsPoison(t *testing.T) {
+// Guards against a request that crashes one server after another and is never quarantined.
+func TestRequestThatCrashesServersInSequenceIsPoison(t *testing.T) {
 	is := is.New(t)
-	l := poison.NewLedger(3)
-	is.True(!l.IsPoison(l.Note(begin, "a", crash("s1", 0))))
-	is.True(!l.IsPoison(l.Note(begin, "a", crash("s2", time.Second))))
-	s := l.Note(begin, "a", crash("s3", 2*time.Second))
-	is.True(l.IsPoison(s))
+	c := poison.NewCrashCounter(3)
+	is.True(!c.IsPoison(c.Record(begin, "a", newCrash("s1", 0))))
+	is.True(!c.IsPoison(c.Record(begin, "a", newCrash("s2", time.Second))))
+	s := c.Record(begin, "a", newCrash("s3", 2*time.Second))
+	is.True(c.IsPoison(s))
 	is.Equal(s.Servers, []string{"s1", "s2", "s3"})
 	is.Equal(s.Versions, []string{"v1"})
-	is.True(!l.IsPoison(l.Note(begin, "b", crash("s3", 2*time.Second))))
+	is.True(!c.IsPoison(c.Record(begin, "b", newCrash("s3", 2*time.Second))))
 }
 
-// Guards against a common request that is quarantined since all servers of a failure domain crashed at once.
+// Guards against a harmless request being quarantined because all servers of a failure domain
+// crashed at once.
 func TestCrashesAtTheSameTimeCountOnce(t *testing.T) {
 	is := is.New(t)
-	l := poison.NewLedger(3)
+	c := poison.NewCrashCounter(3)
 	for n := range 10 {
-		is.True(!l.IsPoison(l.Note(begin, "a", crash(fmt.Sprint("s", n), time.Duration(n)*5*time.Millisecond))))
+		is.True(!c.IsPoison(c.Record(begin, "a", newCrash(fmt.Sprint("s", n), time.Duration(n)*5*time.Millisecond))))
 	}
 }
 
-// Guards against crashes that are not counted since the news of them overtook each other.
-func TestNewsOfCrashesMayOvertakeEachOther(t *testing.T) {
+// Guards against crashes not being counted because their reports arrived out of order.
+func TestCrashReportsMayArriveOutOfOrder(t *testing.T) {
 	is := is.New(t)
-	l := poison.NewLedger(3)
-	l.Note(begin, "a", crash("s3", 2*time.Second))
-	l.Note(begin, "a", crash("s1", 0))
-	is.True(l.IsPoison(l.Note(begin, "a", crash("s2", time.Second))))
+	c := poison.NewCrashCounter(3)
+	c.Record(begin, "a", newCrash("s3", 2*time.Second))
+	c.Record(begin, "a", newCrash("s1", 0))
+	is.True(c.IsPoison(c.Record(begin, "a", newCrash("s2", time.Second))))
 }
 
-// Guards against a common request that is quarantined since it was sent to a server that was down, again and again.
-func TestOneServerCountsOnce(t *testing.T) {
+// Guards against a harmless request being quarantined because it was sent repeatedly to the same
+// server while that was down.
+func TestCrashesOfOneServerCountOnce(t *testing.T) {
 	is := is.New(t)
-	l := poison.NewLedger(3)
+	c := poison.NewCrashCounter(3)
 	for n := range 10 {
-		is.True(!l.IsPoison(l.Note(begin, "a", crash("s1", time.Duration(n)*time.Second))))
+		is.True(!c.IsPoison(c.Record(begin, "a", newCrash("s1", time.Duration(n)*time.Second))))
 	}
 }
 
-// Guards against a bystander that is quarantined though it was served in between.
-func TestServedRequestIsNoSuspect(t *testing.T) {
+// Guards against a harmless request being quarantined although it was served between the
+// crashes.
+func TestServedRequestIsNoLongerSuspect(t *testing.T) {
 	is := is.New(t)
-	l := poison.NewLedger(3)
-	l.Note(begin, "a", crash("s1", 0))
-	l.Note(begin, "a", crash("s2", time.Second))
-	l.Clear("a")
-	is.True(!l.IsPoison(l.Note(begin, "a", crash("s3", 2*time.Second))))
+	c := poison.NewCrashCounter(3)
+	c.Record(begin, "a", newCrash("s1", 0))
+	c.Record(begin, "a", newCrash("s2", time.Second))
+	c.Clear("a")
+	is.True(!c.IsPoison(c.Record(begin, "a", newCrash("s3", 2*time.Second))))
 }
 
-// Guards against crashes that are held against a request for good.
-func TestOldCrashesAreForgotten(t *testing.T) {
+// Guards against crashes being counted against a request forever.
+func TestOldCrashesExpire(t *testing.T) {
 	is := is.New(t)
-	l := poison.NewLedger(2)
-	l.Note(begin, "a", crash("s1", 0))
-	is.True(!l.IsPoison(l.Note(after(time.Hour), "a", crash("s2", time.Hour))))
+	c := poison.NewCrashCounter(2)
+	c.Record(begin, "a", newCrash("s1", 0))
+	is.True(!c.IsPoison(c.Record(after(time.Hour), "a", newCrash("s2", time.Hour))))
 }
 
-// Guards against a ledger that grows with each crash of a busy server.
-func TestLedgerAndServedAreBounded(t *testing.T) {
+// Guards against a crash counter or a served set that grows without bound, for example with
+// each crash of a busy server.
+func TestCrashCounterAndServedSetAreBounded(t *testing.T) {
 	is := is.New(t)
-	l := poison.NewLedger(3)
-	s := poison.NewServed()
+	c := poison.NewCrashCounter(3)
+	s := poison.NewServedSet()
 	for n := range 10_000 {
 		id := poison.ID(fmt.Sprint(n))
-		l.Note(after(time.Duration(n)*time.Millisecond), id, crash("s1", time.Duration(n)*time.Millisecond))
+		c.Record(after(time.Duration(n)*time.Millisecond), id, newCrash("s1", time.Duration(n)*time.Millisecond))
 		s.Add(id)
 	}
-	is.True(l.Count() <= 4096)
+	is.True(c.Len() <= 4096)
 	is.True(s.Has("9999"))
 	is.True(s.Has("8500"))
 	is.True(!s.Has("100"))
 }
 
-func TestQuarantineHoldsWhileTheSoftwareRuns(t *testing.T) {
+// Guards against a quarantine that outlasts the software versions that the request crashes, and
+// against one that ends while some server still runs such a version.
+func TestQuarantineAppliesWhileACrashedVersionRuns(t *testing.T) {
 	is := is.New(t)
 	q := site.Quarantine{Versions: []string{"v1", "v2"}}
-	is.True(poison.Binds(q, nil))
-	is.True(poison.Binds(q, []site.Server{{Version: "v3"}, {Version: "v2"}}))
-	is.True(!poison.Binds(q, []site.Server{{Version: "v3"}}))
+	is.True(poison.QuarantineApplies(q, nil))
+	is.True(poison.QuarantineApplies(q, []site.Server{{Version: "v3"}, {Version: "v2"}}))
+	is.True(!poison.QuarantineApplies(q, []site.Server{{Version: "v3"}}))
 }
 
-func TestOldestQuarantinesAreLetGo(t *testing.T) {
+// Guards against the number of quarantines growing without bound, and against recent ones being
+// ended before old ones.
+func TestOldestQuarantinesAreExcess(t *testing.T) {
 	is := is.New(t)
 	quarantines := map[poison.ID]site.Quarantine{}
 	for n := range poison.MaxQuarantines + 2 {
 		quarantines[poison.ID(fmt.Sprint(n))] = site.Quarantine{Revision: uint64(n)} //nolint:gosec // a small number
 	}
-	is.Equal(poison.FindExcess(quarantines), []poison.ID{"0", "1"})
+	is.Equal(poison.FindExcessQuarantines(quarantines), []poison.ID{"0", "1"})
 }
 
-func TestTrialsAreFew(t *testing.T) {
+// Guards against trials that come too early or too often and crash further servers.
+func TestTrialsFollowTheSchedule(t *testing.T) {
 	is := is.New(t)
-	trials := poison.DefaultTrials()
-	is.True(!trials.IsDue(after(29*time.Second), begin, 0))
-	is.True(trials.IsDue(after(30*time.Second), begin, 0))
-	is.True(!trials.IsDue(after(30*time.Second), begin, 1))
-	is.True(trials.IsDue(after(time.Hour), begin, 1))
-	is.True(!trials.IsDue(after(time.Hour), begin, 2))
-	is.True(!trials.IsDue(after(time.Hour), time.Time{}, 0)) // it is not known since when
+	schedule := poison.DefaultTrialSchedule()
+	is.True(!schedule.IsDue(after(29*time.Second), begin, 0))
+	is.True(schedule.IsDue(after(30*time.Second), begin, 0))
+	is.True(!schedule.IsDue(after(30*time.Second), begin, 1))
+	is.True(schedule.IsDue(after(time.Hour), begin, 1))
+	is.True(!schedule.IsDue(after(time.Hour), begin, 2))
+	is.True(!schedule.IsDue(after(time.Hour), time.Time{}, 0)) // the start of the quarantine is unknown
 }
--- a/share/decide/poison/served.go
+++ b/share/decide/poison/served.go
@@ -1,25 +1,28 @@
 package poison
 
-// maxServed bounds the requests that each half of a Served holds.
-const maxServed = 2048
+// maxGeneration limits the requests in each of the two generations of a ServedSet.
+const maxGeneration = 2048
 
-// Served holds the requests that were served last; its caller guards it. What was
-// served does not crash servers: requests without a body are many and the same.
-type Served struct {
-	// recent takes requests until it is full, and becomes old then.
-	recent, old map[ID]bool
+// ServedSet holds the requests that were served most recently. It is not safe for concurrent
+// use.
+//
+// A request that was served does not crash servers. This matters most for requests without a
+// body: many of them are identical and share an ID.
+type ServedSet struct {
+	// current receives requests until it is full. It then replaces previous.
+	current, previous map[ID]bool
 }
 
-// NewServed returns an empty one.
-func NewServed() *Served { return &Served{recent: map[ID]bool{}, old: map[ID]bool{}} }
+// NewServedSet returns an empty set.
+func NewServedSet() *ServedSet { return &ServedSet{current: map[ID]bool{}, previous: map[ID]bool{}} }
 
-// Add notes a request that was served.
-func (s *Served) Add(id ID) {
-	if len(s.recent) >= maxServed {
-		s.recent, s.old = map[ID]bool{}, s.recent
+// Add records a request that was served.
+func (s *ServedSet) Add(id ID) {
+	if len(s.current) >= maxGeneration {
+		s.current, s.previous = map[ID]bool{}, s.current
 	}
-	s.recent[id] = true
+	s.current[id] = true
 }
 
-// Has tells whether a request was among the last that were served.
-func (s *Served) Has(id ID) bool { return s.recent[id] || s.old[id] }
+// Has reports whether a request is among the most recently served ones.
+func (s *ServedSet) Has(id ID) bool { return s.current[id] || s.previous[id] }
--- a/share/decide/poison/trial.go
+++ b/share/decide/poison/trial.go
@@ -2,15 +2,18 @@
 
 import "time"
 
-// Trials are how long a quarantine has held when its request is tried again, each time at one
-// server. A bystander is let go so; a request that still crashes servers crashes few more.
-type Trials []time.Duration
+// TrialSchedule lists the delay before each trial of a quarantined request, counted from the
+// start of the quarantine or from the previous trial. In a trial the request is sent to a single
+// server. A request that was quarantined by mistake is thus released, while one that still
+// crashes servers crashes only a few more.
+type TrialSchedule []time.Duration
 
-// DefaultTrials returns those of an ingress.
-func DefaultTrials() Trials { return Trials{30 * time.Second, 10 * time.Minute} }
+// DefaultTrialSchedule returns the schedule that an ingress uses.
+func DefaultTrialSchedule() TrialSchedule { return TrialSchedule{30 * time.Second, 10 * time.Minute} }
 
-// IsDue tells whether a request is to be tried again that has been in quarantine since a time, or
-// since its last trial, after a number of trials.
-func (t Trials) IsDue(now, since time.Time, made int) bool {
-	return made < len(t) && !since.IsZero() && now.Sub(since) >= t[made]
+// IsDue reports whether the next trial of a quarantined request is due. Since is when its
+// quarantine began or its previous trial was made, zero if that is unknown; trials is the number
+// of trials made so far.
+func (t TrialSchedule) IsDue(now, since time.Time, trials int) bool {
+	return trials < len(t) && !since.IsZero() && now.Sub(since) >= t[trials]
 }
