--- a/ingress/services/assign/desk.go
+++ b/ingress/services/assign/desk.go
@@ -99,7 +99,7 @@
 		hints = place.NewHints()
 		d.hints[service] = hints
 	}
-	hints.Note(time.Now(), parts, engineID)
+	hints.Record(time.Now(), parts, engineID)
 }
 
 // takeHints returns what an ingress that begins to place is to be told; nothing for one
@@ -141,7 +141,7 @@
 	}
 	now := time.Now()
 	for _, s := range d.takeHints(service, name) {
-		ask.CacheHints = append(ask.CacheHints, &wire.CacheHint{Part: s.Part, ServerId: s.EngineID, AgeNanos: int64(now.Sub(s.At))})
+		ask.CacheHints = append(ask.CacheHints, &wire.CacheHint{Part: s.Part, ServerId: s.EngineID, AgeNanos: int64(now.Sub(s.LastUsed))})
 	}
 	got, err := d.peers.Assign(ctx, name, ask)
 	if err != nil {
@@ -183,7 +183,7 @@
 		return
 	}
 	// A stream that ends without a word, as with its ingress, frees the seat too.
-	defer seat.Ended(place.ResultLeft)
+	defer seat.Ended(place.ResultCanceled)
 	for {
 		frame, err := reader.Next()
 		if err != nil || frame.GetProgress() == nil {
@@ -206,7 +206,7 @@
 	hints := make([]place.CacheHint, 0, len(a.GetCacheHints()))
 	for _, s := range a.GetCacheHints() {
 		at := now.Add(-time.Duration(s.GetAgeNanos()))
-		hints = append(hints, place.CacheHint{Part: s.GetPart(), EngineID: s.GetServerId(), At: at})
+		hints = append(hints, place.CacheHint{Part: s.GetPart(), EngineID: s.GetServerId(), LastUsed: at})
 	}
 	return hints
 }
--- a/ingress/services/assign/placer.go
+++ b/ingress/services/assign/placer.go
@@ -54,7 +54,7 @@
 			u = &unit{engines: place.NewEngines(p.regions)}
 			p.units[s.Name] = u
 		}
-		u.engines.SetPools(pools)
+		u.engines.SetPoolServers(pools)
 		u.engines.SetServers(v.Servers[s.Name], *s.Engine)
 		u.engines.SetColdLimit(p.cold.Limit(s.ColdRate))
 	}
@@ -80,7 +80,7 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if u := p.units[service]; u != nil {
-		u.engines.Learn(hints)
+		u.engines.MergeHints(hints)
 	}
 }
 
--- a/ingress/services/assign/seat.go
+++ b/ingress/services/assign/seat.go
@@ -47,7 +47,7 @@
 		s.remote.Tell(stateSent)
 		return
 	}
-	s.local.step(func(now time.Time) { s.unit.engines.Start(now, s.id) })
+	s.local.step(func(now time.Time) { s.unit.engines.MarkSent(now, s.id) })
 }
 
 // Begun notes that the answer has begun.
@@ -56,7 +56,7 @@
 		s.remote.Tell(stateBegun)
 		return
 	}
-	s.local.step(func(now time.Time) { s.unit.engines.Begin(now, s.id) })
+	s.local.step(func(now time.Time) { s.unit.engines.MarkAnswering(now, s.id) })
 }
 
 // Ended notes how the request ended; further calls do nothing.
--- a/ingress/services/flow/plain.go
+++ b/ingress/services/flow/plain.go
@@ -140,11 +140,11 @@
 	x.log.Warn("attempt-broken", zap.String("digest", string(x.digest)), zap.String("server", server.ID), zap.Stringer("address", server.Address),
 		zap.Bool("not-sent", notSent), zap.Duration("took", took), logs.Err(err))
 	if errors.Is(ctx.Err(), context.Canceled) {
-		x.end(server, place.ResultLeft, took, nil)
+		x.end(server, place.ResultCanceled, took, nil)
 		return verdict{result: codes.NewResult(codes.Canceled, "the caller left")}
 	}
 	if notSent {
-		x.end(server, place.ResultUnreached, took, nil)
+		x.end(server, place.ResultUnreachable, took, nil)
 		if x.sends < maxSends {
 			return verdict{again: true, result: x.refuseNoServer()}
 		}
--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -65,7 +65,7 @@
 // giveUpSeat frees the place of a request that did not get to its end there.
 func (x *exchange) giveUpSeat() {
 	if x.seat != nil {
-		x.seat.Ended(place.ResultLeft)
+		x.seat.Ended(place.ResultCanceled)
 	}
 }
 
@@ -274,7 +274,7 @@
 func (r *relay) judgeBreak(ctx context.Context, server site.Server, err error, took time.Duration) verdict {
 	var caller *callerError
 	if errors.As(err, &caller) {
-		r.end(server, place.ResultLeft, took, nil)
+		r.end(server, place.ResultCanceled, took, nil)
 		return verdict{result: codes.NewResult(codes.Canceled, "the caller left")}
 	}
 	left := errors.Is(ctx.Err(), context.Canceled)
--- a/share/decide/place/engines.go
+++ b/share/decide/place/engines.go
@@ -10,300 +10,330 @@
 )
 
 const (
-	// readRate is about how many prompt tokens an engine reads in a second. It weighs
-	// a queue against a cache; an error scales both sides alike.
-	readRate = 30000.0
-	// rereadWeight is how much more a prompt part counts that another engine holds:
-	// reading it again takes the engine's time from every stream that runs there, and
-	// is charged for.
-	rereadWeight = 1.0
-	// regionCost and domainCost stand for the way to another region and domain and the
-	// price of the bytes on it.
-	regionCost = 80 * time.Millisecond
-	domainCost = 5 * time.Millisecond
-	// streamCost is what each running stream adds to a new one's wait.
+	// prefillRate is roughly the number of prompt tokens that an engine prefills per second.
+	// It converts queued and uncached tokens to time, so an error in it scales both alike.
+	prefillRate = 30000.0
+	// recomputeWeight is the additional weight of prompt tokens that were recently placed at
+	// some engine but have to be prefilled again. Prefilling takes compute time from every
+	// stream on the engine and is billed.
+	recomputeWeight = 1.0
+	// crossRegionCost and crossDomainCost account for the network latency to another region or
+	// failure domain and the price of the transferred bytes.
+	crossRegionCost = 80 * time.Millisecond
+	crossDomainCost = 5 * time.Millisecond
+	// streamCost is how much each request at an engine adds to the wait of a new one.
 	streamCost = 2 * time.Millisecond
-	// stagedCost is what each request adds whose results wait for the pools of a
-	// domain, for one server there.
+	// stagedCost is how much each request that waits for pool results in a failure domain
+	// adds to the cost of that domain, if the domain has one pool server.
 	stagedCost = 60 * time.Millisecond
-	// fullCost puts an engine whose memory or slots are taken behind all others, however
-	// long those have to read.
+	// fullCost ranks an engine without free memory or slots after all others, however many
+	// tokens those have to prefill.
 	fullCost = time.Minute
-	// failingCost puts an engine that fails behind those that answer.
-	failingCost = 2 * time.Second
-	// memoryPart is the part of an engine's memory that is filled on purpose.
-	memoryPart = 0.9
-	// outputPart is how much of the longest output a request is expected to make.
-	outputPart = 0.5
-	// cacheTime is how long an unused part is expected to stay in an engine's memory.
-	cacheTime = 30 * time.Second
-	// sharedWindow is how long after its last use a part is worth looking for.
-	sharedWindow = 12 * time.Second
-	// minPace and maxPace bound how fast an engine is taken to be.
-	minPace, maxPace = 0.5, 6.0
-	// paceShare is the weight of a new answer in an engine's pace.
-	paceShare = 0.15
-	// minPaceSample is the shortest predicted time that tells something of the pace.
-	minPaceSample = 60 * time.Millisecond
+	// failureCost ranks a failing engine after those that answer. It is scaled by the failure
+	// rate.
+	failureCost = 2 * time.Second
+	// maxMemoryFill is the fraction of an engine's memory up to which requests are placed
+	// there before it counts as full.
+	maxMemoryFill = 0.9
+	// expectedOutput is the fraction of its maximum output that a request is expected to
+	// generate.
+	expectedOutput = 0.5
+	// cacheLifetime is how long an unused part is expected to stay in an engine's memory.
+	cacheLifetime = 30 * time.Second
+	// reuseWindow is how long after its last use a part is worth reusing. After that, prefilling
+	// it again has no additional cost, and it is left out of cache hints.
+	reuseWindow = 12 * time.Second
+	// minSlowdown and maxSlowdown limit the slowdown of an engine.
+	minSlowdown, maxSlowdown = 0.5, 6.0
+	// slowdownAlpha is the weight of a new answer in an engine's smoothed slowdown.
+	slowdownAlpha = 0.15
+	// minSlowdownSample is the shortest estimated wait from which a slowdown is derived.
+	minSlowdownSample = 60 * time.Millisecond
 )
 
-// Engines holds what is known of the engines of one service. One instance of
-// it, at the ingress that places requests for the service, sees every request;
-// many that each see a part act on stale reports and send the same burst to
-// the same engine. Its caller guards it.
+// Engines tracks the engines of one service and places requests at them. It is not safe for
+// concurrent use.
+//
+// A single instance, at the placer of the service, observes every request. Several instances
+// that each observe only some of the requests would act on stale reports and send the same burst
+// to the same engine.
 type Engines struct {
-	engine  site.Engine
+	spec site.Engine
+	// regions maps failure domains to their regions.
 	regions map[string]string
-	engines map[string]*engine
-	list    []*engine
-	lastID  uint64
-	open    map[uint64]*seat
-	// seen holds when any engine was last sent each part.
-	seen map[string]time.Time
-	// pools counts the backend servers that make results, by failure domain.
-	pools map[string]int
-	// staged counts the open requests whose results are still to be made, by failure domain.
+	// engines maps IDs to the engines that accept new work; accepting lists them sorted by ID.
+	engines   map[string]*engine
+	accepting []*engine
+	lastID    uint64
+	// reservations maps placement IDs to the requests that have not ended.
+	reservations map[uint64]*reservation
+	// lastUsed maps the ID of each part to when it was last placed at any engine.
+	lastUsed map[string]time.Time
+	// poolServers counts the backend servers that produce stage results, by failure domain.
+	poolServers map[string]int
+	// staged counts the requests that wait for stage results, by failure domain.
 	staged map[string]int
-	// coldLimit bounds the requests that reach a cold engine in a second; nil: it is not bound.
+	// coldLimit is the maximum number of requests per second to a cold engine; nil if there is
+	// no limit.
 	coldLimit *int
 }
 
-// engine is one engine.
 type engine struct {
 	site.Server
-	// reading counts the tokens that are to be read, sent those of them whose requests the engine has.
-	reading float64
-	sent    float64
-	streams int
-	// memory counts the tokens of the open requests.
-	memory int
-	parts  map[string]holding
-	// pace is how long answers take to begin against what was predicted.
-	pace        float64
-	failed      float64
-	misses      int
-	pausedUntil time.Time
-	// arriving counts the requests that are to be sent to it or were lately.
-	arriving cold.Window
+	// pendingPrefill counts the tokens to prefill of all reservations whose answer has not
+	// begun, sentPrefill only those of requests that were already sent.
+	pendingPrefill float64
+	sentPrefill    float64
+	reservations   int
+	// memoryTokens is the expected memory of all reservations, in tokens.
+	memoryTokens int
+	// parts maps the IDs of prompt parts to their state in the engine's cache.
+	parts map[string]cachedPart
+	// slowdown is the smoothed ratio of the time until an answer began to the time that
+	// prefillRate predicts.
+	slowdown    float64
+	failureRate float64
+	// connFailures counts the connection failures in a row. The engine is avoided until
+	// backoffUntil.
+	connFailures int
+	backoffUntil time.Time
+	// arrivals counts the requests that were recently sent to the engine or will be.
+	arrivals cold.Window
 }
 
-// holding is a prompt part that an engine holds or is about to read.
-type holding struct {
-	// used is when a request with the part was last placed at the engine.
-	used time.Time
-	// read tells that the engine has read the part, so that others can fetch it.
-	read bool
+// cachedPart is a prompt part that an engine has cached or is about to prefill.
+type cachedPart struct {
+	// lastUsed is when a request with the part was last placed at the engine or last began to
+	// be answered there.
+	lastUsed time.Time
+	// prefilled is set once the engine has prefilled the part, so that others can fetch it.
+	prefilled bool
 }
 
-// isHeld tells whether a part is still expected in the engine's memory.
-func (h holding) isHeld(now time.Time) bool {
-	return !h.used.IsZero() && now.Sub(h.used) < cacheTime
+// isCached reports whether a part is still expected in the engine's memory.
+func (p cachedPart) isCached(now time.Time) bool {
+	return !p.lastUsed.IsZero() && now.Sub(p.lastUsed) < cacheLifetime
 }
 
-// seat is one request at an engine.
-type seat struct {
-	engine    *engine
-	parts     []site.PromptPart
-	placed    time.Time
-	reading   float64
-	memory    int
-	sent      bool
-	begun     bool
-	staged    bool
-	started   time.Time
-	predicted time.Duration
+// reservation is one request that is placed at an engine.
+type reservation struct {
+	engine   *engine
+	parts    []site.PromptPart
+	placedAt time.Time
+	// prefill counts the prompt tokens that the engine has to prefill.
+	prefill float64
+	// memoryTokens is the expected memory of the request, in tokens.
+	memoryTokens int
+	sent         bool
+	// prefillDone is set once the answer has begun or the request has ended.
+	prefillDone bool
+	// staged is set while the request waits for stage results.
+	staged bool
+	sentAt time.Time
+	// predictedWait is the estimated time from sending the request until its answer begins.
+	predictedWait time.Duration
 }
 
-// Placement is a request's engine.
+// Placement is the engine chosen for a request.
 type Placement struct {
-	// ID names the placement in Begin and End.
+	// ID identifies the placement in MarkSent, MarkAnswering and End.
 	ID     uint64
 	Server site.Server
-	// Wait predicts the time until the answer begins.
+	// Wait is the estimated time until the answer begins.
 	Wait time.Duration
-	// FetchFrom is the ID of the engine that holds more of the prompt; empty: none does.
+	// FetchFrom is the ID of the engine from which Server should fetch cached parts of the
+	// prompt; empty if there is none.
 	FetchFrom string
 }
 
-// NewEngines returns a set without engines. Regions maps failure domains to their regions.
+// NewEngines returns an instance without engines. Regions maps failure domains to their regions.
 func NewEngines(regions map[string]string) *Engines {
 	return &Engines{
-		regions: regions,
-		engines: map[string]*engine{},
-		open:    map[uint64]*seat{},
-		seen:    map[string]time.Time{},
-		pools:   map[string]int{},
-		staged:  map[string]int{},
+		regions:      regions,
+		engines:      map[string]*engine{},
+		reservations: map[uint64]*reservation{},
+		lastUsed:     map[string]time.Time{},
+		poolServers:  map[string]int{},
+		staged:       map[string]int{},
 	}
 }
 
-// SetPools takes the number of backend servers that make results, by failure domain.
-func (e *Engines) SetPools(pools map[string]int) { e.pools = pools }
+// SetPoolServers sets the number of backend servers that produce stage results, by failure
+// domain.
+func (e *Engines) SetPoolServers(counts map[string]int) { e.poolServers = counts }
 
-// SetColdLimit bounds the requests that reach a cold engine in a second.
-func (e *Engines) SetColdLimit(limit int, bound bool) {
+// SetColdLimit sets the maximum number of requests per second to a cold engine. If limited is
+// false, there is no limit.
+func (e *Engines) SetColdLimit(limit int, limited bool) {
 	e.coldLimit = nil
-	if bound {
+	if limited {
 		e.coldLimit = &limit
 	}
 }
 
-// SetServers takes the engines that accept new work.
-func (e *Engines) SetServers(servers []site.Server, description site.Engine) {
-	e.engine = description
-	e.list = e.list[:0]
+// SetServers replaces the set of engines that accept new work; spec describes each of them. An
+// engine that has restarted or has a new address starts without history.
+func (e *Engines) SetServers(servers []site.Server, spec site.Engine) {
+	e.spec = spec
+	e.accepting = e.accepting[:0]
 	live := map[string]bool{}
 	for _, s := range servers {
 		live[s.ID] = true
 		known := e.engines[s.ID]
 		if known == nil || known.Born != s.Born || known.Address != s.Address {
-			known = &engine{parts: map[string]holding{}, pace: 1}
+			known = &engine{parts: map[string]cachedPart{}, slowdown: 1}
 			e.engines[s.ID] = known
 		}
 		known.Server = s
-		e.list = append(e.list, known)
+		e.accepting = append(e.accepting, known)
 	}
 	for id := range e.engines {
 		if !live[id] {
 			delete(e.engines, id)
 		}
 	}
-	slices.SortFunc(e.list, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(e.accepting, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Place chooses the engine at which the request costs the least, counting its
-// own wait and what it takes from the others; false where there is none.
+// Place reserves the engine with the lowest cost for a request. The cost includes the wait of
+// the request itself and the delay that it causes for others. An engine in backoff is chosen only
+// if no other engine is eligible. Place returns false if no engine is.
 func (e *Engines) Place(now time.Time, q Query) (Placement, bool) {
 	sources := e.findSources(now, q)
 	var best *engine
 	lowest := time.Duration(0)
-	paused := true
-	for _, c := range e.list {
-		if !e.mayTake(now, q, c) {
+	bestInBackoff := true
+	for _, c := range e.accepting {
+		if !e.isEligible(now, q, c) {
 			continue
 		}
-		isPaused := now.Before(c.pausedUntil)
-		if isPaused && !paused {
+		inBackoff := now.Before(c.backoffUntil)
+		if inBackoff && !bestInBackoff {
 			continue
 		}
 		cost := e.cost(now, q, c, sources)
-		if best == nil || paused && !isPaused || cost < lowest {
-			best, lowest, paused = c, cost, isPaused
+		if best == nil || bestInBackoff && !inBackoff || cost < lowest {
+			best, lowest, bestInBackoff = c, cost, inBackoff
 		}
 	}
 	if best == nil {
 		return Placement{}, false
 	}
-	return e.take(now, q, best, sources), true
+	return e.reserve(now, q, best, sources), true
 }
 
-// mayTake tells whether the request may go to an engine.
-func (e *Engines) mayTake(now time.Time, q Query, c *engine) bool {
+// isEligible reports whether the request may be placed at an engine.
+func (e *Engines) isEligible(now time.Time, q Query, c *engine) bool {
 	if slices.Contains(q.Exclude, c.ID) || !q.Residency.Allows(e.regions[c.Domain]) {
 		return false
 	}
 	if e.coldLimit == nil || !c.IsCold(now) {
 		return true
 	}
-	return !q.IsFallback && c.arriving.Count(now) < *e.coldLimit
+	return !q.IsFallback && c.arrivals.Count(now) < *e.coldLimit
 }
 
-// cost weighs one engine for a request.
+// cost returns the cost of placing a request at an engine, as a duration.
 func (e *Engines) cost(now time.Time, q Query, c *engine, sources []source) time.Duration {
-	n := e.needs(now, q.Generation, c, sources)
-	cost := seconds(c.pace*(c.reading+n.read+rereadWeight*n.again)/readRate) + e.fetchCost(n.fetched)
-	cost += time.Duration(c.streams) * streamCost
-	cost += e.distance(q, c)
+	plan := e.planPrefill(now, q.Generation, c, sources)
+	cost := seconds(c.slowdown*(c.pendingPrefill+plan.prefill+recomputeWeight*plan.recomputed)/prefillRate) + e.fetchCost(plan.fetched)
+	cost += time.Duration(c.reservations) * streamCost
+	cost += e.networkCost(q, c)
 	cost += e.stageCost(q, c)
 	if e.isFull(q, c) {
 		cost += fullCost
 	}
-	return cost + time.Duration(c.failed*float64(failingCost))
+	return cost + time.Duration(c.failureRate*float64(failureCost))
 }
 
-// distance weighs the way from the caller's ingress to an engine.
-func (e *Engines) distance(q Query, c *engine) time.Duration {
+// networkCost returns the cost of the network path from the caller's ingress to an engine.
+func (e *Engines) networkCost(q Query, c *engine) time.Duration {
 	switch {
 	case c.Domain == q.Domain:
 		return 0
 	case e.regions[c.Domain] == q.Region:
-		return domainCost
+		return crossDomainCost
 	default:
-		return regionCost
+		return crossRegionCost
 	}
 }
 
-// stageCost spreads the requests with stages over the failure domains as their
-// pools are spread: results are made beside the engine, and a domain with one
-// server of a pool makes half as many as one with two.
+// stageCost distributes staged requests over the failure domains in proportion to their pool
+// servers. Results are produced in the failure domain of the engine, and a domain with one pool
+// server produces half as many as a domain with two.
 func (e *Engines) stageCost(q Query, c *engine) time.Duration {
-	if q.Generation == nil || !q.Generation.Staged || e.pools[c.Domain] == 0 {
+	if q.Generation == nil || !q.Generation.Staged || e.poolServers[c.Domain] == 0 {
 		return 0
 	}
-	return time.Duration(float64(e.staged[c.Domain]) / float64(e.pools[c.Domain]) * float64(stagedCost))
+	return time.Duration(float64(e.staged[c.Domain]) / float64(e.poolServers[c.Domain]) * float64(stagedCost))
 }
 
+// isFull reports whether an engine lacks the slot or the memory for a request.
 func (e *Engines) isFull(q Query, c *engine) bool {
-	if e.engine.Slots > 0 && c.streams >= e.engine.Slots {
+	if e.spec.Slots > 0 && c.reservations >= e.spec.Slots {
 		return true
 	}
-	need := memoryOf(q.Generation)
-	return e.engine.CacheTokens > 0 && float64(c.memory+need) > memoryPart*float64(e.engine.CacheTokens)
+	needed := estimateMemory(q.Generation)
+	return e.spec.CacheTokens > 0 && float64(c.memoryTokens+needed) > maxMemoryFill*float64(e.spec.CacheTokens)
 }
 
-func memoryOf(g *Generation) int {
+// estimateMemory returns the expected memory of a request, in tokens.
+func estimateMemory(g *Generation) int {
 	if g == nil {
 		return 0
 	}
-	return g.PromptTokens + int(outputPart*float64(g.MaxOutputTokens))
+	return g.PromptTokens + int(expectedOutput*float64(g.MaxOutputTokens))
 }
 
-func (e *Engines) take(now time.Time, q Query, c *engine, sources []source) Placement {
-	n := e.needs(now, q.Generation, c, sources)
-	wait := seconds(c.pace*(c.reading+n.read)/readRate) + e.engine.FetchTime(n.fetched)
+// reserve reserves an engine for a request.
+func (e *Engines) reserve(now time.Time, q Query, c *engine, sources []source) Placement {
+	plan := e.planPrefill(now, q.Generation, c, sources)
+	wait := seconds(c.slowdown*(c.pendingPrefill+plan.prefill)/prefillRate) + e.spec.FetchTime(plan.fetched)
 	e.lastID++
-	s := &seat{engine: c, placed: now, reading: n.read, memory: memoryOf(q.Generation)}
-	e.open[e.lastID] = s
-	c.reading += n.read
-	c.streams++
-	c.arriving.Reserve()
-	c.memory += s.memory
+	r := &reservation{engine: c, placedAt: now, prefill: plan.prefill, memoryTokens: estimateMemory(q.Generation)}
+	e.reservations[e.lastID] = r
+	c.pendingPrefill += plan.prefill
+	c.reservations++
+	c.arrivals.Reserve()
+	c.memoryTokens += r.memoryTokens
 	if q.Generation != nil {
-		s.staged = q.Generation.Staged
-		if s.staged {
+		r.staged = q.Generation.Staged
+		if r.staged {
 			e.staged[c.Domain]++
 		}
-		s.parts = q.Generation.Parts
+		r.parts = q.Generation.Parts
 		for _, p := range q.Generation.Parts {
-			c.parts[p.ID] = holding{used: now, read: c.parts[p.ID].read}
-			e.seen[p.ID] = now
+			c.parts[p.ID] = cachedPart{lastUsed: now, prefilled: c.parts[p.ID].prefilled}
+			e.lastUsed[p.ID] = now
 		}
 	}
-	e.forget(now)
-	return Placement{ID: e.lastID, Server: c.Server, Wait: wait, FetchFrom: n.sourceID()}
+	e.evictParts(now)
+	return Placement{ID: e.lastID, Server: c.Server, Wait: wait, FetchFrom: plan.sourceID()}
 }
 
-// maxParts bounds the parts that are remembered; above it the old ones are dropped.
+// maxParts is the number of entries in Engines.lastUsed at which expired parts are evicted.
 const maxParts = 20000
 
-func (e *Engines) forget(now time.Time) {
-	if len(e.seen) < maxParts {
+// evictParts removes the parts that are no longer expected to be reused or cached.
+func (e *Engines) evictParts(now time.Time) {
+	if len(e.lastUsed) < maxParts {
 		return
 	}
-	for id, used := range e.seen {
-		if now.Sub(used) > sharedWindow {
-			delete(e.seen, id)
+	for id, used := range e.lastUsed {
+		if now.Sub(used) > reuseWindow {
+			delete(e.lastUsed, id)
 		}
 	}
-	for _, c := range e.list {
-		for id, h := range c.parts {
-			if !h.isHeld(now) {
+	for _, c := range e.accepting {
+		for id, p := range c.parts {
+			if !p.isCached(now) {
 				delete(c.parts, id)
 			}
 		}
 	}
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second))
 }
--- a/share/decide/place/fetch.go
+++ b/share/decide/place/fetch.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// minFetch is the fewest tokens that are worth a transfer.
-	minFetch = 256
-	// fetchCostPerGB is what fetched memory costs beside its transfer: it takes the links of
-	// both engines, and its parts are then held twice.
+	// minFetchTokens is the smallest number of tokens that is worth a transfer.
+	minFetchTokens = 256
+	// fetchCostPerGB is the cost of fetched memory in addition to its transfer time: the
+	// transfer uses the links of both engines, and the parts are then cached twice.
 	fetchCostPerGB = 600 * time.Millisecond
 	gigabyte       = 1e9
 )
@@ -18,102 +18,109 @@
 // source is an engine from which prompt parts can be fetched.
 type source struct {
 	engine *engine
-	// tokens is how much of the begin of the prompt it has read.
+	// tokens is the length of the prompt prefix that the engine has prefilled and cached.
 	tokens float64
 }
 
-// findSources lists the engines that hold a part of the prompt, the one with the most
-// first; where two hold the same, the nearer to the caller.
+// findSources returns the engines from which a prefix of the prompt can be fetched, the longest
+// prefix first. Among engines with prefixes of the same length, the closest to the caller's
+// ingress comes first.
 func (e *Engines) findSources(now time.Time, q Query) []source {
-	if q.Generation == nil || len(q.Generation.Parts) == 0 || !e.engine.CanFetch() {
+	if q.Generation == nil || len(q.Generation.Parts) == 0 || !e.spec.CanFetch() {
 		return nil
 	}
 	list := []source{}
-	for _, c := range e.list {
-		if slices.Contains(q.Exclude, c.ID) || !q.Residency.Allows(e.regions[c.Domain]) || now.Before(c.pausedUntil) {
+	for _, c := range e.accepting {
+		if slices.Contains(q.Exclude, c.ID) || !q.Residency.Allows(e.regions[c.Domain]) || now.Before(c.backoffUntil) {
 			continue
 		}
-		if held := c.readTokens(now, q.Generation); held >= minFetch {
-			list = append(list, source{engine: c, tokens: held})
+		if cached := c.prefilledTokens(now, q.Generation); cached >= minFetchTokens {
+			list = append(list, source{engine: c, tokens: cached})
 		}
 	}
 	slices.SortFunc(list, func(a, b source) int {
 		return cmp.Or(cmp.Compare(b.tokens, a.tokens),
-			cmp.Compare(e.distance(q, a.engine), e.distance(q, b.engine)), cmp.Compare(a.engine.ID, b.engine.ID))
+			cmp.Compare(e.networkCost(q, a.engine), e.networkCost(q, b.engine)), cmp.Compare(a.engine.ID, b.engine.ID))
 	})
 	return list
 }
 
-// readTokens returns how much of the begin of the prompt the engine has read and holds.
-func (c *engine) readTokens(now time.Time, g *Generation) float64 {
-	held := 0
+// prefilledTokens returns the length of the prompt prefix that the engine has prefilled and
+// cached.
+func (c *engine) prefilledTokens(now time.Time, g *Generation) float64 {
+	tokens := 0
 	for _, p := range g.Parts {
-		h := c.parts[p.ID]
-		if !h.read || !h.isHeld(now) {
+		part := c.parts[p.ID]
+		if !part.prefilled || !part.isCached(now) {
 			break
 		}
-		held += p.Tokens
+		tokens += p.Tokens
 	}
-	return float64(held)
+	return float64(tokens)
 }
 
-// need is what an engine has to do for a prompt before its answer begins.
-type need struct {
-	// read and fetched count tokens; again are those read that another engine was sent.
-	read    float64
-	again   float64
-	fetched float64
-	// from is where they are fetched; nil: nowhere.
-	from *engine
+// prefillPlan is how an engine processes a prompt before its answer begins. All counts are in
+// tokens.
+type prefillPlan struct {
+	// prefill counts the tokens to prefill. Of these, recomputed counts those that were recently
+	// placed at some engine. Fetched counts the tokens to fetch from another engine.
+	prefill    float64
+	recomputed float64
+	fetched    float64
+	// source is the engine to fetch from; nil if nothing is fetched.
+	source *engine
 }
 
-func (n need) sourceID() string {
-	if n.from == nil {
+// sourceID returns the ID of the engine to fetch from, or an empty string.
+func (p prefillPlan) sourceID() string {
+	if p.source == nil {
 		return ""
 	}
-	return n.from.ID
+	return p.source.ID
 }
 
-// needs works out what an engine has to do. A part counts as held only behind parts that
-// are held, and as fetched only behind those as well.
-func (e *Engines) needs(now time.Time, g *Generation, c *engine, sources []source) need {
+// planPrefill determines how an engine processes a prompt. A part counts as cached only if all
+// parts before it are cached, and as fetched only if all parts before it are cached or fetched.
+func (e *Engines) planPrefill(now time.Time, g *Generation, c *engine, sources []source) prefillPlan {
 	if g == nil {
-		return need{}
+		return prefillPlan{}
 	}
-	held := 0.0
+	cached := 0.0
 	for _, p := range g.Parts {
-		if !c.parts[p.ID].isHeld(now) {
+		if !c.parts[p.ID].isCached(now) {
 			break
 		}
-		held += float64(p.Tokens)
+		cached += float64(p.Tokens)
 	}
-	n := need{}
+	plan := prefillPlan{}
 	for _, s := range sources {
-		if s.engine != c && s.tokens-held >= minFetch {
-			n.fetched = s.tokens - held
-			n.from = s.engine
+		if s.engine != c && s.tokens-cached >= minFetchTokens {
+			plan.fetched = s.tokens - cached
+			plan.source = s.engine
 			break
 		}
 	}
-	n.read = max(float64(g.PromptTokens)-held-n.fetched, 0)
-	n.again = e.countAgain(now, g, held+n.fetched)
-	return n
+	plan.prefill = max(float64(g.PromptTokens)-cached-plan.fetched, 0)
+	plan.recomputed = e.countRecomputed(now, g, cached+plan.fetched)
+	return plan
 }
 
-// countAgain counts the tokens behind the first ones of a prompt that some engine was sent.
-func (e *Engines) countAgain(now time.Time, g *Generation, first float64) float64 {
-	again, begin := 0.0, 0.0
+// countRecomputed counts the prompt tokens after the first skip tokens whose part was placed at
+// any engine within reuseWindow.
+func (e *Engines) countRecomputed(now time.Time, g *Generation, skip float64) float64 {
+	recomputed, offset := 0.0, 0.0
 	for _, p := range g.Parts {
-		if seen, shared := e.seen[p.ID]; shared && now.Sub(seen) < sharedWindow && begin >= first {
-			again += float64(p.Tokens)
+		if used, known := e.lastUsed[p.ID]; known && now.Sub(used) < reuseWindow && offset >= skip {
+			recomputed += float64(p.Tokens)
 		}
-		begin += float64(p.Tokens)
+		offset += float64(p.Tokens)
 	}
-	return again
+	return recomputed
 }
 
-// fetchCost weighs the transfer of tokens against reading them.
+// fetchCost returns the cost of fetching tokens from another engine, comparable to the time to
+// prefill them.
 func (e *Engines) fetchCost(tokens float64) time.Duration {
-	gigabytes := tokens * float64(e.engine.TokenBytes) / gigabyte
-	return e.engine.FetchTime(tokens) + time.Duration(gigabytes*float64(fetchCostPerGB))
+	gigabytes := tokens * float64(e.spec.TokenBytes) / gigabyte
+	return e.spec.FetchTime(tokens) + time.Duration(gigabytes*float64(fetchCostPerGB))
 }
--- a/share/decide/place/hints.go
+++ b/share/decide/place/hints.go
@@ -8,86 +8,93 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// CacheHint says that an engine was sent a prompt part, and so holds it.
+// CacheHint reports that a request with a prompt part was placed at an engine, which therefore
+// has the part cached.
 type CacheHint struct {
+	// Part is the ID of the part.
 	Part     string
 	EngineID string
-	// At is when the part was last sent there.
-	At time.Time
+	// LastUsed is when a request with the part was last placed at the engine.
+	LastUsed time.Time
 }
 
 const (
-	// maxHints bounds what is told at once to about 20 KB.
+	// maxHints limits the hints that are reported at once, to about 20 KB.
 	maxHints = 512
-	// maxKept is how many Hints may hold before the old ones are dropped,
-	// forgetEvery how often that is done at most: each time all of them are looked at.
-	maxKept     = 4 * maxHints
-	forgetEvery = time.Second
+	// maxStored is the number of stored hints above which Record evicts old ones, at most once
+	// per evictInterval, since each eviction scans all hints.
+	maxStored     = 4 * maxHints
+	evictInterval = time.Second
 )
 
-// Hints remembers which engines the prompt parts of one ingress's requests were sent
-// to; its caller guards it.
+// Hints stores at which engines the prompt parts of one ingress's requests were placed. It is not
+// safe for concurrent use.
 //
-// Guards against prompt parts that are all read again when another ingress begins to
-// place: it has seen no request, takes no part for held anywhere and spreads them
-// anew. What each ingress has seen of its own requests adds up to what the one before knew.
+// Guards against all prompt parts being prefilled again after a change of the placer. The new
+// placer has observed no requests, so without hints it would assume that no part is cached
+// anywhere and distribute all sessions anew. The hints of all ingresses together restore what the
+// previous placer knew.
 type Hints struct {
-	// list is by part and engine: a document that many sessions share is held by
-	// many engines, and a session's part counts as held only behind it.
-	list map[hintKey]CacheHint
-	// forgotAt is when the old ones were last dropped.
-	forgotAt time.Time
+	// hints is keyed by part and engine because a document that many sessions share is cached
+	// at many engines, and the part of a session counts as cached only if the document before
+	// it does.
+	hints map[hintKey]CacheHint
+	// lastEviction is when old hints were last evicted.
+	lastEviction time.Time
 }
 
 type hintKey struct{ part, engineID string }
 
-// NewHints remembers nothing yet.
-func NewHints() *Hints { return &Hints{list: map[hintKey]CacheHint{}} }
+// NewHints returns an empty store.
+func NewHints() *Hints { return &Hints{hints: map[hintKey]CacheHint{}} }
 
-// Note takes the parts of a request that goes to an engine.
-func (h *Hints) Note(now time.Time, parts []site.PromptPart, engineID string) {
+// Record stores a hint for each prompt part of a request that is placed at an engine.
+func (h *Hints) Record(now time.Time, parts []site.PromptPart, engineID string) {
 	for _, p := range parts {
-		h.list[hintKey{part: p.ID, engineID: engineID}] = CacheHint{Part: p.ID, EngineID: engineID, At: now}
+		h.hints[hintKey{part: p.ID, engineID: engineID}] = CacheHint{Part: p.ID, EngineID: engineID, LastUsed: now}
 	}
-	if len(h.list) > maxKept && now.Sub(h.forgotAt) >= forgetEvery {
-		h.forget(now)
+	if len(h.hints) > maxStored && now.Sub(h.lastEviction) >= evictInterval {
+		h.evict(now)
 	}
 }
 
-func (h *Hints) forget(now time.Time) {
-	h.forgotAt = now
-	for key, hint := range h.list {
-		if now.Sub(hint.At) > sharedWindow {
-			delete(h.list, key)
+// evict removes the hints that are older than reuseWindow.
+func (h *Hints) evict(now time.Time) {
+	h.lastEviction = now
+	for key, hint := range h.hints {
+		if now.Sub(hint.LastUsed) > reuseWindow {
+			delete(h.hints, key)
 		}
 	}
 }
 
-// Recent returns the hints that are still worth looking for, the youngest first.
+// Recent returns the most recent hints, newest first: at most maxHints, and none that is older
+// than reuseWindow.
 func (h *Hints) Recent(now time.Time) []CacheHint {
-	h.forget(now)
-	list := make([]CacheHint, 0, len(h.list))
-	for _, hint := range h.list {
+	h.evict(now)
+	list := make([]CacheHint, 0, len(h.hints))
+	for _, hint := range h.hints {
 		list = append(list, hint)
 	}
 	slices.SortFunc(list, func(a, b CacheHint) int {
-		return cmp.Or(b.At.Compare(a.At), cmp.Compare(a.Part, b.Part), cmp.Compare(a.EngineID, b.EngineID))
+		return cmp.Or(b.LastUsed.Compare(a.LastUsed), cmp.Compare(a.Part, b.Part), cmp.Compare(a.EngineID, b.EngineID))
 	})
 	return list[:min(len(list), maxHints)]
 }
 
-// Learn takes hints of other ingresses; older ones than those known change nothing.
-func (e *Engines) Learn(hints []CacheHint) {
+// MergeHints adds the hints of an ingress. Hints that are older than what is already known, and
+// hints about unknown engines, have no effect.
+func (e *Engines) MergeHints(hints []CacheHint) {
 	for _, h := range hints {
 		c := e.engines[h.EngineID]
 		if c == nil {
 			continue
 		}
-		if c.parts[h.Part].used.Before(h.At) {
-			c.parts[h.Part] = holding{used: h.At, read: true}
+		if c.parts[h.Part].lastUsed.Before(h.LastUsed) {
+			c.parts[h.Part] = cachedPart{lastUsed: h.LastUsed, prefilled: true}
 		}
-		if e.seen[h.Part].Before(h.At) {
-			e.seen[h.Part] = h.At
+		if e.lastUsed[h.Part].Before(h.LastUsed) {
+			e.lastUsed[h.Part] = h.LastUsed
 		}
 	}
 }
--- a/share/decide/place/place.go
+++ b/share/decide/place/place.go
@@ -1,6 +1,6 @@
-// Package place decides which backend server takes a request: a Chooser for
-// plain services, by predicted latency; Engines for services that generate
-// tokens, by what their caches hold and what waits to be read.
+// Package place chooses the backend server for a request. For plain services, Chooser chooses
+// by estimated latency. For services that generate tokens, Engines chooses by the prompt parts
+// that each engine has cached and the prompt tokens that it still has to prefill.
 package place
 
 import (
@@ -13,96 +13,108 @@
 )
 
 const (
-	// latencyShare is the weight of a new answer in a server's smoothed latency,
-	// failureShare that of a new outcome in its share of failures.
-	latencyShare = 0.2
-	failureShare = 0.2
-	// failureWeight is how much a server whose every answer fails seems slower than it is.
+	// latencyAlpha is the weight of a new answer in a server's smoothed latency, failureAlpha
+	// that of a new outcome in its smoothed failure rate.
+	latencyAlpha = 0.2
+	failureAlpha = 0.2
+	// failureWeight scales the estimated latency with the failure rate: by 1 for a server that
+	// never fails, by 1 + failureWeight for one that always fails.
 	failureWeight = 8
-	// firstPause is how long a server that could not be reached is left alone; it doubles up to maxPause.
-	firstPause = 250 * time.Millisecond
-	maxPause   = 4 * time.Second
-	// loadAge is how long a server's own report of its load counts.
-	loadAge = 300 * time.Millisecond
-	// defaultLatency stands for that of a server that has not answered yet.
+	// initialBackoff is how long a server is avoided after a connection to it failed. It
+	// doubles with each further failure in a row, up to maxBackoff. An engine that refuses a
+	// request is also avoided for initialBackoff.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = 4 * time.Second
+	// maxLoadAge is how long a server's own load report is used.
+	maxLoadAge = 300 * time.Millisecond
+	// defaultLatency is the assumed latency of a server that has not answered yet.
 	defaultLatency = 50 * time.Millisecond
-	// otherRegion and otherDomain are added to the predicted latency for the way there and back.
-	otherRegion = 25 * time.Millisecond
-	otherDomain = 2 * time.Millisecond
+	// crossRegionLatency and crossDomainLatency are added to the estimated latency for the
+	// network round trip.
+	crossRegionLatency = 25 * time.Millisecond
+	crossDomainLatency = 2 * time.Millisecond
 )
 
-// Result says how a request at a server ended.
+// Result is how a request to a server ended.
 type Result string
 
 // The results.
 const (
-	// ResultServed requests got their answer.
+	// ResultServed requests received their answer.
 	ResultServed Result = "served"
-	// ResultFailed requests were answered with a failure of the server's.
+	// ResultFailed requests were answered with a server error or an unusable answer.
 	ResultFailed Result = "failed"
-	// ResultRefused requests were not run: the server is full.
+	// ResultRefused requests were refused by the server without being run; usually it is full.
 	ResultRefused Result = "refused"
-	// ResultBroken requests ended without an answer.
+	// ResultBroken requests were sent but ended without a complete answer.
 	ResultBroken Result = "broken"
-	// ResultUnreached requests found no connection.
-	ResultUnreached Result = "unreached"
-	// ResultLeft requests were given up by their caller and say nothing of the server.
-	ResultLeft Result = "left"
+	// ResultUnreachable requests were not sent because no connection could be made.
+	ResultUnreachable Result = "unreached"
+	// ResultCanceled requests were abandoned by their caller. They count neither as a success
+	// nor as a failure of the server, but an engine whose answer was long overdue counts as
+	// stalled.
+	ResultCanceled Result = "left"
 )
 
-// Query describes a request.
+// Query describes a request to be placed.
 type Query struct {
-	// Domain and Region are where the caller's ingress stands.
+	// Domain and Region are those of the ingress that received the request from its caller.
 	Domain string
 	Region string
-	// Exclude holds the IDs of servers that had the request before.
+	// Exclude holds the IDs of servers that the request was already sent to.
 	Exclude []string
-	// Generation sizes a request to an engine; nil for a plain service.
+	// Generation is the size of a request to an engine. Chooser ignores it.
 	Generation *Generation
-	// Residency bounds the regions of the server.
+	// Residency restricts the regions of the server.
 	Residency site.Residency
-	// IsFallback is set where this ingress cannot reach the one that places for all: cold
-	// engines are left to that one, since nobody counts what both send there.
+	// IsFallback is set if this ingress places the request itself because it got no usable
+	// choice from the placer. Such a request is not placed at a cold engine: the placer places
+	// requests there too, and no ingress counts the requests of both.
 	IsFallback bool
-	// ColdLimit says how many requests a second this ingress may have reach a cold server;
-	// nil: there is no bound.
+	// ColdLimit returns how many requests per second this ingress may send to a cold server.
+	// If it is nil, there is no limit.
 	ColdLimit func(server *site.Server) int
 }
 
-// Generation sizes a request to an engine.
+// Generation is the size of a request to an engine.
 type Generation struct {
-	// Parts are the shared parts of the prompt, in order.
+	// Parts are the prompt parts that other requests may share, in order.
 	Parts []site.PromptPart
-	// PromptTokens is the length of the whole prompt, shared parts included.
+	// PromptTokens is the length of the entire prompt, including the shared parts.
 	PromptTokens    int
 	MaxOutputTokens int
-	// Staged requests need results that pools make.
+	// Staged is set if the request needs results that pools produce.
 	Staged bool
 }
 
-// Chooser holds what one ingress knows of the servers of one service; its caller guards it.
+// Chooser tracks the servers of one service as seen by one ingress and chooses among them. It
+// is not safe for concurrent use.
 type Chooser struct {
+	// regions maps failure domains to their regions.
 	regions map[string]string
+	// servers maps IDs to the servers that accept new work or still have requests in flight.
 	servers map[string]*server
-	list    []*server
+	// accepting holds the servers that accept new work, sorted by ID.
+	accepting []*server
 }
 
 type server struct {
 	site.Server
-	// open counts the requests of this ingress that the server has.
-	open int
+	// inFlight counts this ingress's requests in flight at the server.
+	inFlight int
 	// latency is smoothed; 0 before the first answer.
 	latency time.Duration
-	// failed is the smoothed share of failures, 0 to 1.
-	failed float64
-	// load is the server's own report, taken at loadAt.
+	// failureRate is smoothed, from 0 to 1.
+	failureRate float64
+	// load is the server's own report, received at loadAt.
 	load   site.Load
 	loadAt time.Time
-	// misses counts the requests in a row that did not reach it; it is left alone until pausedUntil.
-	misses      int
-	pausedUntil time.Time
-	// recent counts what was sent lately, for the bound of a cold server.
-	recent cold.Window
+	// connFailures counts the connection failures in a row. The server is avoided until
+	// backoffUntil.
+	connFailures int
+	backoffUntil time.Time
+	// arrivals counts recently sent requests, for the limit of a cold server.
+	arrivals cold.Window
 }
 
 // NewChooser returns a chooser without servers. Regions maps failure domains to their regions.
@@ -110,9 +122,10 @@
 	return &Chooser{regions: regions, servers: map[string]*server{}}
 }
 
-// SetServers takes the servers that accept new work.
+// SetServers replaces the set of servers that accept new work. A server that has restarted or
+// has a new address starts without history.
 func (c *Chooser) SetServers(servers []site.Server) {
-	c.list = c.list[:0]
+	c.accepting = c.accepting[:0]
 	live := map[string]bool{}
 	for _, s := range servers {
 		live[s.ID] = true
@@ -122,129 +135,133 @@
 			c.servers[s.ID] = known
 		}
 		known.Server = s
-		c.list = append(c.list, known)
+		c.accepting = append(c.accepting, known)
 	}
 	for id, s := range c.servers {
-		if !live[id] && s.open == 0 {
+		if !live[id] && s.inFlight == 0 {
 			delete(c.servers, id)
 		}
 	}
-	slices.SortFunc(c.list, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(c.accepting, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // Count returns the number of servers that accept new work.
-func (c *Chooser) Count() int { return len(c.list) }
+func (c *Chooser) Count() int { return len(c.accepting) }
 
-// Pick returns the server for a request; false where there is none.
+// Pick returns the server with the lowest estimated latency for a request, or false if no
+// server is eligible.
 func (c *Chooser) Pick(now time.Time, q Query) (site.Server, bool) {
-	candidates := c.filter(now, q)
+	candidates := c.listCandidates(now, q)
 	if len(candidates) == 0 {
 		return site.Server{}, false
 	}
 	best := slices.MinFunc(candidates, func(a, b *server) int {
-		return cmp.Compare(c.predict(now, q, a), c.predict(now, q, b))
+		return cmp.Compare(c.estimateLatency(now, q, a), c.estimateLatency(now, q, b))
 	})
 	return best.Server, true
 }
 
-// mayTake tells whether the request may go to a server.
-func (c *Chooser) mayTake(now time.Time, q Query, s *server) bool {
+// isEligible reports whether the request may be sent to a server.
+func (c *Chooser) isEligible(now time.Time, q Query, s *server) bool {
 	if slices.Contains(q.Exclude, s.ID) || !q.Residency.Allows(c.regions[s.Domain]) {
 		return false
 	}
-	return q.ColdLimit == nil || !s.IsCold(now) || s.recent.Count(now) < q.ColdLimit(&s.Server)
+	return q.ColdLimit == nil || !s.IsCold(now) || s.arrivals.Count(now) < q.ColdLimit(&s.Server)
 }
 
-// filter leaves out servers that could not be reached lately, unless there is no other.
-func (c *Chooser) filter(now time.Time, q Query) []*server {
-	others := []*server{}
-	paused := []*server{}
-	for _, s := range c.list {
+// listCandidates returns the eligible servers that are not in backoff, or, if there are none,
+// the eligible servers that are.
+func (c *Chooser) listCandidates(now time.Time, q Query) []*server {
+	available := []*server{}
+	inBackoff := []*server{}
+	for _, s := range c.accepting {
 		switch {
-		case !c.mayTake(now, q, s):
-		case now.Before(s.pausedUntil):
-			paused = append(paused, s)
+		case !c.isEligible(now, q, s):
+		case now.Before(s.backoffUntil):
+			inBackoff = append(inBackoff, s)
 		default:
-			others = append(others, s)
+			available = append(available, s)
 		}
 	}
-	if len(others) > 0 {
-		return others
+	if len(available) > 0 {
+		return available
 	}
-	return paused
+	return inBackoff
 }
 
-// predict estimates the time until a plain server answers.
-func (c *Chooser) predict(now time.Time, q Query, s *server) time.Duration {
+// estimateLatency estimates the time until a server answers a request.
+func (c *Chooser) estimateLatency(now time.Time, q Query, s *server) time.Duration {
 	latency := s.latency
 	if latency == 0 {
 		latency = defaultLatency
 	}
-	ahead := s.open
-	if now.Sub(s.loadAt) < loadAge {
-		ahead = max(ahead, s.load.Running+s.load.Waiting)
+	outstanding := s.inFlight
+	if now.Sub(s.loadAt) < maxLoadAge {
+		outstanding = max(outstanding, s.load.Running+s.load.Waiting)
 	}
-	queued := 1 + float64(ahead)/float64(max(s.Slots, 1))
-	wait := time.Duration(float64(latency) * queued * (1 + failureWeight*s.failed))
-	return wait + c.distance(q, s)
+	queueFactor := 1 + float64(outstanding)/float64(max(s.Slots, 1))
+	estimate := time.Duration(float64(latency) * queueFactor * (1 + failureWeight*s.failureRate))
+	return estimate + c.networkLatency(q, s)
 }
 
-func (c *Chooser) distance(q Query, s *server) time.Duration {
+// networkLatency returns the round-trip time between the caller's ingress and a server.
+func (c *Chooser) networkLatency(q Query, s *server) time.Duration {
 	switch {
 	case s.Domain == q.Domain:
 		return 0
 	case c.regions[s.Domain] == q.Region:
-		return otherDomain
+		return crossDomainLatency
 	default:
-		return otherRegion
+		return crossRegionLatency
 	}
 }
 
-// Start notes that a request is sent to a server.
+// Start records that a request is sent to a server.
 func (c *Chooser) Start(now time.Time, id string) {
 	if s := c.servers[id]; s != nil {
-		s.open++
-		s.recent.Reserve()
-		s.recent.MarkSent(now)
+		s.inFlight++
+		s.arrivals.Reserve()
+		s.arrivals.MarkSent(now)
 	}
 }
 
-// End notes how a request ended that took a time; load is nil where the server did not report it.
+// End records the result and the duration of a request. Load is nil if the server did not
+// report it.
 func (c *Chooser) End(now time.Time, id string, result Result, took time.Duration, load *site.Load) {
 	s := c.servers[id]
 	if s == nil {
 		return
 	}
-	s.open = max(s.open-1, 0)
+	s.inFlight = max(s.inFlight-1, 0)
 	if load != nil {
 		s.load = *load
 		s.loadAt = now
 	}
 	switch result {
 	case ResultServed:
-		s.succeed(took)
+		s.recordSuccess(took)
 	case ResultFailed:
-		s.fail()
-		s.misses = 0
-	case ResultBroken, ResultUnreached:
-		s.fail()
-		s.pausedUntil = now.Add(min(firstPause<<min(s.misses, 4), maxPause))
-		s.misses++
-	case ResultRefused, ResultLeft:
+		s.recordFailure()
+		s.connFailures = 0
+	case ResultBroken, ResultUnreachable:
+		s.recordFailure()
+		s.backoffUntil = now.Add(min(initialBackoff<<min(s.connFailures, 4), maxBackoff))
+		s.connFailures++
+	case ResultRefused, ResultCanceled:
 	}
 }
 
-func (s *server) succeed(took time.Duration) {
-	s.misses = 0
-	s.pausedUntil = time.Time{}
-	s.failed -= failureShare * s.failed
+func (s *server) recordSuccess(took time.Duration) {
+	s.connFailures = 0
+	s.backoffUntil = time.Time{}
+	s.failureRate -= failureAlpha * s.failureRate
 	if s.latency == 0 {
 		s.latency = took
 		return
 	}
-	s.latency += time.Duration(latencyShare * float64(took-s.latency))
+	s.latency += time.Duration(latencyAlpha * float64(took-s.latency))
 }
 
-func (s *server) fail() {
-	s.failed += failureShare * (1 - s.failed)
+func (s *server) recordFailure() {
+	s.failureRate += failureAlpha * (1 - s.failureRate)
 }
--- a/share/decide/place/place_test.go
+++ b/share/decide/place/place_test.go
@@ -36,7 +36,8 @@
 	return s.ID
 }
 
-func TestNearServersComeFirst(t *testing.T) {
+// Guards against requests crossing failure domains or regions while a closer server is idle.
+func TestCloserServersArePreferred(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	c := newChooser("b1", "a2", "a1")
@@ -46,8 +47,8 @@
 	is.Equal(pick(t, c, now, "s0", "s1", "s2"), "")
 }
 
-// Orders burst at one region's only server. Work must spill to the other regions
-// before its six slots have long queues.
+// Guards against long queues at the only server of a region, which has six slots, during a burst:
+// requests must spill over to other regions before that.
 func TestBurstSpillsToOtherRegions(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -62,16 +63,17 @@
 	is.True(counts["s1"] >= 8)
 }
 
-// One of three servers crashes: connections to it are refused. It must be left
-// alone, tried again after a while, and used as before once it answers.
-func TestCrashedServerIsLeftAlone(t *testing.T) {
+// Guards against requests being sent to a crashed server, which refuses connections, and against
+// a server that is never used again. It must be avoided, tried again after its backoff and used
+// as before once it answers.
+func TestCrashedServerIsAvoidedUntilItAnswers(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	c := newChooser("a1", "a2")
 	c.Start(now, "s0")
-	c.End(now, "s0", place.ResultUnreached, 0, nil)
+	c.End(now, "s0", place.ResultUnreachable, 0, nil)
 	is.Equal(pick(t, c, now), "s1")
-	is.Equal(pick(t, c, now, "s1"), "s0") // better than nothing
+	is.Equal(pick(t, c, now, "s1"), "s0") // the only server that is left
 	now = now.Add(300 * time.Millisecond)
 	for range 30 {
 		c.Start(now, "s0")
@@ -80,9 +82,9 @@
 	is.Equal(pick(t, c, now), "s0")
 }
 
-// A server answers every second request with an error within milliseconds while
-// its health check is good. The fastest server must not draw the traffic.
-func TestFailingServerDrawsLittle(t *testing.T) {
+// Guards against a server attracting traffic because it fails fast: it answers every second
+// request with an error within milliseconds while its health check succeeds.
+func TestFailingServerDoesNotAttractTraffic(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	c := newChooser("a1", "a1")
@@ -99,9 +101,9 @@
 	is.Equal(pick(t, c, now), "s1")
 }
 
-// A server turns five times slower while it stays well. Its queue must not grow
-// with an equal share of the requests.
-func TestSlowServerGetsLess(t *testing.T) {
+// Guards against a growing queue at a server that has become five times slower but is otherwise
+// healthy: it must get fewer requests than the others.
+func TestSlowServerGetsFewerRequests(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	c := newChooser("a1", "a1")
@@ -120,8 +122,8 @@
 	is.True(counts["s1"] >= 15)
 }
 
-// Another caller fills a server that this ingress sends nothing to; the server's
-// own report tells so, and is believed only while it is fresh.
+// Guards against sending to a server that other ingresses have filled, which only its own load
+// report shows, and against avoiding it because of a stale report.
 func TestReportedLoadCountsWhileFresh(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -133,16 +135,16 @@
 	is.Equal(pick(t, c, now.Add(time.Second)), "s0")
 }
 
-// A server starts again under its old name and address; what was known of the
-// one before does not count.
-func TestNewStartIsANewServer(t *testing.T) {
+// Guards against a restarted server with the same ID and address being judged by the failures of
+// its previous start.
+func TestRestartedServerStartsWithoutHistory(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	servers := newServers("a1", "a2")
 	c := place.NewChooser(regions)
 	c.SetServers(servers)
 	c.Start(now, "s0")
-	c.End(now, "s0", place.ResultUnreached, 0, nil)
+	c.End(now, "s0", place.ResultUnreachable, 0, nil)
 	is.Equal(pick(t, c, now), "s1")
 	servers[0].Born = 7
 	c.SetServers(servers)
--- a/share/decide/place/residency_test.go
+++ b/share/decide/place/residency_test.go
@@ -10,8 +10,8 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// Guards against a request that must stay in a region being served outside it, however
-// near or idle the servers there are.
+// Guards against a request with restricted regions being served outside them because servers there
+// are closer or idle.
 func TestServersOutsideTheAllowedRegionsAreNotChosen(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -24,10 +24,10 @@
 		c.Start(now, s.ID)
 	}
 	_, found := c.Pick(now, place.Query{Domain: "a1", Region: "a", Residency: onlyB, Exclude: []string{"s2"}})
-	is.True(!found) // nowhere rather than elsewhere
+	is.True(!found) // not placed at all rather than outside its region
 
 	e := newEngines(9)
-	q := review(1)
+	q := newReviewQuery(1)
 	q.Residency = onlyB
 	for range 20 {
 		p, placed := e.Place(now, q)
