--- a/ingress/modules/encode/residency.go
+++ b/ingress/modules/encode/residency.go
@@ -8,7 +8,7 @@
 
 // Residency writes a residency; nil stands for one that allows all regions.
 func Residency(r site.Residency) *wire.Residency {
-	if !r.Bound {
+	if !r.Restricted {
 		return nil
 	}
 	return &wire.Residency{Bound: true, Regions: r.Regions}
@@ -16,5 +16,5 @@
 
 // ReadResidency reads what Residency wrote.
 func ReadResidency(told *wire.Residency) site.Residency {
-	return site.Residency{Bound: told.GetBound(), Regions: told.GetRegions()}
+	return site.Residency{Restricted: told.GetBound(), Regions: told.GetRegions()}
 }
--- a/ingress/modules/encode/residency_test.go
+++ b/ingress/modules/encode/residency_test.go
@@ -13,10 +13,10 @@
 func TestResidencyCrossesALink(t *testing.T) {
 	is := is.New(t)
 	for _, r := range []site.Residency{
-		{}, {Bound: true, Regions: []string{"north", "south"}}, site.NewResidency([]string{"north"}, []string{"south"}),
+		{}, {Restricted: true, Regions: []string{"north", "south"}}, site.NewResidency([]string{"north"}, []string{"south"}),
 	} {
 		got := encode.ReadResidency(encode.Residency(r))
-		is.Equal(got.Bound, r.Bound)
+		is.Equal(got.Restricted, r.Restricted)
 		is.Equal(got.Allows("north"), r.Allows("north"))
 		is.Equal(got.Allows("west"), r.Allows("west"))
 	}
--- a/ingress/routers/public/public.go
+++ b/ingress/routers/public/public.go
@@ -133,8 +133,8 @@
 func (t *Router) admitLast(work string, q *flow.Request) bool {
 	route := q.Grant.Route
 	bound := route.Timeout
-	if q.Patience > 0 && (bound == 0 || q.Patience < bound) {
-		bound = q.Patience
+	if q.CallerTimeout > 0 && (bound == 0 || q.CallerTimeout < bound) {
+		bound = q.CallerTimeout
 	}
 	return route.Kind != site.KindStream && bound > 0 && t.options.Doorman.AdmitLast(work, bound)
 }
--- a/ingress/services/flow/flow.go
+++ b/ingress/services/flow/flow.go
@@ -214,7 +214,7 @@
 
 func (s *Server) newExchange(q *Request) *exchange {
 	r := q.Grant.Route
-	patience := q.Patience
+	patience := q.CallerTimeout
 	if patience == 0 {
 		patience = defaultPatience
 	}
@@ -300,8 +300,8 @@
 
 // isStaged tells whether results are to be made for the request.
 func (x *exchange) isStaged() bool {
-	for i := range min(len(x.route.Stages), len(x.Items)) {
-		if x.Items[i] > 0 {
+	for i := range min(len(x.route.Stages), len(x.ItemCounts)) {
+		if x.ItemCounts[i] > 0 {
 			return true
 		}
 	}
--- a/ingress/services/flow/places.go
+++ b/ingress/services/flow/places.go
@@ -49,7 +49,7 @@
 func (x *exchange) describeNoServer() string {
 	v := x.server.options.Views.View()
 	detail := fmt.Sprintf("no server of %s takes work, of %d that do", x.service, len(v.Servers[x.service]))
-	if r := x.residency(); r.Bound {
+	if r := x.residency(); r.Restricted {
 		detail += fmt.Sprintf("; allowed regions: %s", strings.Join(r.Regions, ","))
 	}
 	if len(v.Evacuated) > 0 {
--- a/ingress/services/flow/places_test.go
+++ b/ingress/services/flow/places_test.go
@@ -83,7 +83,7 @@
 
 func sceneRoute(allowed ...string) site.Route {
 	return site.Route{
-		Name: "reviews", Kind: site.KindStream, Timeout: 5 * time.Second, Target: time.Second, MaxAttempts: 2,
+		Name: "reviews", Kind: site.KindStream, Timeout: 5 * time.Second, LatencyTarget: time.Second, MaxAttempts: 2,
 		Backends: []site.Backend{{Service: "engines", Weight: 1}}, Stages: []site.Stage{{Service: "drawings"}},
 		AllowedRegions: allowed,
 	}
@@ -113,7 +113,7 @@
 	grant := access.Grant{Verdict: access.Granted, Route: &route, Residency: site.NewResidency(route.AllowedRegions)}
 	answer := httptest.NewRecorder()
 	server.Serve(context.Background(), answer, &flow.Request{
-		Request: site.Request{AttemptID: "a", Patience: 5 * time.Second, Items: []int{2}},
+		Request: site.Request{AttemptID: "a", CallerTimeout: 5 * time.Second, ItemCounts: []int{2}},
 		Method:  http.MethodPost, Target: "/", Arrived: time.Now(), Header: http.Header{}, Grant: grant, View: s.view,
 	})
 	return answer
--- a/ingress/services/flow/plain.go
+++ b/ingress/services/flow/plain.go
@@ -110,7 +110,7 @@
 func (x *exchange) attemptTime() time.Duration {
 	left := x.left()
 	if x.route.Kind == site.KindIdempotent && x.runs+1 < x.route.MaxAttempts {
-		return max(left/silencePart, min(left, x.route.Target))
+		return max(left/silencePart, min(left, x.route.LatencyTarget))
 	}
 	return left
 }
@@ -123,7 +123,7 @@
 		Header: x.Header,
 		Body:   x.Body,
 		Server: server,
-		Forward: site.Forward{
+		Forward: site.UpstreamHeaders{
 			AttemptID: x.AttemptID,
 			Remaining: x.left(),
 			ServerID:  server.ID,
@@ -222,7 +222,7 @@
 
 // overloadPause is when a full service likely takes a request: about one latency objective.
 func (x *exchange) overloadPause() time.Duration {
-	return max(x.route.Target, briefPause)
+	return max(x.route.LatencyTarget, briefPause)
 }
 
 // deliver writes a whole answer, or the rest of one that is too long to be held.
--- a/ingress/services/flow/stream_test.go
+++ b/ingress/services/flow/stream_test.go
@@ -82,7 +82,7 @@
 func TestResultsGivenUpTooEarlyAreMadeAgain(t *testing.T) {
 	is := is.New(t)
 	route := site.Route{
-		Name: "reviews", Kind: site.KindStream, Timeout: 5 * time.Second, Target: time.Second, MaxAttempts: 2,
+		Name: "reviews", Kind: site.KindStream, Timeout: 5 * time.Second, LatencyTarget: time.Second, MaxAttempts: 2,
 		Backends: []site.Backend{{Service: "engines", Weight: 1}}, Stages: []site.Stage{{Service: "drawings", ResultBytes: 1_500_000}},
 	}
 	view := &state.View{
@@ -104,7 +104,7 @@
 	})
 	answer := httptest.NewRecorder()
 	server.Serve(context.Background(), answer, &flow.Request{
-		Request: site.Request{AttemptID: "a", Patience: 5 * time.Second, Items: []int{2}},
+		Request: site.Request{AttemptID: "a", CallerTimeout: 5 * time.Second, ItemCounts: []int{2}},
 		Method:  http.MethodPost, Target: "/", Arrived: time.Now(), Header: http.Header{},
 		Grant: access.Grant{Verdict: access.Granted, Route: &route}, View: view,
 	})
--- a/ingress/services/pieces/maker.go
+++ b/ingress/services/pieces/maker.go
@@ -135,7 +135,7 @@
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if pool := m.pools[service]; pool != nil {
-		return pool.KeepTime
+		return pool.ResultTTL
 	}
 	return 0
 }
--- a/ingress/services/pieces/maker_test.go
+++ b/ingress/services/pieces/maker_test.go
@@ -35,12 +35,12 @@
 // pool makes every result at once.
 type pool struct{}
 
-func (pool) Make(_ context.Context, server site.Server, items []site.Item) (site.Batch, error) {
+func (pool) Make(_ context.Context, server site.Server, items []site.Item) (site.BatchAnswer, error) {
 	results := []site.ItemResult{}
 	for range items {
 		results = append(results, site.ItemResult{Outcome: site.ItemMade, Handle: server.Address.String() + "/1"})
 	}
-	return site.Batch{Results: results}, nil
+	return site.BatchAnswer{Results: results}, nil
 }
 
 func (pool) ReadHolder(handle string) (netip.AddrPort, error) {
@@ -72,7 +72,7 @@
 	maker := pieces.NewMaker(peers, owner, log)
 	view := &state.View{
 		Table: access.NewTable(&site.Config{Version: 1, Services: []site.Service{{Name: "encoders", Pool: &site.Pool{
-			Slots: 1, Batch: 8, CallTime: time.Millisecond, ItemTime: time.Millisecond, RoomBytes: 1000, KeepTime: time.Second,
+			Slots: 1, MaxBatch: 8, CallTime: time.Millisecond, ItemTime: time.Millisecond, ResultMemoryBytes: 1000, ResultTTL: time.Second,
 		}}}}),
 		Servers: map[string][]site.Server{"encoders": {{ID: "p", Address: netip.MustParseAddrPort("127.0.0.1:1"), State: site.ServerReady}}},
 	}
@@ -118,7 +118,7 @@
 	owner := pieces.NewOwner(pieces.OwnerOptions{Pools: pool{}, Meter: noMeter{}, Log: log})
 	peers := &batching{domains: map[string]string{}}
 	maker := pieces.NewMaker(peers, owner, log)
-	description := &site.Pool{Slots: 1, Batch: 40, RoomBytes: 1 << 20, KeepTime: 4 * time.Second}
+	description := &site.Pool{Slots: 1, MaxBatch: 40, ResultMemoryBytes: 1 << 20, ResultTTL: 4 * time.Second}
 	maker.TakeView(&state.View{
 		Table: access.NewTable(&site.Config{Version: 1, Services: []site.Service{
 			{Name: "retrievers", Pool: description}, {Name: "writers", Pool: description},
--- a/ingress/services/pieces/owner.go
+++ b/ingress/services/pieces/owner.go
@@ -26,7 +26,7 @@
 
 // Pools calls the backend servers that make results.
 type Pools interface {
-	Make(ctx context.Context, server site.Server, items []site.Item) (site.Batch, error)
+	Make(ctx context.Context, server site.Server, items []site.Item) (site.BatchAnswer, error)
 	Release(ctx context.Context, holder netip.AddrPort, handles []string) error
 	// Warm prepares for the next call to a server.
 	Warm(server site.Server)
--- a/ingress/services/pieces/queues_test.go
+++ b/ingress/services/pieces/queues_test.go
@@ -30,7 +30,7 @@
 	}
 	return &state.View{
 		Table: access.NewTable(&site.Config{Version: 1, Services: []site.Service{{Name: "encoders", Pool: &site.Pool{
-			Slots: 1, Batch: 8, CallTime: time.Millisecond, ItemTime: time.Millisecond, RoomBytes: 1000, KeepTime: time.Second,
+			Slots: 1, MaxBatch: 8, CallTime: time.Millisecond, ItemTime: time.Millisecond, ResultMemoryBytes: 1000, ResultTTL: time.Second,
 		}}}}),
 		Servers: map[string][]site.Server{"encoders": servers},
 	}
@@ -98,11 +98,11 @@
 	calls int
 }
 
-func (b *broken) Make(context.Context, site.Server, []site.Item) (site.Batch, error) {
+func (b *broken) Make(context.Context, site.Server, []site.Item) (site.BatchAnswer, error) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.calls++
-	return site.Batch{}, errors.New("reset")
+	return site.BatchAnswer{}, errors.New("reset")
 }
 
 // countCalls has one job fail in each queue and returns the calls that were sent for them.
--- a/ingress/services/reach/reach.go
+++ b/ingress/services/reach/reach.go
@@ -45,7 +45,7 @@
 
 // Codec writes the headers of a request and reads those of an answer.
 type Codec interface {
-	WriteRequest(h http.Header, f site.Forward)
+	WriteRequest(h http.Header, f site.UpstreamHeaders)
 	ReadAnswer(status int, h http.Header) site.Answer
 }
 
@@ -59,7 +59,7 @@
 	Header  http.Header
 	Body    []byte
 	Server  site.Server
-	Forward site.Forward
+	Forward site.UpstreamHeaders
 }
 
 // Reply is an answer whose body is still to be read.
--- a/ingress/services/screen/screen.go
+++ b/ingress/services/screen/screen.go
@@ -152,7 +152,7 @@
 }
 
 // startOf names one start of a server.
-func startOf(s site.Server) string { return s.ID + "/" + strconv.FormatInt(s.Born, 10) }
+func startOf(s site.Server) string { return s.ID + "/" + strconv.FormatInt(s.Incarnation, 10) }
 
 // ownerKey is that by which the ingress that counts for a request is chosen.
 func ownerKey(id poison.ID) string { return "poison/" + string(id) }
--- a/ingress/services/state/take.go
+++ b/ingress/services/state/take.go
@@ -116,12 +116,12 @@
 		b.options.Log.Warn("server-unreadable", zap.String("key", r.Key), zap.Uint64("revision", r.Revision), logs.Err(err))
 		return
 	}
-	if server.ColdFor > 0 {
-		server.ColdUntil = time.Now().Add(server.ColdFor)
+	if server.ColdRemaining > 0 {
+		server.ColdUntil = time.Now().Add(server.ColdRemaining)
 	}
 	b.servers.Put(server)
 	b.options.Log.Info("server-seen", zap.String("server", id), zap.String("service", server.Service),
-		zap.Stringer("address", server.Address), zap.String("state", string(server.State)), zap.Duration("cold-for", server.ColdFor),
+		zap.Stringer("address", server.Address), zap.String("state", string(server.State)), zap.Duration("cold-for", server.ColdRemaining),
 		zap.Uint64("revision", r.Revision), zap.String("source", source))
 }
 
--- a/share/decide/batch/batch.go
+++ b/share/decide/batch/batch.go
@@ -203,7 +203,7 @@
 	for _, s := range servers {
 		live[s.ID] = true
 		w := p.workers[s.ID]
-		if w == nil || w.server.Born != s.Born || w.server.Address != s.Address {
+		if w == nil || w.server.Incarnation != s.Incarnation || w.server.Address != s.Address {
 			w = newWorker(s)
 			p.workers[s.ID] = w
 		}
--- a/share/decide/batch/batch_test.go
+++ b/share/decide/batch/batch_test.go
@@ -13,8 +13,8 @@
 
 func newPool() site.Pool {
 	return site.Pool{
-		Slots: 1, Queue: 2, Batch: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond,
-		RoomBytes: 20_000_000, KeepTime: 4 * time.Second,
+		Slots: 1, QueueLimit: 2, MaxBatch: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond,
+		ResultMemoryBytes: 20_000_000, ResultTTL: 4 * time.Second,
 	}
 }
 
@@ -156,7 +156,7 @@
 	p := newPlanner(now, "a")
 	call := add(p, now, newJob(now, 1, 2)).Calls[0]
 	results := made(call)
-	results[1] = site.ItemResult{Outcome: site.ItemGone}
+	results[1] = site.ItemResult{Outcome: site.ItemInputGone}
 	a := p.End(now, call.ID, batch.Ended{Results: results})
 	is.Equal(a.Done[0].Outcome, batch.OutcomeGone)
 	is.Equal(len(a.Release), 1)
--- a/share/decide/batch/begun_test.go
+++ b/share/decide/batch/begun_test.go
@@ -18,7 +18,7 @@
 	now := time.Unix(0, 0)
 	p := newPlanner(now, "a")
 	pool := newPool()
-	pool.RoomBytes = 32_000 // three results
+	pool.ResultMemoryBytes = 32_000 // three results
 	p.SetPool(pool)
 	first := add(p, now, newJob(now, 1, 2))
 	now = now.Add(300 * time.Millisecond)
--- a/share/decide/batch/ends.go
+++ b/share/decide/batch/ends.go
@@ -123,7 +123,7 @@
 		if j.made == j.Count {
 			p.finish(a, now, j, Done{JobID: j.ID, Outcome: OutcomeMade})
 		}
-	case site.ItemGone:
+	case site.ItemInputGone:
 		p.finish(a, now, j, Done{JobID: j.ID, Outcome: OutcomeGone})
 	case site.ItemLate:
 		p.finish(a, now, j, Done{JobID: j.ID, Outcome: OutcomeExpired})
--- a/share/decide/batch/fill.go
+++ b/share/decide/batch/fill.go
@@ -12,11 +12,11 @@
 // Jobs are taken whole: one in two calls is done with the later one, and its other
 // results take memory until then.
 func (p *Planner) fill(a *Actions, now time.Time, w *worker) bool {
-	used := w.used + w.foreignAt(now, p.pool.KeepTime)
+	used := w.used + w.foreignAt(now, p.pool.ResultTTL)
 	d := draft{
 		call: Call{Server: w.server, Held: used, started: now},
-		room: int64(roomPart*float64(p.pool.RoomBytes)) - used,
-		most: p.pool.Batch,
+		room: int64(roomPart*float64(p.pool.ResultMemoryBytes)) - used,
+		most: p.pool.MaxBatch,
 		// A result larger than the whole memory is tried alone: its size is approximate.
 		empty: used == 0,
 	}
@@ -76,8 +76,8 @@
 // maySplit tells whether a job may be taken in parts: it is larger than any call or any
 // server's memory, or smaller ones have passed it for too long.
 func (p *Planner) maySplit(now time.Time, j *job) bool {
-	room := int64(roomPart * float64(p.pool.RoomBytes))
-	tooLarge := len(j.todo) > p.pool.Batch || int64(len(j.todo))*j.ResultBytes > room
+	room := int64(roomPart * float64(p.pool.ResultMemoryBytes))
+	tooLarge := len(j.todo) > p.pool.MaxBatch || int64(len(j.todo))*j.ResultBytes > room
 	return tooLarge || now.Sub(j.arrived) >= splitAfter
 }
 
@@ -88,7 +88,7 @@
 	for _, j := range jobs {
 		left += len(j.todo)
 	}
-	small := len(d.call.Items) < int(smallPart*float64(p.pool.Batch)) && left >= len(d.call.Items)
+	small := len(d.call.Items) < int(smallPart*float64(p.pool.MaxBatch)) && left >= len(d.call.Items)
 	if !small || w.used == 0 {
 		w.waitingSince = time.Time{}
 		return false
--- a/share/decide/batch/inputs_test.go
+++ b/share/decide/batch/inputs_test.go
@@ -108,8 +108,8 @@
 func newChained(early bool) *chained {
 	c := &chained{now: time.Unix(0, 0), arrived: map[uint64]time.Time{}, handles: map[uint64][]string{}, early: early}
 	c.pools = [2]site.Pool{
-		{Slots: 1, Batch: 16, CallTime: 200 * time.Millisecond, ItemTime: 11 * time.Millisecond, RoomBytes: 2_100_000, KeepTime: 4 * time.Second},
-		{Slots: 1, Batch: 40, CallTime: 200 * time.Millisecond, ItemTime: 4300 * time.Microsecond, RoomBytes: 2_100_000, KeepTime: 4 * time.Second, LinkRate: 1e9},
+		{Slots: 1, MaxBatch: 16, CallTime: 200 * time.Millisecond, ItemTime: 11 * time.Millisecond, ResultMemoryBytes: 2_100_000, ResultTTL: 4 * time.Second},
+		{Slots: 1, MaxBatch: 40, CallTime: 200 * time.Millisecond, ItemTime: 4300 * time.Microsecond, ResultMemoryBytes: 2_100_000, ResultTTL: 4 * time.Second, LinkRate: 1e9},
 	}
 	for i := range c.stages {
 		c.stages[i] = batch.NewPlanner(c.pools[i], nil, always)
--- a/share/decide/batch/plan.go
+++ b/share/decide/batch/plan.go
@@ -122,7 +122,7 @@
 
 // fullCall is how long a call with a full batch takes.
 func (p *Planner) fullCall() time.Duration {
-	return p.pool.CallTime + time.Duration(p.pool.Batch)*p.pool.ItemTime
+	return p.pool.CallTime + time.Duration(p.pool.MaxBatch)*p.pool.ItemTime
 }
 
 // isBegun tells whether some results of the job are made or being made.
@@ -142,7 +142,7 @@
 		if w.calls == 0 && !passed[w] {
 			idle = append(idle, w)
 		}
-		if p.pool.Queue > 0 && w.isSoonFree(now) && !passed[w] && !p.isSuspect(w.current.jobs[0].job) {
+		if p.pool.QueueLimit > 0 && w.isSoonFree(now) && !passed[w] && !p.isSuspect(w.current.jobs[0].job) {
 			soon = append(soon, w)
 		}
 	}
@@ -154,7 +154,7 @@
 		idle = soon
 	}
 	idle = slices.DeleteFunc(idle, func(w *worker) bool {
-		return w.pace > maxPaceRatio*fastest && items <= (healthy-1)*p.pool.Batch
+		return w.pace > maxPaceRatio*fastest && items <= (healthy-1)*p.pool.MaxBatch
 	})
 	if len(idle) == 0 {
 		return nil
@@ -273,7 +273,7 @@
 		if now.Before(w.suspectUntil) {
 			continue
 		}
-		rate += float64(p.pool.Batch) / (p.fullCall().Seconds() * w.pace)
+		rate += float64(p.pool.MaxBatch) / (p.fullCall().Seconds() * w.pace)
 	}
 	return rate
 }
--- a/share/decide/batch/worker.go
+++ b/share/decide/batch/worker.go
@@ -122,14 +122,14 @@
 		w.roundTrip = e.RoundTrip
 	}
 	if failed {
-		w.trustedFrom = now.Add(pool.KeepTime)
+		w.trustedFrom = now.Add(pool.ResultTTL)
 		w.fail(now)
 		return
 	}
 	if isRefused(results) {
 		// Another planner's call is there; ours waits for about one call.
 		w.suspectUntil = now.Add(call.expected / refusedPart)
-		w.trustedFrom = now.Add(pool.KeepTime)
+		w.trustedFrom = now.Add(pool.ResultTTL)
 		return
 	}
 	w.failures = 0
@@ -138,7 +138,7 @@
 	w.pace += paceShare * (took - w.pace)
 	for i, r := range results {
 		if r.Outcome == site.ItemMade {
-			w.hold(r.Handle, call.jobs[i].job.ResultBytes, now.Add(pool.KeepTime))
+			w.hold(r.Handle, call.jobs[i].job.ResultBytes, now.Add(pool.ResultTTL))
 		}
 	}
 	w.noteRoom(now, call, results, pool)
@@ -158,9 +158,9 @@
 	if missed == 0 {
 		return
 	}
-	w.foreign = min(w.foreignAt(now, pool.KeepTime)+missedWeight*missed, pool.RoomBytes)
+	w.foreign = min(w.foreignAt(now, pool.ResultTTL)+missedWeight*missed, pool.ResultMemoryBytes)
 	w.foreignOf = now
-	w.trustedFrom = now.Add(pool.KeepTime)
+	w.trustedFrom = now.Add(pool.ResultTTL)
 }
 
 // missedWeight is how much memory is taken to be foreign for each byte that was
--- a/share/decide/chain/chain.go
+++ b/share/decide/chain/chain.go
@@ -117,17 +117,17 @@
 
 // callTime is about how long the call takes that holds a stage's results.
 func callTime(pool *site.Pool, count int) time.Duration {
-	items := min(max(count, pool.Batch/typicalFill), pool.Batch)
+	items := min(max(count, pool.MaxBatch/typicalFill), pool.MaxBatch)
 	return pool.CallTime + time.Duration(items)*pool.ItemTime
 }
 
 // heldShare returns the part of the time that a server keeps results for which they would wait.
 func (k Known) heldShare(maker string, wait time.Duration) float64 {
 	pool := k.Pools[maker]
-	if pool == nil || pool.KeepTime <= 0 {
+	if pool == nil || pool.ResultTTL <= 0 {
 		return 0
 	}
-	return float64(wait) / float64(pool.KeepTime)
+	return float64(wait) / float64(pool.ResultTTL)
 }
 
 // wait predicts how long a request that can be on time waits at a service.
--- a/share/decide/chain/chain_test.go
+++ b/share/decide/chain/chain_test.go
@@ -33,7 +33,7 @@
 }
 
 func newKnown(now time.Time, wait time.Duration) chain.Known {
-	pool := &site.Pool{Batch: 10, CallTime: 200 * ms, ItemTime: 10 * ms, KeepTime: 4 * time.Second}
+	pool := &site.Pool{MaxBatch: 10, CallTime: 200 * ms, ItemTime: 10 * ms, ResultTTL: 4 * time.Second}
 	k := chain.Known{Pools: map[string]*site.Pool{}, Waits: map[string]chain.Wait{}}
 	for _, name := range []string{"encode", "retrieve", "rerank"} {
 		k.Pools[name] = pool
--- a/share/decide/place/engines.go
+++ b/share/decide/place/engines.go
@@ -156,7 +156,7 @@
 	for _, s := range servers {
 		live[s.ID] = true
 		known := e.engines[s.ID]
-		if known == nil || known.Born != s.Born || known.Address != s.Address {
+		if known == nil || known.Incarnation != s.Incarnation || known.Address != s.Address {
 			known = &engine{parts: map[string]holding{}, pace: 1}
 			e.engines[s.ID] = known
 		}
--- a/share/decide/place/place.go
+++ b/share/decide/place/place.go
@@ -117,7 +117,7 @@
 	for _, s := range servers {
 		live[s.ID] = true
 		known := c.servers[s.ID]
-		if known == nil || known.Born != s.Born || known.Address != s.Address {
+		if known == nil || known.Incarnation != s.Incarnation || known.Address != s.Address {
 			known = &server{}
 			c.servers[s.ID] = known
 		}
--- a/share/decide/place/place_test.go
+++ b/share/decide/place/place_test.go
@@ -144,7 +144,7 @@
 	c.Start(now, "s0")
 	c.End(now, "s0", place.ResultUnreached, 0, nil)
 	is.Equal(pick(t, c, now), "s1")
-	servers[0].Born = 7
+	servers[0].Incarnation = 7
 	c.SetServers(servers)
 	is.Equal(pick(t, c, now), "s0")
 }
--- a/share/models/site/config.go
+++ b/share/models/site/config.go
@@ -1,6 +1,6 @@
-// Package site holds what a deployment gives an ingress from outside: its
-// configuration, its backend servers, and what a caller says of a request.
-// The types use the project's words; the adapter of a platform fills them in.
+// Package site holds what an ingress receives from its deployment: the configuration, the
+// registered backend servers, and what callers state about their requests. The types do not
+// depend on a platform's format; an adapter for each platform fills them in.
 package site
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind determines whether a route's requests may be retried.
 type Kind string
 
 // The kinds.
@@ -17,13 +17,14 @@
 	KindIdempotent Kind = "idempotent"
 	// KindOnce requests run at most once for each attempt of a caller.
 	KindOnce Kind = "once"
-	// KindStream requests answer with server-sent events and run at most once, unless the route is resumable.
+	// KindStream requests are answered with server-sent events and run at most once, unless
+	// the route is resumable.
 	KindStream Kind = "stream"
 )
 
 // Config is one version of the operators' configuration.
 type Config struct {
-	// Version rises with each accepted change, in uneven steps.
+	// Version increases with each accepted change, not always by one.
 	Version  uint64
 	Routes   []Route
 	Services []Service
@@ -31,66 +32,66 @@
 	Teams    []Team
 }
 
-// Route sends the requests of a host and a path prefix to services.
+// Route sends the requests for a host and a path prefix to services.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request may be without its final answer.
+	// Timeout bounds the time from a request's arrival to its final answer.
 	Timeout time.Duration
-	// Target is the latency objective; of a stream, up to its first event.
-	Target time.Duration
-	// MaxGap is the longest pause between two events of an answer that is on time.
-	MaxGap time.Duration
-	// MaxSilence is for how long callers of a stream wait for its next event, the first
-	// one too, before they leave; 0: as long as for the answer.
-	MaxSilence time.Duration
+	// LatencyTarget is the latency objective; for a stream, the time to its first event.
+	LatencyTarget time.Duration
+	// GapTarget is the objective for the longest pause between two events of a stream.
+	GapTarget time.Duration
+	// CallerIdleTimeout is how long callers of a stream wait for the next event, including
+	// the first, before they disconnect; 0: as long as they wait for the whole answer.
+	CallerIdleTimeout time.Duration
 	// Priority ranks the route; 0 is the most urgent.
 	Priority int
-	// Backends are the services with their shares; there is at least one.
+	// Backends are the services with their weights. There is at least one.
 	Backends []Backend
-	// MaxAttempts bounds the backend servers that run one attempt of a caller; at least 1.
+	// MaxAttempts bounds how many backend servers run one attempt of a caller; at least 1.
 	MaxAttempts int
-	// Stages come before the request itself, in the order of their numbers.
+	// Stages run before the request itself. A stage's number is its index in the list.
 	Stages []Stage
-	// Public routes take requests without a team's key.
+	// Public routes accept requests without a team's key.
 	Public bool
-	// Resumable streams may go on at another backend server after the last event that arrived.
+	// Resumable streams may continue at another backend server after the last event received.
 	Resumable bool
-	// AllowedRegions are those in which the requests may be served; empty: all.
+	// AllowedRegions are the regions in which the requests may be served; empty: all.
 	AllowedRegions []string
 }
 
-// FirstEventBy is when the caller of a stream leaves if it has seen no event; ends is
-// when its request must have ended.
+// FirstEventDeadline returns when the caller of a stream disconnects if it has received no
+// event; deadline is that of the whole request.
 //
-// Guards against a request that is held, or whose results are made, for a caller that
-// has left: callers wait for a long answer for 20 s, and for its first event for 7 s.
-func (r *Route) FirstEventBy(arrived, ends time.Time) time.Time {
-	if r.MaxSilence == 0 {
-		return ends
+// Without it a request may be held, or its results produced, for a caller that has
+// disconnected: callers wait 20 s for a long answer, but 7 s for its first event.
+func (r *Route) FirstEventDeadline(arrived, deadline time.Time) time.Time {
+	if r.CallerIdleTimeout == 0 {
+		return deadline
 	}
-	leaves := arrived.Add(r.MaxSilence)
-	if ends.Before(leaves) {
-		return ends
+	disconnects := arrived.Add(r.CallerIdleTimeout)
+	if deadline.Before(disconnects) {
+		return deadline
 	}
-	return leaves
+	return disconnects
 }
 
-// Backend is one service of a route with its share of the requests.
+// Backend is one service of a route. It gets a share of the requests in proportion to Weight.
 type Backend struct {
 	Service string
 	Weight  int
 }
 
-// Stage is work whose results a request or a later stage needs.
+// Stage is a step that produces results for the request or for a later stage.
 type Stage struct {
 	Service string
-	// After lists the stages whose results this one takes; each number is below its own.
+	// After lists the stages whose results this one takes. Each number is below its own.
 	After []int
-	// ResultBytes is about the size of one result.
+	// ResultBytes is the approximate size of one result.
 	ResultBytes int64
 }
 
@@ -99,10 +100,10 @@
 	Name string
 	// Engine is set for services that generate tokens.
 	Engine *Engine
-	// Pool is set for services that make results of stages.
+	// Pool is set for services that produce results of stages.
 	Pool *Pool
-	// ColdTime is how long a backend server is cold after its start, ColdRate how many
-	// requests a second one takes meanwhile; 0: no bound is known.
+	// ColdTime is how long a backend server is cold after its start. ColdRate is how many
+	// requests per second a cold server takes; 0: no limit is known.
 	ColdTime time.Duration
 	ColdRate float64
 }
@@ -111,18 +112,19 @@
 type Engine struct {
 	// Slots is how many requests an engine runs at once.
 	Slots int
-	// CacheTokens is the memory for running requests and cached prompt parts together.
+	// CacheTokens is the cache capacity in tokens, shared by running requests and cached
+	// prompt parts.
 	CacheTokens int
-	// TokenBytes is the size of the memory of one token, LinkRate how many bytes of it a
-	// second an engine sends to another one; 0: not known.
+	// TokenBytes is the cache memory of one token, LinkRate the bytes per second that one
+	// engine sends to another; 0: unknown.
 	TokenBytes int64
 	LinkRate   float64
 }
 
-// CanFetch tells whether an engine can take prompt parts from another one.
+// CanFetch reports whether an engine can fetch prompt parts from another one.
 func (e *Engine) CanFetch() bool { return e.TokenBytes > 0 && e.LinkRate > 0 }
 
-// FetchTime is how long an engine takes to fetch a number of tokens from another one.
+// FetchTime estimates how long an engine takes to fetch a number of tokens from another one.
 func (e *Engine) FetchTime(tokens float64) time.Duration {
 	if !e.CanFetch() {
 		return 0
@@ -130,25 +132,25 @@
 	return time.Duration(tokens * float64(e.TokenBytes) / e.LinkRate * float64(time.Second))
 }
 
-// Pool describes each backend server of a service that makes results in batches.
+// Pool describes each backend server of a service that produces results in batches.
 type Pool struct {
-	// Slots is how many calls are worked on at once, Queue how many more may wait.
-	Slots int
-	Queue int
-	// Batch is the most items of one call.
-	Batch int
-	// CallTime and ItemTime are about the fixed and the added time of a call.
+	// Slots is how many calls run at once, QueueLimit how many more may wait.
+	Slots      int
+	QueueLimit int
+	// MaxBatch is the maximum number of items in one call.
+	MaxBatch int
+	// CallTime is the approximate fixed time of a call, ItemTime the time added by each item.
 	CallTime time.Duration
 	ItemTime time.Duration
-	// RoomBytes bounds the results that are held at the same time.
-	RoomBytes int64
-	// KeepTime is how long a result is held unless it is released.
-	KeepTime time.Duration
-	// LinkRate is how many bytes a second a server's link carries; 0: not known.
+	// ResultMemoryBytes bounds the total size of the results held at the same time.
+	ResultMemoryBytes int64
+	// ResultTTL is how long a result is held unless it is released.
+	ResultTTL time.Duration
+	// LinkRate is the bytes per second that a server's link carries; 0: unknown.
 	LinkRate float64
 }
 
-// Limits bound what callers may send.
+// Limits bound what callers may send and how long they may take.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -160,13 +162,13 @@
 type Team struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route where it is set.
+	// Priority, if set, takes precedence over that of the route.
 	Priority *int
-	// AllowedRegions are those in which the team's requests may be served; empty: all.
+	// AllowedRegions are the regions in which the team's requests may be served; empty: all.
 	AllowedRegions []string
 }
 
-// ServerState says whether a backend server takes new work.
+// ServerState is whether a backend server takes new work.
 type ServerState string
 
 // The states.
@@ -175,49 +177,50 @@
 	ServerDraining ServerState = "draining"
 )
 
-// Server is one backend server as it registered itself.
+// Server is one backend server as registered in the store.
 type Server struct {
-	// ID names one start of the server, mostly; Born tells two starts under one ID apart.
-	ID      string
-	Born    int64
-	Service string
-	Address netip.AddrPort
-	Domain  string
-	// Version is that of its software.
+	// ID usually differs between two starts of the server. Incarnation distinguishes two
+	// starts under the same ID.
+	ID          string
+	Incarnation int64
+	Service     string
+	Address     netip.AddrPort
+	Domain      string
+	// Version is the version of its software.
 	Version string
 	Slots   int
 	State   ServerState
-	// ColdFor is how much longer the server was cold when it wrote its registration.
-	ColdFor time.Duration
-	// ColdUntil is when it is warm, by the clock of the process that read the
+	// ColdRemaining is how long the server was to remain cold when it wrote its registration.
+	ColdRemaining time.Duration
+	// ColdUntil is when the server is warm, by the clock of the process that read the
 	// registration; zero: it is not cold.
 	ColdUntil time.Time
 }
 
-// IsCold tells whether the server takes only a few requests a second.
+// IsCold reports whether the server is still warming up and takes only a few requests per second.
 func (s *Server) IsCold(now time.Time) bool { return now.Before(s.ColdUntil) }
 
-// Quarantine keeps a request that crashes backend servers from reaching any more of them.
+// Quarantine keeps a request that crashes backend servers from reaching more of them.
 type Quarantine struct {
 	Service string
-	// Servers are those that it crashed, Versions those of their software.
+	// Servers are the servers that the request crashed, Versions their software versions.
 	Servers  []string
 	Versions []string
-	// Trials counts how often the request was let through to see whether it still does.
+	// Trials counts how often the request was admitted to test whether it still crashes servers.
 	Trials int
-	// Revision is that of its record.
+	// Revision is the revision of the quarantine's record in the store.
 	Revision uint64
 }
 
-// Ingress is one process of the system that takes callers' requests, as it registered itself.
+// Ingress is one process that accepts callers' requests, as registered in the store.
 type Ingress struct {
 	Name string
 	// Address is where the other ingresses reach it.
 	Address netip.AddrPort
 	Domain  string
-	// Capacity is its share of a processor core; work for the others goes to ingresses
-	// in proportion.
+	// Capacity is the processor capacity of the process in cores. Work that ingresses do for
+	// each other is assigned in proportion to it.
 	Capacity float64
-	// Incarnation differs between two starts under one name.
+	// Incarnation differs between two starts under the same name.
 	Incarnation string
 }
--- a/share/models/site/config_test.go
+++ b/share/models/site/config_test.go
@@ -9,15 +9,16 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// A chat may take 20 s for its whole answer. In a burst it is held for 8 s, its results
-// are made, and nobody is there any more: its caller left after 7.2 s without an event.
-func TestCallersLeaveASilentStream(t *testing.T) {
+// A stream may take 20 s for its whole answer, but its caller disconnects after 7.2 s without
+// an event. Guards against a request that is held for 8 s in a burst and whose results are
+// then produced for a caller that is gone.
+func TestFirstEventDeadline(t *testing.T) {
 	is := is.New(t)
 	arrived := time.Unix(0, 0)
-	ends := arrived.Add(20 * time.Second)
-	chat := site.Route{MaxSilence: 7200 * time.Millisecond}
-	is.Equal(chat.FirstEventBy(arrived, ends), arrived.Add(7200*time.Millisecond))
-	is.Equal(chat.FirstEventBy(arrived, arrived.Add(time.Second)), arrived.Add(time.Second))
+	deadline := arrived.Add(20 * time.Second)
+	chat := site.Route{CallerIdleTimeout: 7200 * time.Millisecond}
+	is.Equal(chat.FirstEventDeadline(arrived, deadline), arrived.Add(7200*time.Millisecond))
+	is.Equal(chat.FirstEventDeadline(arrived, arrived.Add(time.Second)), arrived.Add(time.Second))
 	plain := site.Route{}
-	is.Equal(plain.FirstEventBy(arrived, ends), ends)
+	is.Equal(plain.FirstEventDeadline(arrived, deadline), deadline)
 }
--- a/share/models/site/rank.go
+++ b/share/models/site/rank.go
@@ -1,19 +1,19 @@
 package site
 
-// Rank orders requests that compete for the same places; the lower goes first. It
-// compares the priority of the team first, and that of the route among teams alike.
+// Rank orders requests that compete for the same capacity; the lowest rank is served first.
+// Ranks compare by the team's priority, then by the route's.
 type Rank int
 
-// rankWidth is how many priorities of routes are told apart within one of teams.
-// The platform's priorities run from 0 to 9.
-const rankWidth = 16
+// routePriorities is the number of route priorities distinguished within one team priority.
+// The platform's priorities range from 0 to 9.
+const routePriorities = 16
 
-// NewRank returns the rank of a request. Team is the priority of its team; a team
-// without one stands where its route does.
+// NewRank returns the rank of a request from the priorities of its team and its route. A team
+// without a priority takes that of the route.
 func NewRank(team *int, route int) Rank {
-	first := route
+	major := route
 	if team != nil {
-		first = *team
+		major = *team
 	}
-	return Rank(max(first, 0)*rankWidth + min(max(route, 0), rankWidth-1))
+	return Rank(max(major, 0)*routePriorities + min(max(route, 0), routePriorities-1))
 }
--- a/share/models/site/request.go
+++ b/share/models/site/request.go
@@ -7,77 +7,84 @@
 	"time"
 )
 
-// Request is what a caller says of its request beside method, path and body.
+// Request is what the headers of a caller's request state in addition to its method, path
+// and body.
 type Request struct {
-	// AttemptID is the caller's name for this attempt; a caller's retry has another one.
+	// AttemptID is the caller's ID for this attempt. A retry by the caller has another ID.
 	AttemptID string
-	// Patience is how long the caller waits from when it sent the request; 0: it does not say.
-	Patience time.Duration
-	// Key shows the team; it never leaves the ingress.
+	// CallerTimeout is how long the caller waits for the answer, counted from when it sent
+	// the request; 0: unknown.
+	CallerTimeout time.Duration
+	// Key identifies the team. The ingress never passes it on.
 	Key string
-	// PromptTokens and MaxOutputTokens size a generation.
+	// PromptTokens and MaxOutputTokens are the size of a generation request.
 	PromptTokens    int
 	MaxOutputTokens int
-	// Parts are the pieces of the prompt that other requests share, in order. The last
-	// one belongs to the caller's session.
+	// Parts are the pieces of the prompt that other requests share, in order. The last part
+	// belongs to the caller's session.
 	Parts []PromptPart
-	// Items is the number of results that each stage makes for the request; a missing number counts as 0.
-	Items []int
-	// ItemKey is what stages that take no results are given.
+	// ItemCounts is the number of results that each stage produces for the request; a
+	// missing number counts as 0.
+	ItemCounts []int
+	// ItemKey is the input of stages that take no results of other stages.
 	ItemKey string
-	// LastEventID is set where the caller resumes a stream.
+	// LastEventID is set if the caller resumes a stream.
 	LastEventID string
 }
 
-// PromptPart is a run of prompt tokens that is cached as a whole.
+// PromptPart is a run of prompt tokens that is cached as a unit.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Forward is what the ingress tells a backend server beside the caller's own headers.
-type Forward struct {
+// UpstreamHeaders are the values that the ingress sends to a backend server in addition to
+// the caller's own headers.
+type UpstreamHeaders struct {
 	AttemptID string
-	// Remaining is the time that the backend server has.
+	// Remaining is the time left for the request.
 	Remaining time.Duration
-	// ServerID has any other backend server at the address refuse the request.
+	// ServerID is the intended backend server. Any other server that now has the address
+	// refuses the request.
 	ServerID string
 	Team     string
-	// Handles name the results that an engine fetches; nil where the route has no stages.
+	// Handles identify the results that an engine fetches; nil if the route has no stages.
 	Handles []string
-	// HasStages tells a request of a route with stages that needs no result from one of a route without any.
+	// HasStages distinguishes a request that needs no results on a route with stages from a
+	// request on a route without stages.
 	HasStages bool
-	// FetchFrom is the engine from which the prompt parts are fetched that it holds and
-	// this one does not; not valid: they are read.
+	// FetchFrom is the engine from which the receiving engine fetches the prompt parts that
+	// it lacks. If not valid, the engine prefills them itself.
 	FetchFrom netip.AddrPort
-	// LastEventID is where the stream goes on; empty: at its begin.
+	// LastEventID is the event after which the stream resumes; empty: from the start.
 	LastEventID string
 }
 
-// Answer is the head of a backend server's answer.
+// Answer is the status and headers of a backend server's answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	// AttemptID is the attempt that the answer belongs to.
 	AttemptID string
-	// Signed tells that the answer bears the backend server's signature.
+	// Signed is set if the answer carries the backend server's signature.
 	Signed bool
-	// NotRun is the backend server's word that it did not run the request.
+	// NotRun is set if the backend server states that it did not run the request.
 	NotRun bool
-	// Encoded tells that the body is not the backend server's own bytes.
+	// Encoded is set if the body has a content encoding, so that it differs from the bytes
+	// that the backend server produced.
 	Encoded bool
-	// Load is nil where the backend server does not report it.
+	// Load is nil if the backend server does not report it.
 	Load *Load
 }
 
-// Load is a backend server's report of itself.
+// Load is the load that a backend server reports.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// String returns running, waiting and slots; a server without a report has none.
+// String returns running, waiting and slots, or "none" if the server did not report its load.
 func (l *Load) String() string {
 	if l == nil {
 		return "none"
@@ -85,43 +92,43 @@
 	return fmt.Sprintf("running=%d waiting=%d slots=%d", l.Running, l.Waiting, l.Slots)
 }
 
-// Item is one result that a pool is asked to make.
+// Item is one result that a pool is asked to produce.
 type Item struct {
-	// AttemptID, Stage and Index name the result.
+	// AttemptID, Stage and Index identify the result.
 	AttemptID string
 	Stage     int
 	Index     int
-	// Remaining is how long the result is of use.
+	// Remaining is the time until the result is no longer needed.
 	Remaining time.Duration
 	// Key is set for stages without inputs, Inputs for all others.
 	Key    string
 	Inputs []string
 }
 
-// ItemOutcome says how an item ended.
+// ItemOutcome is how an item ended.
 type ItemOutcome string
 
 // The outcomes.
 const (
 	ItemMade ItemOutcome = "made"
-	// ItemLate was not begun since its time had passed.
+	// ItemLate was not started because its remaining time had passed.
 	ItemLate ItemOutcome = "late"
-	// ItemGone misses an input.
-	ItemGone ItemOutcome = "gone"
-	// ItemNoRoom found no memory for the result.
+	// ItemInputGone failed because an input no longer exists.
+	ItemInputGone ItemOutcome = "gone"
+	// ItemNoRoom failed because there was no memory for the result.
 	ItemNoRoom ItemOutcome = "no-room"
 	ItemFailed ItemOutcome = "failed"
-	// ItemRefused is an item of a call that was not begun.
+	// ItemRefused belongs to a call that the server refused without running it.
 	ItemRefused ItemOutcome = "refused"
-	// ItemUnknown is an item of a call without an answer.
+	// ItemUnknown belongs to a call that got no answer.
 	ItemUnknown ItemOutcome = "unknown"
 )
 
-// Batch is a pool's answer to one call.
-type Batch struct {
-	// Results come in the order of the items.
+// BatchAnswer is a pool's answer to one call.
+type BatchAnswer struct {
+	// Results are in the order of the items.
 	Results []ItemResult
-	// Load is what the server told of itself; nil: nothing.
+	// Load is the load that the server reported with the answer; nil: none.
 	Load *Load
 	// RoundTrip is how long opening the connection took; 0: not measured.
 	RoundTrip time.Duration
@@ -130,7 +137,7 @@
 // ItemResult is the answer for one item.
 type ItemResult struct {
 	Outcome ItemOutcome
-	// Handle names the result where it was made.
+	// Handle identifies the result if it was produced.
 	Handle string
 }
 
@@ -139,6 +146,6 @@
 	Key      string
 	Value    []byte
 	Revision uint64
-	// Deleted records hold no value; Revision is that of the deletion.
+	// Deleted records hold no value; their Revision is that of the deletion.
 	Deleted bool
 }
--- a/share/models/site/residency.go
+++ b/share/models/site/residency.go
@@ -2,24 +2,25 @@
 
 import "slices"
 
-// Residency says in which regions a request may be served and its data held. The zero
-// value allows all of them.
+// Residency restricts the regions in which a request may be served and its data held. The
+// zero value allows all regions.
 type Residency struct {
-	// Bound is set where a route or a team names regions.
-	Bound bool
-	// Regions are the allowed ones. With Bound set and none of them, no region is allowed.
+	// Restricted is set if a route or a team names allowed regions.
+	Restricted bool
+	// Regions are the allowed regions. If Restricted is set and Regions is empty, no region
+	// is allowed.
 	Regions []string
 }
 
-// NewResidency allows the regions that all lists have in common; an empty list allows
-// every region.
+// NewResidency allows the regions that all lists have in common. An empty list allows every
+// region.
 func NewResidency(lists ...[]string) Residency {
 	r := Residency{}
 	for _, list := range lists {
 		switch {
 		case len(list) == 0:
-		case !r.Bound:
-			r = Residency{Bound: true, Regions: slices.Clone(list)}
+		case !r.Restricted:
+			r = Residency{Restricted: true, Regions: slices.Clone(list)}
 		default:
 			r.Regions = slices.DeleteFunc(r.Regions, func(region string) bool { return !slices.Contains(list, region) })
 		}
@@ -27,8 +28,8 @@
 	return r
 }
 
-// Allows tells whether data of the request may be held in a region. A region that is not
-// known is allowed only where no region is named.
+// Allows reports whether data of the request may be held in a region. An unknown region (the
+// empty string) is allowed only if the residency is unrestricted.
 func (r Residency) Allows(region string) bool {
-	return !r.Bound || slices.Contains(r.Regions, region)
+	return !r.Restricted || slices.Contains(r.Regions, region)
 }
--- a/share/models/site/residency_test.go
+++ b/share/models/site/residency_test.go
@@ -8,13 +8,12 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// Guards against a request that its team keeps in one region and its route in another
-// being served in either of them.
-func TestResidencyOfRouteAndTeamBindsTogether(t *testing.T) {
+// Guards against serving a request in a region that only one of its team and its route allows.
+func TestResidencyIsIntersectionOfRouteAndTeam(t *testing.T) {
 	is := is.New(t)
-	open := site.NewResidency(nil, nil)
-	is.True(open.Allows("north"))
-	is.True(open.Allows("")) // a failure domain without a known region
+	unrestricted := site.NewResidency(nil, nil)
+	is.True(unrestricted.Allows("north"))
+	is.True(unrestricted.Allows("")) // a failure domain without a known region
 
 	team := site.NewResidency(nil, []string{"north"})
 	is.True(team.Allows("north"))
@@ -26,13 +25,13 @@
 	is.True(!both.Allows("north"))
 	is.True(!both.Allows("west"))
 
-	apart := site.NewResidency([]string{"north"}, []string{"south"})
-	is.True(!apart.Allows("north"))
-	is.True(!apart.Allows("south"))
+	disjoint := site.NewResidency([]string{"north"}, []string{"south"})
+	is.True(!disjoint.Allows("north"))
+	is.True(!disjoint.Allows("south"))
 }
 
-// Guards against a configuration whose lists change with the requests that read them.
-func TestResidencyLeavesItsListsAlone(t *testing.T) {
+// Guards against requests that modify the configuration's lists of regions.
+func TestNewResidencyDoesNotModifyItsArguments(t *testing.T) {
 	is := is.New(t)
 	route := []string{"north", "south"}
 	site.NewResidency(route, []string{"south"})
