--- a/ingress/services/mesh/deltas.go
+++ b/ingress/services/mesh/deltas.go
@@ -92,8 +92,8 @@
 	return &wire.Reading{Direct: b.IsDirect(), AgeNanos: int64(b.Age()), Newest: e.Newest, At: e.At}
 }
 
-func decodeWord(told *wire.Reading) feed.Word {
-	return feed.Word{Direct: told.GetDirect(), Age: time.Duration(told.GetAgeNanos())}
+func decodeWord(told *wire.Reading) feed.StoreStatus {
+	return feed.StoreStatus{Direct: told.GetDirect(), Age: time.Duration(told.GetAgeNanos())}
 }
 
 func decodeExtent(told *wire.Reading) state.Extent {
--- a/ingress/services/mesh/feeder.go
+++ b/ingress/services/mesh/feeder.go
@@ -140,16 +140,16 @@
 		for _, i := range reachable {
 			members = append(members, f.describe(i))
 		}
-		f.chooser.TakeMembers(now, members)
+		f.chooser.SetMembers(now, members)
 		f.members = at + 1
 	}
-	f.chooser.TakeOwn(now, f.options.Book.OwnSilence())
-	f.chooser.TakeFollowers(f.followers)
+	f.chooser.ObserveOwnAge(now, f.options.Book.OwnSilence())
+	f.chooser.SetFollowers(f.followers)
 	if f.options.Book.IsListed() {
-		f.chooser.TakeListed()
+		f.chooser.MarkListed()
 	}
 	if f.options.IsLeaving() {
-		f.chooser.TakeLeaving()
+		f.chooser.MarkLeaving()
 	}
 }
 
@@ -181,7 +181,7 @@
 		return // it was given up here
 	}
 	f.current = nil
-	f.chooser.TakeEnded(time.Now(), s.name)
+	f.chooser.ObserveStreamEnded(time.Now(), s.name)
 	f.options.Log.Info("source-lost", zap.String("ingress", s.name), logs.Err(err))
 }
 
@@ -214,7 +214,7 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	now := time.Now()
-	f.chooser.TakeArrival(now, true)
+	f.chooser.ObserveMessagePart(now, true)
 	if f.fedSince.IsZero() {
 		f.fedSince = now
 	}
@@ -224,7 +224,7 @@
 func (f *Feeder) noteFedWhole() time.Duration {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.chooser.TakeWhole(true)
+	f.chooser.ObserveMessageEnd(true)
 	took := time.Since(f.fedSince)
 	f.fedSince = time.Time{}
 	return took
@@ -241,14 +241,14 @@
 func (f *Feeder) NoteArrival() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.chooser.TakeArrival(time.Now(), false)
+	f.chooser.ObserveMessagePart(time.Now(), false)
 }
 
 // NoteWhole notes the end of such a message.
 func (f *Feeder) NoteWhole() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.chooser.TakeWhole(false)
+	f.chooser.ObserveMessageEnd(false)
 }
 
 // IsReceiving tells whether records are on their way here.
@@ -264,7 +264,7 @@
 	if f.current != s {
 		return
 	}
-	f.chooser.TakeOpened(s.name)
+	f.chooser.ObserveStreamOpened(s.name)
 	f.options.Log.Info("source-followed", zap.String("ingress", s.name))
 }
 
@@ -277,14 +277,14 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	word := decodeWord(told)
-	f.chooser.TakeWord(now, name, word)
-	if f.current != nil && f.current.name == name && f.chooser.IsGood(now) && theirs.Newest <= own {
+	f.chooser.ObserveStatus(now, name, word)
+	if f.current != nil && f.current.name == name && f.chooser.IsSourceFresh(now) && theirs.Newest <= own {
 		f.options.Book.Confirm(now.Add(-word.Age))
 	}
 	if own == 0 {
 		return // the first picture is on its way from elsewhere
 	}
-	if f.chooser.NoteGap(now, name, theirs.Newest, own) {
+	if f.chooser.ObserveGap(now, name, theirs.Newest, own) {
 		f.options.Log.Info("records-missing", zap.String("ahead", name))
 		go f.options.Puller.runPull(name, theirs.Newest)
 	}
--- a/share/decide/feed/feed.go
+++ b/share/decide/feed/feed.go
@@ -1,14 +1,15 @@
-// Package feed decides from whom an ingress hears what the platform's store says.
+// Package feed decides from which source an ingress gets updates of the platform's store.
 //
-// One ingress of each failure domain watches the store; the others follow it, and it
-// pushes each change to them. So the calls to the store go by failure domains and
-// changes and not by ingresses. There is no election: each ingress ranks the ones that it can
-// reach by rendezvous hashing, and whoever is followed watches. Two that watch for one
-// domain cost a few calls and nothing else.
+// One ingress of each failure domain reads the store directly. The others follow it, and it
+// pushes each change to them. The number of calls to the store thus grows with the number of
+// failure domains and changes, and not with the number of ingresses. There is no leader election:
+// each ingress ranks the ingresses that it can reach by rendezvous hashing and follows the first,
+// and an ingress that is followed reads the store. If two ingresses read it for one failure
+// domain, the only cost is a few more calls.
 //
-// In: the ingresses that can be reached, what they say of their own reading, the
-// state of the stream by which one is followed. Out: whom to follow, whose digests
-// to compare, and whether to read the store oneself.
+// The input is the set of reachable ingresses, the status that they report of their own
+// connection to the store, and the state of the stream from the followed ingress. The output is
+// which ingress to follow, whose digests to compare, and whether to read the store directly.
 package feed
 
 import (
@@ -18,439 +19,457 @@
 )
 
 const (
-	// maxAge is how old a followed ingress's word of the store may be. One that watches
-	// confirms it each ProbeEvery, so it has missed four answers by then, or the store
-	// takes a second for each.
-	maxAge = 1500 * time.Millisecond
-	// maxOwnAge is the same for an ingress that does not watch: its lease is renewed each
-	// two seconds, and sooner after a renewal that failed.
+	// maxSourceAge is how long ago the store may last have answered a followed ingress. An
+	// ingress that reads the store probes it every ProbeEvery, so at this age it has missed
+	// four answers, or the store takes a second for each.
+	maxSourceAge = 1500 * time.Millisecond
+	// maxOwnAge is how long ago the store may last have answered this ingress while it does
+	// not read the store: it renews its lease every two seconds, and sooner after a failed
+	// renewal.
 	maxOwnAge = 3500 * time.Millisecond
-	// tickTime is longer than the time between two plans.
-	tickTime = 300 * time.Millisecond
-	// openTimeout is the time from asking to follow until the first answer and a fresh
-	// word: a session between regions needs three ways, and the one that is followed
-	// may have to ask the store first.
+	// maxPlanInterval is longer than the time between two calls of Plan.
+	maxPlanInterval = 300 * time.Millisecond
+	// openTimeout is the time from the request to follow an ingress until its first message
+	// and a fresh status: opening a session between regions takes three one-way trips, and
+	// the followed ingress may have to ask the store first.
 	openTimeout = 900 * time.Millisecond
-	// doubtTime is how long one that failed is passed over.
-	doubtTime = 3 * time.Second
-	// settleTime is how long a better ranked ingress is known before it is followed in
-	// place of one that does well.
+	// suspectTime is how long an ingress that failed as the source is not chosen again.
+	suspectTime = 3 * time.Second
+	// settleTime is how long a higher-ranked ingress must be known before it is followed in
+	// place of a healthy source.
 	//
-	// Guards against a whole domain that runs from one to the next while a fleet
-	// starts, and onto an ingress that has just started and has to catch up itself.
+	// Without it a whole failure domain would switch from one source to the next while the
+	// ingresses start, and to an ingress that has just started and must itself catch up.
 	settleTime = 3 * time.Second
-	// aloneAfter is how long an ingress without a source waits before it reads for itself,
-	// and aloneSpread what is added to it, by the ingress's name.
+	// noSourceDelay is how long an ingress without a source waits before it reads the store
+	// directly. noSourceJitter bounds the additional delay, which depends on the ingress's
+	// name.
 	//
-	// Guards against a herd: a source that is lost is lost to its whole domain, and one
-	// of them that reads is enough for the others.
-	aloneAfter  = 600 * time.Millisecond
-	aloneSpread = 500 * time.Millisecond
-	// firstAfter is how much longer a starting ingress waits for its first picture, and
-	// firstBound the same where the one that it follows does well and has to read it itself.
+	// The jitter prevents a thundering herd: a whole failure domain loses its source at the
+	// same time, and one ingress that reads the store is enough for the others.
+	noSourceDelay  = 600 * time.Millisecond
+	noSourceJitter = 500 * time.Millisecond
+	// initialDelay is how long a starting ingress waits for its first snapshot, in addition to
+	// noSourceTimeout, before it reads the store directly. initialDelayWithSource applies
+	// instead if it follows a healthy source, which must read the snapshot itself.
 	//
-	// Guards against a fleet that starts at once, of which each reads whole listings: together
-	// they are more than the store can send in seconds.
-	firstAfter = time.Second
-	firstBound = 5 * time.Second
-	// keepReading is how long an ingress reads on that need not any more: beginning anew
-	// costs a call. One that has just started gives up at once, as many others do.
-	keepReading = 2 * time.Second
-	// gapTime is how long another ingress may be known to be ahead before it is asked for
-	// what is missing: what is pushed is on its way meanwhile.
-	gapTime = 250 * time.Millisecond
-	// arrivalTime is how long after a part of a message the next one is expected.
-	arrivalTime = 700 * time.Millisecond
+	// The delays limit the load when many ingresses start at once: if each read full listings,
+	// this would be more than the store can send in seconds.
+	initialDelay           = time.Second
+	initialDelayWithSource = 5 * time.Second
+	// readLinger is how long an ingress continues to read the store when it no longer needs
+	// to, since starting again costs a call. Within settleTime of its own start an ingress
+	// stops at once, because many others may have started to read at the same time.
+	readLinger = 2 * time.Second
+	// gapTimeout is how long another ingress may be known to be ahead before it is asked for
+	// the missing records. Meanwhile pushed records may arrive.
+	gapTimeout = 250 * time.Millisecond
+	// partTimeout is how long after one part of a message the next is expected.
+	partTimeout = 700 * time.Millisecond
 )
 
-// ProbeEvery is how often an ingress that watches has the store confirm that it answers.
+// ProbeEvery is how often an ingress that reads the store checks that the store answers.
 const ProbeEvery = 300 * time.Millisecond
 
-// Member is an ingress that can be reached.
+// Member is a reachable ingress.
 type Member struct {
 	Name   string
 	Domain string
 	Region string
-	// Weight is above 0; the heavier are followed more often.
+	// Weight is above 0. Ingresses with a higher weight are more likely to be followed.
 	Weight float64
 }
 
-// Word is what an ingress says of its own reading.
-type Word struct {
-	// Direct: it watches the store itself.
+// StoreStatus is what an ingress reports of its own connection to the store.
+type StoreStatus struct {
+	// Direct is set if the ingress reads the store directly.
 	Direct bool
-	// Age is the time since the store confirmed anything to it.
+	// Age is the time since the ingress last had a confirmation from the store.
 	Age time.Duration
 }
 
-// Plan is what is to be done now.
+// Plan is what an ingress must do now.
 type Plan struct {
-	// Follow is the ingress whose pushes are taken; empty: none.
+	// Follow is the ingress to receive pushed changes from; empty: none.
 	Follow string
-	// Check is another one, of another failure domain, whose digests are compared.
+	// Check is an ingress of another failure domain whose digests are compared with the own
+	// records; empty: none.
 	Check string
-	// Read: this ingress watches the store itself.
+	// Read is set if this ingress must read the store directly.
 	Read bool
 }
 
-// Chooser decides for one ingress; its caller guards it.
+// Chooser decides for one ingress. It is not safe for concurrent use.
 type Chooser struct {
 	self Member
-	// startedAt is when this ingress began.
+	// startedAt is when this ingress started.
 	startedAt time.Time
-	// members are the others that can be reached, by name, and domains their names by failure
-	// domain. checks are the other failure domains in the order in which they are picked for digests.
+	// members are the other reachable ingresses by name, and domains their names by failure
+	// domain. checks are the other failure domains in the order in which they are considered
+	// for Plan.Check.
 	members map[string]member
 	domains map[string][]string
 	checks  []string
-	// follow is whom this ingress follows, or asks to; askedAt since when.
-	follow  string
-	askedAt time.Time
-	// opened tells whether the stream of follow has brought its first answer.
+	// follow is the source: the ingress that this one follows or asks to follow. followedAt is
+	// when it was chosen.
+	follow     string
+	followedAt time.Time
+	// opened is set once the stream of the source has delivered its first message.
 	opened bool
-	// doubted are passed over until a time.
-	doubted map[string]time.Time
-	// badSince is when the last good source was lost; zero while there is one.
-	badSince time.Time
-	// neededAt is when this ingress last had to read for itself; reading is the last plan's word.
+	// suspectedUntil holds by name the ingresses that are not chosen until a time.
+	suspectedUntil map[string]time.Time
+	// noSourceSince is the time since which this ingress has had no healthy source; zero while
+	// it has one.
+	noSourceSince time.Time
+	// neededAt is when this ingress last needed to read the store directly. reading is Read of
+	// the last plan.
 	neededAt  time.Time
 	reading   bool
 	followers int
-	// knowsMembers is set once it is known who else there is, listed once the first picture
-	// of everything is there.
+	// knowsMembers is set once the other ingresses are known, listed once a first snapshot of
+	// all records is complete.
 	knowsMembers bool
 	listed       bool
 	leaving      bool
-	// gaps holds by name where others are that are ahead of this ingress.
+	// gaps holds by name the revisions at which other ingresses are ahead of this one.
 	gaps map[string]gap
-	// askedGapAt is when another ingress was last asked for what is missing; zero once it has answered.
-	askedGapAt time.Time
-	// arrivedAt is when a part of a message of records last arrived that is not whole yet,
-	// from any ingress, and fedAt the same from the followed one; zero where there is none.
-	arrivedAt, fedAt time.Time
+	// gapRequestedAt is when another ingress was last asked for missing records; zero once it
+	// has answered.
+	gapRequestedAt time.Time
+	// partAt is when the last part of an incomplete message of records arrived from any
+	// ingress, sourcePartAt the same for the source; zero if there is no such message.
+	partAt, sourcePartAt time.Time
 }
 
-// member is an ingress that has been reachable since a time; word is what it said last, at heardAt.
+// member is an ingress that has been reachable since the given time. status is its last reported
+// status, received at reportedAt.
 type member struct {
 	Member
-	since   time.Time
-	word    Word
-	heardAt time.Time
+	reachableSince time.Time
+	status         StoreStatus
+	reportedAt     time.Time
 }
 
-// gap is a revision that another ingress knows and this one did not at a time.
+// gap is a revision that another ingress had and this one lacked at the given time.
 type gap struct {
 	revision uint64
 	since    time.Time
 }
 
-// NewChooser returns a chooser that knows nobody.
+// NewChooser returns a chooser that knows no other ingresses.
 func NewChooser(self Member, now time.Time) *Chooser {
 	return &Chooser{
-		self: self, startedAt: now, badSince: now,
-		members: map[string]member{}, doubted: map[string]time.Time{}, gaps: map[string]gap{},
+		self: self, startedAt: now, noSourceSince: now,
+		members: map[string]member{}, suspectedUntil: map[string]time.Time{}, gaps: map[string]gap{},
 	}
 }
 
-// TakeMembers takes the ingresses that can be reached, without this one.
-func (c *Chooser) TakeMembers(now time.Time, members []Member) {
+// SetMembers sets the reachable ingresses, excluding this one.
+func (c *Chooser) SetMembers(now time.Time, members []Member) {
 	if !c.knowsMembers {
 		c.knowsMembers = true
-		c.badSince = now
+		c.noSourceSince = now
 	}
 	known := c.members
 	c.members = make(map[string]member, len(members))
 	for _, m := range members {
 		old, was := known[m.Name]
 		if !was {
-			old.since = now
+			old.reachableSince = now
 		}
 		old.Member = m
 		c.members[m.Name] = old
 	}
-	c.orderDomains()
+	c.groupByDomain()
 	if _, is := c.members[c.follow]; !is {
-		c.drop()
+		c.unfollow()
 	}
-	for name, until := range c.doubted {
+	for name, until := range c.suspectedUntil {
 		if !now.Before(until) {
-			delete(c.doubted, name)
+			delete(c.suspectedUntil, name)
 		}
 	}
 }
 
-// orderDomains sorts the members by failure domain. The domains of the own region are
-// checked first, and all ingresses of a domain have the same order.
-func (c *Chooser) orderDomains() {
+// groupByDomain groups the members by failure domain and orders the domains for checks: those of
+// the same region come first, and all ingresses of a failure domain use the same order.
+func (c *Chooser) groupByDomain() {
 	c.domains = map[string][]string{}
-	near, far := []string{}, []string{}
+	sameRegion, otherRegions := []string{}, []string{}
 	for name, m := range c.members {
 		if c.domains[m.Domain] == nil && m.Domain != c.self.Domain {
 			if m.Region == c.self.Region {
-				near = append(near, m.Domain)
+				sameRegion = append(sameRegion, m.Domain)
 			} else {
-				far = append(far, m.Domain)
+				otherRegions = append(otherRegions, m.Domain)
 			}
 		}
 		c.domains[m.Domain] = append(c.domains[m.Domain], name)
 	}
 	key := "check/" + c.self.Domain
-	c.checks = append(rhash.Pick(key, near, len(near)), rhash.Pick(key, far, len(far))...)
+	c.checks = append(rhash.Pick(key, sameRegion, len(sameRegion)), rhash.Pick(key, otherRegions, len(otherRegions))...)
 }
 
-// TakeOwn takes how long the store has not answered this ingress itself.
-func (c *Chooser) TakeOwn(now time.Time, silence time.Duration) {
-	bound := maxAge
+// ObserveOwnAge processes the time since the store last answered this ingress itself. If it is
+// too long, this ingress does not choose itself until the next plan.
+func (c *Chooser) ObserveOwnAge(now time.Time, age time.Duration) {
+	bound := maxSourceAge
 	if !c.reading {
-		bound = maxOwnAge // it asks less often
+		bound = maxOwnAge // it asks the store less often
 	}
-	if c.listed && silence > bound {
-		c.doubted[c.self.Name] = now.Add(tickTime)
+	if c.listed && age > bound {
+		c.suspectedUntil[c.self.Name] = now.Add(maxPlanInterval)
 	}
 }
 
-// TakeWord takes what another ingress says of its reading.
-func (c *Chooser) TakeWord(now time.Time, name string, w Word) {
+// ObserveStatus processes the status that another ingress reports.
+func (c *Chooser) ObserveStatus(now time.Time, name string, status StoreStatus) {
 	m, is := c.members[name]
 	if !is {
 		return
 	}
-	m.word = w
-	m.heardAt = now
+	m.status = status
+	m.reportedAt = now
 	c.members[name] = m
 }
 
-// TakeOpened notes that the stream of the followed ingress brought its first answer.
-func (c *Chooser) TakeOpened(name string) {
+// ObserveStreamOpened records that the stream of the source delivered its first message.
+func (c *Chooser) ObserveStreamOpened(name string) {
 	if name == c.follow {
 		c.opened = true
 	}
 }
 
-// TakeEnded notes that the stream of an ingress ended.
-func (c *Chooser) TakeEnded(now time.Time, name string) {
+// ObserveStreamEnded records that the stream of an ingress ended.
+func (c *Chooser) ObserveStreamEnded(now time.Time, name string) {
 	if name != c.follow {
 		return
 	}
-	c.doubt(now, name)
+	c.suspect(now, name)
 }
 
-// TakeFollowers notes how many others follow this ingress.
-func (c *Chooser) TakeFollowers(n int) { c.followers = n }
+// SetFollowers sets how many other ingresses follow this one.
+func (c *Chooser) SetFollowers(n int) { c.followers = n }
 
-// TakeListed notes that this ingress has a first picture of everything.
-func (c *Chooser) TakeListed() { c.listed = true }
+// MarkListed records that this ingress has a first snapshot of all records.
+func (c *Chooser) MarkListed() { c.listed = true }
 
-// TakeLeaving notes that this ingress stops.
-func (c *Chooser) TakeLeaving() { c.leaving = true }
+// MarkLeaving records that this ingress is shutting down.
+func (c *Chooser) MarkLeaving() { c.leaving = true }
 
-// TakeArrival notes a part of a message of records, from the followed ingress or from one that was asked.
-func (c *Chooser) TakeArrival(now time.Time, fed bool) {
-	c.arrivedAt = now
-	if fed {
-		c.fedAt = now
+// ObserveMessagePart records that a part of a message of records arrived, either from the source
+// or from an ingress that was asked for missing records.
+func (c *Chooser) ObserveMessagePart(now time.Time, fromSource bool) {
+	c.partAt = now
+	if fromSource {
+		c.sourcePartAt = now
 	}
 }
 
-// TakeWhole notes that such a message is whole and taken, or was given up.
-func (c *Chooser) TakeWhole(fed bool) {
-	c.arrivedAt = time.Time{}
-	if fed {
-		c.fedAt = time.Time{}
+// ObserveMessageEnd records that such a message was received completely and applied, or was
+// abandoned.
+func (c *Chooser) ObserveMessageEnd(fromSource bool) {
+	c.partAt = time.Time{}
+	if fromSource {
+		c.sourcePartAt = time.Time{}
 		return
 	}
-	c.askedGapAt = time.Time{}
+	c.gapRequestedAt = time.Time{}
 }
 
-// IsReceiving tells whether records are on their way here already.
+// IsReceiving reports whether this ingress is already receiving records or waiting for requested
+// ones.
 //
-// Guards against a congested link: each copy that is asked for delays those under way.
+// On a congested link, each additional copy that is requested delays those in flight.
 func (c *Chooser) IsReceiving(now time.Time) bool {
-	return now.Sub(c.arrivedAt) < arrivalTime || now.Sub(c.askedGapAt) < arrivalTime
+	return now.Sub(c.partAt) < partTimeout || now.Sub(c.gapRequestedAt) < partTimeout
 }
 
-// isFed tells whether records are on their way from the followed ingress.
-func (c *Chooser) isFed(now time.Time) bool {
-	return c.follow != "" && now.Sub(c.fedAt) < arrivalTime
+// isReceivingFromSource reports whether a message of records from the source is in flight.
+func (c *Chooser) isReceivingFromSource(now time.Time) bool {
+	return c.follow != "" && now.Sub(c.sourcePartAt) < partTimeout
 }
 
-// NoteGap notes up to which revision another ingress and this one know the store, and
-// tells whether the other is to be asked: this one has not come up in gapTime to where the other was,
-// and nothing is on its way.
-func (c *Chooser) NoteGap(now time.Time, name string, theirs, own uint64) (ask bool) {
-	g, noted := c.gaps[name]
+// ObserveGap processes the revisions that another ingress and this one have reached. It returns
+// true if the other must be asked for the missing records: within gapTimeout this ingress has
+// not reached the revision that the other one had, and no records are in flight.
+func (c *Chooser) ObserveGap(now time.Time, name string, theirs, own uint64) (ask bool) {
+	g, known := c.gaps[name]
 	switch {
 	case theirs <= own:
 		delete(c.gaps, name)
-	case !noted || g.revision <= own:
+	case !known || g.revision <= own:
 		c.gaps[name] = gap{revision: theirs, since: now}
-	case now.Sub(g.since) >= gapTime && !c.IsReceiving(now):
+	case now.Sub(g.since) >= gapTimeout && !c.IsReceiving(now):
 		delete(c.gaps, name)
-		c.askedGapAt = now
+		c.gapRequestedAt = now
 		return true
 	}
 	return false
 }
 
-// IsGood tells whether the followed ingress knows the store well.
-func (c *Chooser) IsGood(now time.Time) bool {
+// IsSourceFresh reports whether the source delivers and is itself up to date with the store.
+func (c *Chooser) IsSourceFresh(now time.Time) bool {
 	m, is := c.members[c.follow]
 	return is && c.opened && isFresh(now, m)
 }
 
 func isFresh(now time.Time, m member) bool {
-	return !m.heardAt.IsZero() && m.word.Direct && m.word.Age+now.Sub(m.heardAt) <= maxAge
+	return !m.reportedAt.IsZero() && m.status.Direct && m.status.Age+now.Sub(m.reportedAt) <= maxSourceAge
 }
 
-// Plan decides. Before it is known who else there is nobody is followed, and the store
-// is not read: a fleet that starts at once would read it as often as there are ingresses.
+// Plan decides what this ingress must do. Until the other ingresses are known it follows none and
+// does not read the store, unless it has waited too long: when many ingresses start at once, each
+// of them would read it.
 func (c *Chooser) Plan(now time.Time) Plan {
-	c.judge(now)
+	c.checkSource(now)
 	if c.knowsMembers {
-		c.choose(now)
+		c.chooseSource(now)
 	}
 	c.reading = c.mustRead(now)
 	return Plan{Follow: c.follow, Check: c.pickCheck(now), Read: c.reading}
 }
 
-// judge doubts a followed ingress that does not know the store well. One whose records are
-// arriving is left its time: its heartbeats may wait behind them.
-func (c *Chooser) judge(now time.Time) {
-	if c.follow == "" || c.IsGood(now) || c.isFed(now) {
+// checkSource suspects a source that is not up to date with the store. A source whose records are
+// arriving is not suspected, because its heartbeats may be queued behind them.
+func (c *Chooser) checkSource(now time.Time) {
+	if c.follow == "" || c.IsSourceFresh(now) || c.isReceivingFromSource(now) {
 		return
 	}
-	if now.Sub(c.askedAt) >= openTimeout {
-		c.doubt(now, c.follow)
+	if now.Sub(c.followedAt) >= openTimeout {
+		c.suspect(now, c.follow)
 	}
 }
 
-func (c *Chooser) doubt(now time.Time, name string) {
-	c.doubted[name] = now.Add(doubtTime)
+func (c *Chooser) suspect(now time.Time, name string) {
+	c.suspectedUntil[name] = now.Add(suspectTime)
 	if name == c.follow {
-		c.drop()
+		c.unfollow()
 	}
 }
 
-func (c *Chooser) drop() {
+func (c *Chooser) unfollow() {
 	c.follow = ""
 	c.opened = false
 }
 
-func (c *Chooser) isDoubted(now time.Time, name string) bool {
-	return now.Before(c.doubted[name])
+func (c *Chooser) isSuspected(now time.Time, name string) bool {
+	return now.Before(c.suspectedUntil[name])
 }
 
-// choose follows the first by rank that is not doubted; where that is this ingress it follows nobody.
-func (c *Chooser) choose(now time.Time) {
-	best := c.rankFirst(now)
+// chooseSource follows the highest-ranked ingress that is not suspected. If that is this ingress,
+// it follows none.
+func (c *Chooser) chooseSource(now time.Time) {
+	best := c.pickReader(now)
 	if best == c.follow {
 		return
 	}
-	if c.isServed(now) && !c.isBetter(now, best) {
+	if c.canKeepSource(now) && !c.mayReplaceSource(now, best) {
 		return
 	}
-	c.drop()
+	c.unfollow()
 	if best == c.self.Name {
 		return
 	}
 	c.follow = best
-	c.askedAt = now
+	c.followedAt = now
 }
 
-// isServed tells whether the present choice can stay for a while: who is followed does
-// well, or this ingress reads for itself and has done so for some time.
-func (c *Chooser) isServed(now time.Time) bool {
+// canKeepSource reports whether the present choice can stay for a while: the source is fresh, or
+// this ingress follows none, has all records and started at least settleTime ago.
+func (c *Chooser) canKeepSource(now time.Time) bool {
 	if c.follow == "" {
 		return c.listed && now.Sub(c.startedAt) >= settleTime
 	}
-	return c.IsGood(now)
+	return c.IsSourceFresh(now)
 }
 
-// isBetter tells whether an ingress of better rank may be followed in place of one that
-// does well: it has been reachable for a while, and if it said anything of its reading,
-// that was good.
+// mayReplaceSource reports whether a higher-ranked ingress may be followed in place of a healthy
+// choice: it must have been reachable for settleTime and, if it reported a status, be fresh.
 //
-// Guards against a domain that goes back again and again to an ingress that is cut off
-// from the store.
-func (c *Chooser) isBetter(now time.Time, name string) bool {
+// Without this a failure domain would return again and again to an ingress that cannot reach the
+// store.
+func (c *Chooser) mayReplaceSource(now time.Time, name string) bool {
 	m, is := c.members[name]
 	if !is {
 		return true // this ingress itself
 	}
-	return now.Sub(m.since) >= settleTime && (m.heardAt.IsZero() || isFresh(now, m))
+	return now.Sub(m.reachableSince) >= settleTime && (m.reportedAt.IsZero() || isFresh(now, m))
 }
 
-// rankFirst returns who watches for this failure domain, as far as this ingress knows.
-func (c *Chooser) rankFirst(now time.Time) string {
-	candidates := c.listDomain(now, c.self.Domain)
-	if !c.leaving && !c.isDoubted(now, c.self.Name) || len(candidates) == 0 {
+// pickReader returns the ingress that should read the store for this failure domain. This ingress
+// itself is a candidate unless it is leaving or suspected, or if there is no other candidate.
+func (c *Chooser) pickReader(now time.Time) string {
+	candidates := c.listCandidates(now, c.self.Domain)
+	if !c.leaving && !c.isSuspected(now, c.self.Name) || len(candidates) == 0 {
 		candidates = append(candidates, rhash.Weighted{Name: c.self.Name, Weight: c.self.Weight})
 	}
-	return first(c.self.Domain, candidates)
+	return pickFirst(c.self.Domain, candidates)
 }
 
-// listDomain returns the reachable members of a domain that are not doubted.
-func (c *Chooser) listDomain(now time.Time, domain string) []rhash.Weighted {
+// listCandidates returns the reachable members of a failure domain that are not suspected.
+func (c *Chooser) listCandidates(now time.Time, domain string) []rhash.Weighted {
 	list := []rhash.Weighted{}
 	for _, name := range c.domains[domain] {
-		if !c.isDoubted(now, name) {
+		if !c.isSuspected(now, name) {
 			list = append(list, rhash.Weighted{Name: name, Weight: c.members[name].Weight})
 		}
 	}
 	return list
 }
 
-func first(domain string, candidates []rhash.Weighted) string {
+func pickFirst(domain string, candidates []rhash.Weighted) string {
 	return rhash.FirstWeighted("store/"+domain, candidates)
 }
 
-// pickCheck returns who watches for another failure domain.
+// pickCheck returns the ingress that should read the store for another failure domain.
 func (c *Chooser) pickCheck(now time.Time) string {
 	for _, domain := range c.checks {
-		if name := first(domain, c.listDomain(now, domain)); name != "" {
+		if name := pickFirst(domain, c.listCandidates(now, domain)); name != "" {
 			return name
 		}
 	}
 	return ""
 }
 
-// mustRead tells whether this ingress watches the store itself.
+// mustRead reports whether this ingress must read the store directly.
 func (c *Chooser) mustRead(now time.Time) bool {
-	if c.IsGood(now) || c.isFed(now) {
-		c.badSince = time.Time{}
-	} else if c.badSince.IsZero() {
-		c.badSince = now
+	if c.IsSourceFresh(now) || c.isReceivingFromSource(now) {
+		c.noSourceSince = time.Time{}
+	} else if c.noSourceSince.IsZero() {
+		c.noSourceSince = now
 	}
-	alone := c.knowsMembers && c.follow == "" || !c.badSince.IsZero() && now.Sub(c.badSince) >= c.patience()
-	if alone || c.isLate(now) || c.followers > 0 {
+	noSource := c.knowsMembers && c.follow == "" || !c.noSourceSince.IsZero() && now.Sub(c.noSourceSince) >= c.noSourceTimeout()
+	if noSource || c.isSnapshotOverdue(now) || c.followers > 0 {
 		c.neededAt = now
 	}
 	if now.Sub(c.startedAt) < settleTime {
 		return c.neededAt.Equal(now)
 	}
-	return now.Sub(c.neededAt) < keepReading
+	return now.Sub(c.neededAt) < readLinger
 }
 
-// isLate tells whether the first picture should have been there by now.
-func (c *Chooser) isLate(now time.Time) bool {
+// isSnapshotOverdue reports whether the first snapshot should have arrived by now.
+func (c *Chooser) isSnapshotOverdue(now time.Time) bool {
 	if c.listed {
 		return false
 	}
-	bound := firstAfter
-	if c.IsGood(now) {
-		bound = firstBound
+	bound := initialDelay
+	if c.IsSourceFresh(now) {
+		bound = initialDelayWithSource
 	}
-	return now.Sub(c.startedAt) >= bound+c.patience()
+	return now.Sub(c.startedAt) >= bound+c.noSourceTimeout()
 }
 
-// patience is how long this ingress goes without a source before it reads for itself.
-func (c *Chooser) patience() time.Duration {
+// noSourceTimeout returns how long this ingress waits without a source before it reads the store
+// directly.
+func (c *Chooser) noSourceTimeout() time.Duration {
 	part := float64(rhash.Score("patience", c.self.Name)>>scoreShift) / (1 << scoreBits)
-	return aloneAfter + time.Duration(part*float64(aloneSpread))
+	return noSourceDelay + time.Duration(part*float64(noSourceJitter))
 }
 
 const (
-	// scoreBits is how much of a hash score a float64 holds exactly.
+	// scoreBits is how many bits of a hash score a float64 holds exactly.
 	scoreBits  = 53
 	scoreShift = 64 - scoreBits
 )
--- a/share/decide/feed/feed_test.go
+++ b/share/decide/feed/feed_test.go
@@ -9,43 +9,44 @@
 	"verbenaroad.example/share/decide/feed"
 )
 
-var begin = time.Unix(1000, 0) //nolint:gochecknoglobals // a constant in all but syntax
+var start = time.Unix(1000, 0) //nolint:gochecknoglobals // a constant in all but syntax
 
-func after(d time.Duration) time.Time { return begin.Add(d) }
+func after(d time.Duration) time.Time { return start.Add(d) }
 
 func newMember(name, domain string) feed.Member {
 	return feed.Member{Name: name, Domain: domain, Region: domain[:1], Weight: 1}
 }
 
-// well is the word of an ingress whose store answers.
-func well() feed.Word { return feed.Word{Direct: true, Age: 100 * time.Millisecond} }
+// healthy returns the status of an ingress that reads the store and gets answers.
+func healthy() feed.StoreStatus { return feed.StoreStatus{Direct: true, Age: 100 * time.Millisecond} }
 
-// follower returns a chooser that follows the member "a", which is far heavier than the others.
+// newFollower returns a chooser that follows the member "a", whose weight is far higher than that
+// of the others.
 func newFollower(others ...feed.Member) *feed.Chooser {
 	heavy := newMember("a", "x1")
 	heavy.Weight = 1e9
-	c := feed.NewChooser(newMember("self", "x1"), begin)
-	c.TakeListed()
-	c.TakeMembers(begin, append([]feed.Member{heavy}, others...))
-	c.Plan(begin)
-	c.TakeOpened("a")
-	c.TakeWord(begin, "a", well())
+	c := feed.NewChooser(newMember("self", "x1"), start)
+	c.MarkListed()
+	c.SetMembers(start, append([]feed.Member{heavy}, others...))
+	c.Plan(start)
+	c.ObserveStreamOpened("a")
+	c.ObserveStatus(start, "a", healthy())
 	return c
 }
 
-func TestAloneReadsForItself(t *testing.T) {
+func TestOnlyIngressOfDomainReads(t *testing.T) {
 	is := is.New(t)
-	c := feed.NewChooser(newMember("self", "x1"), begin)
-	is.Equal(c.Plan(begin), feed.Plan{})
-	c.TakeMembers(begin, []feed.Member{newMember("b", "x2"), newMember("c", "y1")})
-	is.Equal(c.Plan(begin), feed.Plan{Read: true, Check: "b"}) // nobody else in its failure domain
+	c := feed.NewChooser(newMember("self", "x1"), start)
+	is.Equal(c.Plan(start), feed.Plan{})
+	c.SetMembers(start, []feed.Member{newMember("b", "x2"), newMember("c", "y1")})
+	is.Equal(c.Plan(start), feed.Plan{Read: true, Check: "b"}) // there is no other ingress in its failure domain
 }
 
-// A process starts while the store does not answer it, so that it does not learn who
-// else there is. It must go on trying by itself before long.
-func TestStartWithoutNeighboursReads(t *testing.T) {
+// A process starts while the store does not answer it, so it does not discover the other
+// ingresses. It must soon start to read the store directly.
+func TestStartWithoutKnownMembersReads(t *testing.T) {
 	is := is.New(t)
-	c := feed.NewChooser(newMember("self", "x1"), begin)
+	c := feed.NewChooser(newMember("self", "x1"), start)
 	is.Equal(c.Plan(after(500*time.Millisecond)).Read, false)
 	is.Equal(c.Plan(after(1200*time.Millisecond)).Read, true)
 }
@@ -53,60 +54,60 @@
 func TestFollowerDoesNotRead(t *testing.T) {
 	is := is.New(t)
 	c := newFollower()
-	is.Equal(c.Plan(begin), feed.Plan{Follow: "a"})
-	is.True(c.IsGood(begin))
+	is.Equal(c.Plan(start), feed.Plan{Follow: "a"})
+	is.True(c.IsSourceFresh(start))
 }
 
-// The ingress that watches for a failure domain is cut off from the store, and says in its
-// heartbeats that the store confirmed nothing for some time. Its followers must go on to
-// another one long before a leaving server may refuse what is sent to it.
-func TestSourceThatIsCutOffIsPassedOver(t *testing.T) {
+// The ingress that reads the store for a failure domain loses its connection to it, and reports
+// a growing age in its heartbeats. Its followers must switch to another source well before a
+// draining server may refuse the requests that are still sent to it.
+func TestStaleSourceIsReplaced(t *testing.T) {
 	is := is.New(t)
 	c := newFollower(newMember("b", "x1"))
 	for at := time.Duration(0); at < 1200*time.Millisecond; at += 300 * time.Millisecond {
-		c.TakeWord(after(at), "a", feed.Word{Direct: true, Age: 100*time.Millisecond + at})
+		c.ObserveStatus(after(at), "a", feed.StoreStatus{Direct: true, Age: 100*time.Millisecond + at})
 	}
 	is.Equal(c.Plan(after(1200*time.Millisecond)).Follow, "a")
 	plan := c.Plan(after(1600 * time.Millisecond))
 	is.True(plan.Follow != "a")
-	is.True(plan.Follow == "b" || plan.Read) // the next by rank, which may be this one
+	is.True(plan.Follow == "b" || plan.Read) // the next in rank, which may be this ingress
 }
 
-// The stream of the followed ingress breaks off as it is killed. The next one is followed at once.
+// The source is killed and its stream ends. The next ingress in rank must be followed at once.
 func TestLostSourceIsReplaced(t *testing.T) {
 	is := is.New(t)
 	c := newFollower(newMember("b", "x1"))
-	c.TakeEnded(after(time.Second), "a")
-	c.TakeMembers(after(time.Second), []feed.Member{newMember("b", "x1")})
+	c.ObserveStreamEnded(after(time.Second), "a")
+	c.SetMembers(after(time.Second), []feed.Member{newMember("b", "x1")})
 	plan := c.Plan(after(time.Second))
 	is.True(plan.Follow == "b" || plan.Read)
 }
 
-// Every ingress of a failure domain says that the store is silent. Each of the others
-// must read for itself before long, but not all of them at the same moment.
-func TestWithoutSourceEachReadsInItsTime(t *testing.T) {
+// No source of a failure domain is healthy. Each ingress must soon read the store directly, but
+// not all of them at the same time.
+func TestIngressesWithoutSourceReadAfterJitter(t *testing.T) {
 	is := is.New(t)
-	begins := map[time.Duration]bool{}
+	readTimes := map[time.Duration]bool{}
 	for _, name := range []string{"k", "l", "m", "n", "o"} {
 		heavy := newMember("a", "x1")
 		heavy.Weight = 1e9
-		c := feed.NewChooser(newMember(name, "x1"), begin)
-		c.TakeListed()
-		c.TakeMembers(begin, []feed.Member{heavy})
+		c := feed.NewChooser(newMember(name, "x1"), start)
+		c.MarkListed()
+		c.SetMembers(start, []feed.Member{heavy})
 		at := time.Duration(0)
 		for !c.Plan(after(at)).Read && at < 5*time.Second {
 			at += 10 * time.Millisecond
 		}
 		is.True(at >= 500*time.Millisecond)
 		is.True(at <= 1200*time.Millisecond)
-		begins[at] = true
+		readTimes[at] = true
 	}
-	is.True(len(begins) > 1)
+	is.True(len(readTimes) > 1)
 }
 
-// A large ingress joins. It must not be followed by its whole failure domain before it had
-// the time to catch up.
-func TestNewcomerIsFollowedLater(t *testing.T) {
+// An ingress with a high weight joins. Its whole failure domain must not follow it before it has
+// had time to catch up.
+func TestNewMemberIsFollowedAfterSettleTime(t *testing.T) {
 	is := is.New(t)
 	c := newFollower()
 	huge := newMember("huge", "x1")
@@ -114,99 +115,103 @@
 	heavy := newMember("a", "x1")
 	heavy.Weight = 1e9
 	for at := time.Second; at < 6*time.Second; at += 100 * time.Millisecond {
-		c.TakeMembers(after(at), []feed.Member{heavy, huge})
-		c.TakeWord(after(at), "a", well())
+		c.SetMembers(after(at), []feed.Member{heavy, huge})
+		c.ObserveStatus(after(at), "a", healthy())
 		plan := c.Plan(after(at))
 		is.Equal(plan.Read, false)
 		is.Equal(plan.Follow == "huge", at >= 4*time.Second)
-		c.TakeOpened("huge")
-		c.TakeWord(after(at), "huge", well())
+		c.ObserveStreamOpened("huge")
+		c.ObserveStatus(after(at), "huge", healthy())
 	}
 }
 
-// Others follow this ingress, which they believe watches the store. It must do so, whatever it thinks itself.
+// Other ingresses follow this one and expect it to read the store. It must do so, although it
+// follows a source itself.
 func TestFollowedIngressReads(t *testing.T) {
 	is := is.New(t)
 	c := newFollower()
-	c.TakeFollowers(1)
-	is.Equal(c.Plan(begin), feed.Plan{Follow: "a", Read: true})
-	c.TakeFollowers(0)
-	c.TakeWord(after(4*time.Second), "a", well())
+	c.SetFollowers(1)
+	is.Equal(c.Plan(start), feed.Plan{Follow: "a", Read: true})
+	c.SetFollowers(0)
+	c.ObserveStatus(after(4*time.Second), "a", healthy())
 	is.Equal(c.Plan(after(4*time.Second)).Read, false)
 }
 
-// A heartbeat tells of a change that is on its way here already. Only what is missing for longer is asked for.
-func TestGapIsAskedForWhenItStays(t *testing.T) {
+// A heartbeat reports a change whose record is already in flight. Records must be requested only
+// if they are still missing after gapTimeout.
+func TestPersistentGapIsRequested(t *testing.T) {
 	is := is.New(t)
 	c := newFollower()
-	is.True(!c.NoteGap(begin, "b", 7, 5))
-	is.True(!c.NoteGap(after(100*time.Millisecond), "b", 7, 7))
-	is.True(!c.NoteGap(after(200*time.Millisecond), "b", 8, 7))
-	is.True(c.NoteGap(after(500*time.Millisecond), "b", 8, 7))
+	is.True(!c.ObserveGap(start, "b", 7, 5))
+	is.True(!c.ObserveGap(after(100*time.Millisecond), "b", 7, 7))
+	is.True(!c.ObserveGap(after(200*time.Millisecond), "b", 8, 7))
+	is.True(c.ObserveGap(after(500*time.Millisecond), "b", 8, 7))
 }
 
-// Servers change all the time, and each heartbeat tells of a change that is not here yet,
-// while what the one before told of has come. Nothing is missing, and nobody is asked.
+// Servers change continuously: each heartbeat reports a change that has not arrived yet, while the
+// one reported before has. Nothing is missing, so nothing must be requested.
 func TestSteadyChangesAreNoGap(t *testing.T) {
 	is := is.New(t)
 	c := newFollower()
-	for beat := range 20 {
-		at := time.Duration(beat) * 300 * time.Millisecond
-		is.True(!c.NoteGap(after(at), "b", uint64(beat)+2, uint64(beat)+1)) //nolint:gosec // a small number
+	for heartbeat := range 20 {
+		at := time.Duration(heartbeat) * 300 * time.Millisecond
+		is.True(!c.ObserveGap(after(at), "b", uint64(heartbeat)+2, uint64(heartbeat)+1)) //nolint:gosec // a small number
 	}
 }
 
-// A stopping ingress leaves the watch to another one while there is one.
+// An ingress that shuts down must leave reading the store to another one if there is one.
 func TestLeavingIngressDoesNotChooseItself(t *testing.T) {
 	is := is.New(t)
-	c := feed.NewChooser(feed.Member{Name: "self", Domain: "x1", Region: "x", Weight: 1e9}, begin)
-	c.TakeListed()
-	c.TakeMembers(begin, []feed.Member{newMember("b", "x1")})
-	is.Equal(c.Plan(begin).Follow, "")
-	c.TakeLeaving()
-	is.Equal(c.Plan(begin).Follow, "b")
+	c := feed.NewChooser(feed.Member{Name: "self", Domain: "x1", Region: "x", Weight: 1e9}, start)
+	c.MarkListed()
+	c.SetMembers(start, []feed.Member{newMember("b", "x1")})
+	is.Equal(c.Plan(start).Follow, "")
+	c.MarkLeaving()
+	is.Equal(c.Plan(start).Follow, "b")
 }
 
-// An ingress that watches for its failure domain is cut off from the store. It must follow
-// another one, as everyone else there does; when all are cut off it goes on trying.
-func TestCutOffIngressFollowsAnother(t *testing.T) {
+// An ingress that reads the store for its failure domain loses its connection to it. It must
+// follow another ingress, as the others do. If that one fails too, it must read the store again.
+func TestDisconnectedReaderFollowsAnother(t *testing.T) {
 	is := is.New(t)
-	c := feed.NewChooser(feed.Member{Name: "self", Domain: "x1", Region: "x", Weight: 1e9}, begin)
-	c.TakeListed()
-	c.TakeMembers(begin, []feed.Member{newMember("b", "x1")})
-	c.TakeOwn(after(5*time.Second), 400*time.Millisecond)
+	c := feed.NewChooser(feed.Member{Name: "self", Domain: "x1", Region: "x", Weight: 1e9}, start)
+	c.MarkListed()
+	c.SetMembers(start, []feed.Member{newMember("b", "x1")})
+	c.ObserveOwnAge(after(5*time.Second), 400*time.Millisecond)
 	is.Equal(c.Plan(after(5*time.Second)), feed.Plan{Read: true})
-	c.TakeOwn(after(6500*time.Millisecond), 1900*time.Millisecond)
+	c.ObserveOwnAge(after(6500*time.Millisecond), 1900*time.Millisecond)
 	is.Equal(c.Plan(after(6500*time.Millisecond)).Follow, "b")
-	c.TakeOwn(after(7500*time.Millisecond), 2900*time.Millisecond)
-	c.TakeEnded(after(7500*time.Millisecond), "b")
+	c.ObserveOwnAge(after(7500*time.Millisecond), 2900*time.Millisecond)
+	c.ObserveStreamEnded(after(7500*time.Millisecond), "b")
 	is.Equal(c.Plan(after(7500*time.Millisecond)), feed.Plan{Read: true})
 }
 
-// Guards against a full link: each further copy of the records that is asked for delays those under way.
-func TestNobodyIsAskedWhileRecordsArrive(t *testing.T) {
+// Guards against overloading a congested link: each additional copy of the records that is
+// requested delays those in flight.
+func TestNoRequestWhileRecordsArrive(t *testing.T) {
 	is := is.New(t)
 	c := newFollower(newMember("b", "x2"), newMember("d", "y1"))
-	is.True(!c.NoteGap(begin, "b", 7, 6))
-	is.True(!c.NoteGap(begin, "d", 7, 6))
+	is.True(!c.ObserveGap(start, "b", 7, 6))
+	is.True(!c.ObserveGap(start, "d", 7, 6))
 	for at := time.Duration(0); at <= 3*time.Second; at += 300 * time.Millisecond {
-		c.TakeArrival(after(at), true)
-		is.True(!c.NoteGap(after(at), "b", 7, 6))
+		c.ObserveMessagePart(after(at), true)
+		is.True(!c.ObserveGap(after(at), "b", 7, 6))
 	}
-	c.TakeWhole(true)
-	is.True(c.NoteGap(after(3300*time.Millisecond), "b", 7, 6))  // it did not bring what is missing
-	is.True(!c.NoteGap(after(3400*time.Millisecond), "d", 7, 6)) // the first one is to answer
-	c.TakeWhole(false)
-	is.True(c.NoteGap(after(3500*time.Millisecond), "d", 7, 6))
+	c.ObserveMessageEnd(true)
+	is.True(c.ObserveGap(after(3300*time.Millisecond), "b", 7, 6))  // the message did not contain the missing records
+	is.True(!c.ObserveGap(after(3400*time.Millisecond), "d", 7, 6)) // the first request is not answered yet
+	c.ObserveMessageEnd(false)
+	is.True(c.ObserveGap(after(3500*time.Millisecond), "d", 7, 6))
 }
 
-// Guards against a source that is given up in the middle of a large message, behind which its heartbeats wait.
-func TestSourceWhoseRecordsArriveIsKept(t *testing.T) {
+// Guards against abandoning a source in the middle of a large message, behind which its heartbeats
+// are queued.
+func TestSourceIsKeptWhileItsRecordsArrive(t *testing.T) {
 	is := is.New(t)
 	c := newFollower(newMember("b", "x1"))
 	for at := time.Duration(0); at <= 4*time.Second; at += 200 * time.Millisecond {
-		c.TakeArrival(after(at), true)
+		c.ObserveMessagePart(after(at), true)
 		is.Equal(c.Plan(after(at)), feed.Plan{Follow: "a"})
 	}
-	is.True(c.Plan(after(5*time.Second)).Follow != "a") // nothing more came
+	is.True(c.Plan(after(5*time.Second)).Follow != "a") // nothing more has arrived
 }
--- a/share/decide/feed/fleet_test.go
+++ b/share/decide/feed/fleet_test.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// tick is the step of the fleet's time.
+	// tick is the step of the virtual time.
 	tick = 50 * time.Millisecond
-	// beatTicks is between two heartbeats, silentTicks how long a silent link is kept.
-	beatTicks   = 6
-	silentTicks = 21
-	// probeTicks is between two confirmations of the store to an ingress that reads.
+	// heartbeatTicks is the interval of heartbeats, linkTimeoutTicks how long a silent link is
+	// kept.
+	heartbeatTicks   = 6
+	linkTimeoutTicks = 21
+	// probeTicks is the interval in which the store answers an ingress that reads it, renewTicks
+	// the interval for one that does not.
 	probeTicks = 6
-	// renewTicks is between two of one that does not.
 	renewTicks = 40
-	// registerTicks is from a start until the others can reach a node, scoutTicks until it
-	// knows them.
+	// registerTicks is the time from a node's start until the others can reach it,
+	// discoverTicks until it knows the others.
 	registerTicks = 2
-	scoutTicks    = 3
-	// settleTicks is enough for a fleet to come to rest.
+	discoverTicks = 3
+	// settleTicks is long enough for a fleet to reach a steady state.
 	settleTicks = 80
-	// watchTicks is the wait of a watch that brings nothing.
+	// watchTicks is how long a watch waits if nothing changes.
 	watchTicks = 80
-	// prefixes is the number of watches of one that reads.
+	// prefixes is the number of watches of an ingress that reads the store.
 	prefixes = 3
 )
 
-// fleet is a deployment in virtual time: a store with one revision, ingresses that read
-// or follow, heartbeats. Links take no time; what is told in a tick is known in the next.
+// fleet simulates a deployment in virtual time: a store with one revision, ingresses that read
+// it or follow others, and heartbeats. Links have no delay; what a node sends in one tick is
+// received in the next.
 type fleet struct {
 	now      time.Time
 	ticks    int
@@ -43,9 +45,10 @@
 	byName   map[string]*node
 	// calls counts the calls to the store.
 	calls int
-	// reachable are the nodes that the others can reach; changes counts how often they changed.
-	reachable []feed.Member
-	changes   int
+	// reachable are the nodes that the others can reach; memberChanges counts how often this
+	// list changed.
+	reachable     []feed.Member
+	memberChanges int
 }
 
 // node is one ingress.
@@ -53,24 +56,26 @@
 	feed.Member
 	chooser *feed.Chooser
 	plan    feed.Plan
-	// known is the newest revision that it has.
+	// known is the newest revision that the node has.
 	known int
-	// confirmed is when the store last answered it; watchedAt is the tick of its last watch.
+	// confirmed is when the store last answered the node; watchTick is the tick of its last
+	// watch.
 	confirmed time.Time
-	watchedAt int
-	// dead nodes do nothing; frozen neither, but are believed alive until their links
-	// are silent; cut ones do not reach the store; startTick is when it began.
-	dead, frozen, cut bool
-	startTick         int
-	// lastHeard is the tick at which others last heard of it.
-	lastHeard int
-	followers int
-	// changes is that of the fleet when the chooser was last told of its members.
-	changes int
+	watchTick int
+	// killed and frozen nodes do nothing, but the others consider a frozen node reachable until
+	// its links time out. A disconnected node cannot reach the store. startTick is when the
+	// node started.
+	killed, frozen, disconnected bool
+	startTick                    int
+	// lastSeenTick is the tick at which the others last received anything from the node.
+	lastSeenTick int
+	followers    int
+	// seenChanges is the fleet's memberChanges when the chooser's members were last set.
+	seenChanges int
 }
 
 func newFleet(size, domains int) *fleet {
-	f := &fleet{now: begin, revision: 1, byName: map[string]*node{}}
+	f := &fleet{now: start, revision: 1, byName: map[string]*node{}}
 	for i := range size {
 		weight := 0.003
 		if i/domains < 3 {
@@ -87,20 +92,20 @@
 	return f
 }
 
-// start begins a node anew.
+// start starts or restarts a node.
 func (f *fleet) start(n *node) {
 	n.chooser = feed.NewChooser(n.Member, f.now)
 	n.plan = feed.Plan{}
-	n.known, n.dead, n.frozen = 0, false, false
+	n.known, n.killed, n.frozen = 0, false, false
 	n.confirmed = time.Time{}
 	n.startTick = f.ticks
-	n.lastHeard = f.ticks
-	n.changes = -1
+	n.lastSeenTick = f.ticks
+	n.seenChanges = -1
 }
 
-// isReachable tells whether others believe that a node can be reached.
+// isReachable reports whether the others consider a node reachable.
 func (f *fleet) isReachable(n *node) bool {
-	return f.ticks-n.startTick >= registerTicks && !n.dead && (!n.frozen || f.ticks-n.lastHeard < silentTicks)
+	return f.ticks-n.startTick >= registerTicks && !n.killed && (!n.frozen || f.ticks-n.lastSeenTick < linkTimeoutTicks)
 }
 
 func (f *fleet) step() {
@@ -109,7 +114,7 @@
 	reachable := make([]feed.Member, 0, len(f.nodes))
 	for _, n := range f.nodes {
 		if !n.frozen {
-			n.lastHeard = f.ticks
+			n.lastSeenTick = f.ticks
 		}
 		if f.isReachable(n) {
 			reachable = append(reachable, n.Member)
@@ -118,86 +123,86 @@
 	}
 	if !slices.Equal(reachable, f.reachable) {
 		f.reachable = reachable
-		f.changes++
+		f.memberChanges++
 	}
 	for _, n := range f.nodes {
-		if source := f.byName[n.plan.Follow]; source != nil && !n.dead && !n.frozen {
+		if source := f.byName[n.plan.Follow]; source != nil && !n.killed && !n.frozen {
 			source.followers++
 		}
 	}
 	for _, n := range f.nodes {
-		if !n.dead && !n.frozen {
+		if !n.killed && !n.frozen {
 			f.stepNode(n)
 		}
 	}
 }
 
 func (f *fleet) stepNode(n *node) {
-	if f.ticks-n.startTick == scoutTicks {
+	if f.ticks-n.startTick == discoverTicks {
 		f.calls++
 	}
-	if f.ticks-n.startTick >= scoutTicks && n.changes != f.changes {
+	if f.ticks-n.startTick >= discoverTicks && n.seenChanges != f.memberChanges {
 		others := slices.DeleteFunc(slices.Clone(f.reachable), func(m feed.Member) bool { return m.Name == n.Name })
-		n.chooser.TakeMembers(f.now, others)
-		n.changes = f.changes
+		n.chooser.SetMembers(f.now, others)
+		n.seenChanges = f.memberChanges
 	}
-	if !n.cut && f.ticks%renewTicks == 0 {
+	if !n.disconnected && f.ticks%renewTicks == 0 {
 		n.confirmed = f.now
 	}
-	n.chooser.TakeOwn(f.now, f.now.Sub(n.confirmed))
-	n.chooser.TakeFollowers(n.followers)
+	n.chooser.ObserveOwnAge(f.now, f.now.Sub(n.confirmed))
+	n.chooser.SetFollowers(n.followers)
 	f.follow(n)
 	f.check(n)
 	was := n.plan.Read
 	n.plan = n.chooser.Plan(f.now)
-	if n.plan.Read && !n.cut {
+	if n.plan.Read && !n.disconnected {
 		f.read(n, !was)
 	}
 }
 
-// follow takes what the followed node pushed, and its heartbeats.
+// follow receives the records that the source pushed, and its heartbeats.
 func (f *fleet) follow(n *node) {
 	source := f.byName[n.plan.Follow]
 	if source == nil {
 		return
 	}
-	if source.dead {
-		n.chooser.TakeEnded(f.now, source.Name)
+	if source.killed {
+		n.chooser.ObserveStreamEnded(f.now, source.Name)
 		return
 	}
 	if source.frozen {
 		return
 	}
-	n.chooser.TakeOpened(source.Name)
+	n.chooser.ObserveStreamOpened(source.Name)
 	n.known = max(n.known, source.known)
 	if n.known > 0 {
-		n.chooser.TakeListed()
+		n.chooser.MarkListed()
 	}
-	if f.ticks%beatTicks == 0 {
-		n.chooser.TakeWord(f.now, source.Name, feed.Word{Direct: source.plan.Read, Age: f.now.Sub(source.confirmed)})
+	if f.ticks%heartbeatTicks == 0 {
+		n.chooser.ObserveStatus(f.now, source.Name, feed.StoreStatus{Direct: source.plan.Read, Age: f.now.Sub(source.confirmed)})
 	}
 }
 
-// check compares the digest of another failure domain.
+// check compares the digest of a node of another failure domain.
 func (f *fleet) check(n *node) {
 	other := f.byName[n.plan.Check]
-	if other == nil || other.dead || other.frozen || f.ticks%beatTicks != 0 {
+	if other == nil || other.killed || other.frozen || f.ticks%heartbeatTicks != 0 {
 		return
 	}
-	if n.chooser.NoteGap(f.now, other.Name, uint64(other.known), uint64(n.known)) { //nolint:gosec // small numbers
+	if n.chooser.ObserveGap(f.now, other.Name, uint64(other.known), uint64(n.known)) { //nolint:gosec // small numbers
 		n.known = other.known
 	}
 }
 
-// read lists, watches and has the store confirm.
+// read lists the store, watches it and probes it.
 func (f *fleet) read(n *node, begins bool) {
 	if n.known == 0 {
 		f.calls += prefixes
-		n.chooser.TakeListed()
+		n.chooser.MarkListed()
 	}
-	if begins || f.ticks-n.watchedAt >= watchTicks {
+	if begins || f.ticks-n.watchTick >= watchTicks {
 		f.calls += prefixes
-		n.watchedAt = f.ticks
+		n.watchTick = f.ticks
 		n.confirmed = f.now
 	}
 	if f.ticks%probeTicks == 0 {
@@ -209,28 +214,28 @@
 	}
 }
 
-// spread steps until all nodes that can know the newest revision do; it returns the time that
-// took, at most limit.
-func (f *fleet) spread(limit time.Duration) time.Duration {
+// stepUntilSynced steps until all running nodes have the newest revision. It returns the time that
+// this took, at most limit.
+func (f *fleet) stepUntilSynced(limit time.Duration) time.Duration {
 	for took := time.Duration(0); took < limit; took += tick {
 		f.step()
-		if f.isEven() {
+		if f.isSynced() {
 			return took + tick
 		}
 	}
 	return limit
 }
 
-func (f *fleet) isEven() bool {
+func (f *fleet) isSynced() bool {
 	for _, n := range f.nodes {
-		if !n.dead && !n.frozen && n.known < f.revision {
+		if !n.killed && !n.frozen && n.known < f.revision {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *fleet) rest(ticks int) {
+func (f *fleet) stepMany(ticks int) {
 	for range ticks {
 		f.step()
 	}
@@ -239,14 +244,14 @@
 func (f *fleet) countReaders() int {
 	count := 0
 	for _, n := range f.nodes {
-		if n.plan.Read && !n.dead {
+		if n.plan.Read && !n.killed {
 			count++
 		}
 	}
 	return count
 }
 
-func (f *fleet) readers() []*node {
+func (f *fleet) listReaders() []*node {
 	list := []*node{}
 	for _, n := range f.nodes {
 		if n.plan.Read {
@@ -256,54 +261,54 @@
 	return list
 }
 
-// Deployments of 6, 68 and 420 ingresses are at rest while the configuration and the list
-// of servers change once a second. Where each ingress watches for itself, each change is
-// answered to all of them: 420 calls a second at the largest. The calls must go
-// by failure domains and changes, at any size.
-func TestCallsGoByDomains(t *testing.T) {
+// Deployments of 6, 68 and 420 ingresses run in a steady state while the configuration and the
+// list of servers change once a second. If each ingress read the store, each change would be sent
+// to all of them: 420 calls a second in the largest deployment. The number of calls must depend
+// only on the failure domains and changes.
+func TestStoreCallsScaleWithDomains(t *testing.T) {
 	for _, c := range []struct{ size, domains int }{{6, 3}, {68, 6}, {420, 7}} {
 		t.Run(fmt.Sprint(c.size), func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(c.size, c.domains)
-			f.rest(settleTicks)
+			f.stepMany(settleTicks)
 			is.Equal(f.countReaders(), c.domains)
 			before := f.calls
 			const seconds = 8
 			for range seconds {
 				f.revision++
-				is.True(f.spread(time.Second) <= 500*time.Millisecond)
-				f.rest(int(time.Second/tick) / 2)
+				is.True(f.stepUntilSynced(time.Second) <= 500*time.Millisecond)
+				f.stepMany(int(time.Second/tick) / 2)
 			}
-			// A change is a call for each domain, and each watch ends by itself sometimes.
+			// Each change costs one call per domain, and watches that time out cost some more.
 			is.True(f.calls-before <= seconds*c.domains*2)
 		})
 	}
 }
 
-// Ingresses that watch for others are killed, freeze or are cut off from the store, one
-// in each failure domain and all at once, just before a server leaves. Every other
-// ingress must hear of it while the server still takes what is sent to it.
+// Ingresses that read the store for others are killed, freeze or lose their connection to the
+// store, one alone or one in each failure domain at the same time, just before a server leaves.
+// Every other ingress must learn of this while the server still accepts the requests sent to it.
 func TestLostSourcesAreReplacedInTime(t *testing.T) {
 	const bound = 2200 * time.Millisecond // the shortest drain is 2.5 s
 	for _, c := range []struct{ size, domains int }{{6, 3}, {68, 6}, {420, 7}} {
-		for _, how := range []string{"killed", "frozen", "cut"} {
+		for _, failure := range []string{"killed", "frozen", "disconnected"} {
 			for _, count := range []int{1, c.domains} {
 				if c.size > 100 && count == 1 {
-					continue // the largest is played once for each kind of loss
+					continue // the largest deployment runs once for each kind of failure
 				}
-				t.Run(fmt.Sprintf("%d %s %d", c.size, how, count), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d %s %d", c.size, failure, count), func(t *testing.T) {
 					is := is.New(t)
 					f := newFleet(c.size, c.domains)
-					f.rest(settleTicks)
-					lost := f.readers()[:count]
+					f.stepMany(settleTicks)
+					lost := f.listReaders()[:count]
 					for _, n := range lost {
-						n.dead = how == "killed"
-						n.frozen = how == "frozen"
-						n.cut = how == "cut"
+						n.killed = failure == "killed"
+						n.frozen = failure == "frozen"
+						n.disconnected = failure == "disconnected"
 					}
 					f.revision++
-					is.True(f.spread(5*time.Second) <= bound)
-					f.rest(settleTicks)
+					is.True(f.stepUntilSynced(5*time.Second) <= bound)
+					f.stepMany(settleTicks)
 					is.True(f.countReaders() <= c.domains+count)
 				})
 			}
@@ -311,20 +316,20 @@
 	}
 }
 
-// All ingresses lose power and start again at the same time. One of each failure domain
-// reads the lists for the others: the cost of one start must not grow with the number of
-// those that start, and the fleet must know everything within a second.
-func TestStartsAreReadByFew(t *testing.T) {
+// All ingresses lose power and restart at the same time. One of each failure domain must read the
+// listings for the others: the number of calls per start must not grow with the number of
+// ingresses, and all must be up to date within a second.
+func TestStoreCallsPerStartDoNotGrow(t *testing.T) {
 	is := is.New(t)
 	perStart := func(size, domains int) float64 {
 		f := newFleet(size, domains)
-		f.rest(settleTicks)
+		f.stepMany(settleTicks)
 		before := f.calls
 		for _, n := range f.nodes {
 			f.start(n)
 		}
-		is.True(f.spread(3*time.Second) < time.Second)
-		f.rest(settleTicks / 4)
+		is.True(f.stepUntilSynced(3*time.Second) < time.Second)
+		f.stepMany(settleTicks / 4)
 		return float64(f.calls-before) / float64(size)
 	}
 	small := perStart(68, 7)
