--- a/ingress/services/mesh/deltas.go
+++ b/ingress/services/mesh/deltas.go
@@ -35,14 +35,14 @@
 			told = &wire.Records{Packed: packed}
 		}
 	}
-	told.Whole = d.Whole
-	told.At = d.At
+	told.Whole = d.Full
+	told.At = d.CompleteRevision
 	return told
 }
 
 // DecodeDelta reads it.
 func DecodeDelta(told *wire.Records) (mirror.Delta, error) {
-	d := mirror.Delta{Whole: told.GetWhole(), At: told.GetAt()}
+	d := mirror.Delta{Full: told.GetWhole(), CompleteRevision: told.GetAt()}
 	if len(told.GetPacked()) > 0 {
 		unpacked, err := unpack(told.GetPacked())
 		if err != nil {
--- a/ingress/services/mesh/deltas_test.go
+++ b/ingress/services/mesh/deltas_test.go
@@ -15,7 +15,7 @@
 
 // newDelta returns a whole delta of so many backend servers.
 func newDelta(servers int) mirror.Delta {
-	d := mirror.Delta{Whole: true, At: 1000}
+	d := mirror.Delta{Full: true, CompleteRevision: 1000}
 	for i := range servers {
 		d.Records = append(d.Records, site.Record{
 			Key:      fmt.Sprintf("servers/i-%d", i),
--- a/ingress/services/state/state.go
+++ b/ingress/services/state/state.go
@@ -206,14 +206,14 @@
 func (b *Book) At() uint64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return b.records.At()
+	return b.records.CompleteRevision()
 }
 
 // Replace takes a whole listing.
 func (b *Book) Replace(records []site.Record, at uint64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.take(b.records.Replace(records, at), "store")
+	b.take(b.records.ApplyListing(records, at), "store")
 }
 
 // Apply takes the changes that a watch brought.
@@ -227,14 +227,14 @@
 func (b *Book) Learn(records []site.Record) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.take(b.records.Learn(records), "store")
+	b.take(b.records.Merge(records), "store")
 }
 
 // Take takes what another ingress tells.
 func (b *Book) Take(d mirror.Delta) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.take(b.records.Take(d), "peer")
+	b.take(b.records.ApplyDelta(d), "peer")
 }
 
 // Since returns what a copy lacks that is complete up to a revision.
@@ -255,7 +255,7 @@
 func (b *Book) Extent() Extent {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return Extent{Newest: b.records.Newest(), At: b.records.At()}
+	return Extent{Newest: b.records.NewestRevision(), At: b.records.CompleteRevision()}
 }
 
 // Advance takes the extent of another ingress, which may say that the records here are
--- a/share/decide/mirror/mirror.go
+++ b/share/decide/mirror/mirror.go
@@ -1,10 +1,11 @@
-// Package mirror keeps a copy of those records of the platform's store that are of use here. Records come from the store's listing, its watch, and from
-// peers that heard of a change first; each counts by its revision, so the order
-// in which these sources speak does not matter and no record goes back.
+// Package mirror keeps a local copy of the records of the platform's store that an ingress needs.
+// Records come from the store's listing, from its watch, and from peers that received a change
+// first. Each record is ordered by its revision, so the order in which the sources deliver does
+// not matter, and a newer record is never replaced by an older one.
 //
-// A copy is complete up to a revision: it lacks nothing that the store held or
-// deleted until then. What one copy tells another is complete too, so that a copy
-// which hears only of peers never has a hole.
+// A copy is complete up to a revision: it reflects everything that the store held or deleted
+// until then. What one copy sends to another is complete as well, so a copy that receives
+// changes only from peers never misses one.
 package mirror
 
 import (
@@ -13,34 +14,36 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// maxDeleted bounds the deletions that are remembered for peers and against late copies.
-const maxDeleted = 4096
+// maxTombstones bounds the deleted records that are kept to inform peers and to reject late
+// copies of them.
+const maxTombstones = 4096
 
-// Mirror is the copy; it belongs to one goroutine or is guarded by its caller.
+// Mirror is the copy. It is not safe for concurrent use.
 type Mirror struct {
-	// isWanted tells of a key whether its record is kept.
+	// isWanted reports whether the record of a key is kept.
 	isWanted func(key string) bool
 	records  map[string]site.Record
-	// deleted counts the records of the map that stand for a deletion.
-	deleted int
-	// at is the highest revision up to which the copy is complete.
-	at uint64
-	// newest is the highest revision of any change that the copy reflects. A listing
-	// reflects what was deleted before it and does not show it.
-	newest uint64
-	// floor is the revision up to which deletions may be missing in records: what was
-	// deleted before a listing does not show in it. A copy that is older than that
-	// needs the whole.
-	floor uint64
+	// tombstones is the number of deleted records in records.
+	tombstones int
+	// completeRevision is the highest revision up to which the copy is complete.
+	completeRevision uint64
+	// newestRevision is the highest revision of any change that the copy reflects. A listing
+	// reflects earlier deletions although it does not contain them.
+	newestRevision uint64
+	// compactRevision is the revision up to which tombstones may be missing in records: a
+	// listing does not contain what was deleted before it. A copy that is complete only up to
+	// an earlier revision needs a full delta.
+	compactRevision uint64
 }
 
-// Delta is what a copy lacks that is complete up to an earlier revision.
+// Delta is what another copy needs that is complete up to an earlier revision.
 type Delta struct {
 	Records []site.Record
-	// Whole deltas hold every record: what is missing in them does not exist.
-	Whole bool
-	// At is the revision up to which the copy is complete with the delta.
-	At uint64
+	// Full deltas contain every record: what is missing in them does not exist.
+	Full bool
+	// CompleteRevision is the revision up to which a copy is complete once it has applied the
+	// delta.
+	CompleteRevision uint64
 }
 
 // NewMirror returns an empty copy of the records whose keys are wanted.
@@ -48,94 +51,100 @@
 	return &Mirror{isWanted: isWanted, records: map[string]site.Record{}}
 }
 
-// At returns the revision up to which the copy is complete; a watch goes on after it.
-func (m *Mirror) At() uint64 { return m.at }
+// CompleteRevision returns the revision up to which the copy is complete. A watch continues
+// after it.
+func (m *Mirror) CompleteRevision() uint64 { return m.completeRevision }
 
-// Newest returns the highest revision of any change that the copy reflects, deletions included.
-func (m *Mirror) Newest() uint64 { return m.newest }
+// NewestRevision returns the highest revision of any change that the copy reflects, including
+// deletions.
+func (m *Mirror) NewestRevision() uint64 { return m.newestRevision }
 
-// Take takes what a peer told.
-func (m *Mirror) Take(d Delta) (changed []site.Record) {
-	if d.Whole {
-		return m.Replace(d.Records, d.At)
+// ApplyDelta applies a delta from a peer. It returns the records that changed, as do the other
+// methods that apply records.
+func (m *Mirror) ApplyDelta(d Delta) (changed []site.Record) {
+	if d.Full {
+		return m.ApplyListing(d.Records, d.CompleteRevision)
 	}
-	return m.Apply(d.Records, d.At)
+	return m.Apply(d.Records, d.CompleteRevision)
 }
 
-// Advance takes a peer's word that its copy is complete up to at and reflects no change
-// younger than newest. A copy that has all up to newest is then as complete.
-func (m *Mirror) Advance(newest, at uint64) {
-	if m.at >= newest {
-		m.at = max(m.at, at)
+// Advance processes a peer's report that its copy is complete up to revision complete and
+// reflects no change after revision newest. If this copy is complete up to newest, it lacks
+// nothing that the peer has and is therefore complete up to the same revision.
+func (m *Mirror) Advance(newest, complete uint64) {
+	if m.completeRevision >= newest {
+		m.completeRevision = max(m.completeRevision, complete)
 	}
 }
 
-// Apply takes changes of a watch that is complete up to revision at.
-func (m *Mirror) Apply(changes []site.Record, at uint64) (changed []site.Record) {
-	changed = m.Learn(changes)
-	m.at = max(m.at, at)
+// Apply applies changes from a watch that is complete up to the given revision.
+func (m *Mirror) Apply(changes []site.Record, revision uint64) (changed []site.Record) {
+	changed = m.Merge(changes)
+	m.completeRevision = max(m.completeRevision, revision)
 	return changed
 }
 
-// Learn takes changes from a source that may leave some out, such as a peer.
-func (m *Mirror) Learn(changes []site.Record) (changed []site.Record) {
+// Merge applies changes from a source that may omit some, such as a partial read. The complete
+// revision stays the same.
+func (m *Mirror) Merge(changes []site.Record) (changed []site.Record) {
 	for _, c := range changes {
 		if !m.isWanted(c.Key) {
 			continue
 		}
-		if m.learnOne(c) {
+		if m.mergeRecord(c) {
 			changed = append(changed, c)
 		}
 	}
 	return changed
 }
 
-func (m *Mirror) learnOne(c site.Record) bool {
+func (m *Mirror) mergeRecord(c site.Record) bool {
 	old, known := m.records[c.Key]
 	if known && old.Revision >= c.Revision {
 		return false
 	}
 	if known && old.Deleted {
-		m.deleted--
+		m.tombstones--
 	}
 	if c.Deleted {
-		m.deleted++
+		m.tombstones++
 		c.Value = nil
 	}
 	m.records[c.Key] = c
-	m.newest = max(m.newest, c.Revision)
-	m.forget()
+	m.newestRevision = max(m.newestRevision, c.Revision)
+	m.compact()
 	return true
 }
 
-// Replace takes a whole listing that was begun at revision at. Records that
-// are missing in it were deleted, unless they are younger than the listing.
-func (m *Mirror) Replace(records []site.Record, at uint64) (changed []site.Record) {
-	changed = m.Learn(records)
+// ApplyListing applies a full listing that was started at the given revision. Records that are
+// missing in it were deleted, unless they are newer than the listing.
+func (m *Mirror) ApplyListing(records []site.Record, revision uint64) (changed []site.Record) {
+	changed = m.Merge(records)
 	listed := make(map[string]bool, len(records))
 	for _, r := range records {
 		listed[r.Key] = true
 	}
 	for key, r := range m.records {
-		if r.Deleted || listed[key] || r.Revision > at {
+		if r.Deleted || listed[key] || r.Revision > revision {
 			continue
 		}
-		gone := site.Record{Key: key, Revision: at, Deleted: true}
-		// A record of this very revision is older than the listing that lacks it.
-		m.records[key] = gone
-		m.deleted++
-		changed = append(changed, gone)
+		tombstone := site.Record{Key: key, Revision: revision, Deleted: true}
+		// Merge would ignore the tombstone if the record has the revision of the listing,
+		// but the record is older than the listing in which it is missing.
+		m.records[key] = tombstone
+		m.tombstones++
+		changed = append(changed, tombstone)
 	}
-	if at > m.at {
-		m.at = at
-		m.floor = at
-		m.newest = max(m.newest, at)
+	if revision > m.completeRevision {
+		m.completeRevision = revision
+		m.compactRevision = revision
+		m.newestRevision = max(m.newestRevision, revision)
 	}
-	m.forget()
+	m.compact()
 	return changed
 }
 
-// List returns the records that are not deleted, by key.
+// List returns the records that are not deleted, sorted by key.
 func (m *Mirror) List() []site.Record {
 	list := make([]site.Record, 0, len(m.records))
 	for _, r := range m.records {
@@ -147,11 +156,12 @@
 	return list
 }
 
-// Since returns what changed after a revision, deletions included, the oldest change first.
+// Since returns what changed after a revision, including deletions, the oldest change first. It
+// returns a full delta, sorted by key, if tombstones after the revision may have been dropped.
 func (m *Mirror) Since(revision uint64) Delta {
-	d := Delta{At: m.at}
-	if revision < m.floor {
-		d.Whole = true
+	d := Delta{CompleteRevision: m.completeRevision}
+	if revision < m.compactRevision {
+		d.Full = true
 		d.Records = m.List()
 		return d
 	}
@@ -164,24 +174,24 @@
 	return d
 }
 
-// forget drops the oldest deletions once there are too many. A copy of such a
-// record that came from a peer afterwards would revive it until the next
-// listing; maxDeleted is far more than changes within the time a peer lags.
-// A peer that is older than what was dropped is told the whole.
-func (m *Mirror) forget() {
-	if m.deleted <= maxDeleted {
+// compact drops the older half of the tombstones once there are too many. If a peer then sent
+// an outdated copy of such a record, it would reappear until the next listing; but maxTombstones
+// is far more than the changes within the time that a peer lags. A peer whose copy is older than
+// the dropped tombstones gets a full delta.
+func (m *Mirror) compact() {
+	if m.tombstones <= maxTombstones {
 		return
 	}
-	gone := make([]site.Record, 0, m.deleted)
+	tombstones := make([]site.Record, 0, m.tombstones)
 	for _, r := range m.records {
 		if r.Deleted {
-			gone = append(gone, r)
+			tombstones = append(tombstones, r)
 		}
 	}
-	sort.Slice(gone, func(i, j int) bool { return gone[i].Revision < gone[j].Revision })
-	for _, r := range gone[:len(gone)/2] {
+	sort.Slice(tombstones, func(i, j int) bool { return tombstones[i].Revision < tombstones[j].Revision })
+	for _, r := range tombstones[:len(tombstones)/2] {
 		delete(m.records, r.Key)
-		m.deleted--
-		m.floor = max(m.floor, r.Revision)
+		m.tombstones--
+		m.compactRevision = max(m.compactRevision, r.Revision)
 	}
 }
--- a/share/decide/mirror/mirror_test.go
+++ b/share/decide/mirror/mirror_test.go
@@ -12,11 +12,11 @@
 	"verbenaroad.example/share/models/site"
 )
 
-func put(key string, revision uint64) site.Record {
+func newRecord(key string, revision uint64) site.Record {
 	return site.Record{Key: key, Value: []byte(key), Revision: revision}
 }
 
-func gone(key string, revision uint64) site.Record {
+func newTombstone(key string, revision uint64) site.Record {
 	return site.Record{Key: key, Revision: revision, Deleted: true}
 }
 
@@ -24,8 +24,8 @@
 	return mirror.NewMirror(func(key string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// find returns a record that is not deleted.
-func find(m *mirror.Mirror, key string) (site.Record, bool) {
+// findLive returns a record that is not deleted.
+func findLive(m *mirror.Mirror, key string) (site.Record, bool) {
 	for _, r := range m.List() {
 		if r.Key == key {
 			return r, true
@@ -34,65 +34,64 @@
 	return site.Record{}, false
 }
 
-// An operator drains a server; the watch tells it at once. A moment later a peer
-// that was cut off hands over its older copy, in which the server is ready. The
-// server must stay as the newer record says.
-func TestOlderCopiesDoNotReturn(t *testing.T) {
+// The watch reports that a server was changed or removed. Then a peer that was disconnected sends
+// its outdated copy, in which the server is still ready. The newer record must win.
+func TestOutdatedRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	m := newMirror("servers/")
-	m.Apply([]site.Record{put("servers/a", 5), gone("servers/b", 6)}, 6)
-	is.Equal(len(m.Learn([]site.Record{put("servers/a", 4), put("servers/b", 3)})), 0)
-	_, found := find(m, "servers/b")
+	m.Apply([]site.Record{newRecord("servers/a", 5), newTombstone("servers/b", 6)}, 6)
+	is.Equal(len(m.Merge([]site.Record{newRecord("servers/a", 4), newRecord("servers/b", 3)})), 0)
+	_, found := findLive(m, "servers/b")
 	is.True(!found)
-	is.Equal(m.At(), uint64(6))
+	is.Equal(m.CompleteRevision(), uint64(6))
 }
 
-// The store drops its history while a watch is cut, and servers leave meanwhile.
-// The new listing lacks them: they are gone. One that registered after the
-// listing was begun, and was heard of from a peer, stays.
-func TestListingRemovesWhatIsMissing(t *testing.T) {
+// The store compacts its history while a watch is interrupted, and servers are removed meanwhile.
+// The new listing lacks them, so they must be deleted. A server that registered after the listing
+// was started, and whose record came from a peer, must stay.
+func TestListingDeletesMissingRecords(t *testing.T) {
 	is := is.New(t)
 	m := newMirror("servers/")
-	m.Apply([]site.Record{put("servers/a", 5), put("servers/b", 6)}, 6)
-	m.Learn([]site.Record{put("servers/c", 20)})
-	changed := m.Replace([]site.Record{put("servers/a", 5)}, 10)
-	is.Equal(changed, []site.Record{gone("servers/b", 10)})
+	m.Apply([]site.Record{newRecord("servers/a", 5), newRecord("servers/b", 6)}, 6)
+	m.Merge([]site.Record{newRecord("servers/c", 20)})
+	changed := m.ApplyListing([]site.Record{newRecord("servers/a", 5)}, 10)
+	is.Equal(changed, []site.Record{newTombstone("servers/b", 10)})
 	is.Equal(len(m.List()), 2)
-	is.Equal(m.At(), uint64(10))
+	is.Equal(m.CompleteRevision(), uint64(10))
 }
 
-func TestLearnDoesNotMoveTheWatch(t *testing.T) {
+func TestMergeDoesNotAdvanceCompleteRevision(t *testing.T) {
 	is := is.New(t)
 	m := newMirror("op/")
-	m.Apply([]site.Record{put("op/config", 5)}, 5)
-	m.Learn([]site.Record{put("op/config", 9), put("servers/a", 8)})
-	is.Equal(m.At(), uint64(5)) // what lies between 5 and 9 may be missing
-	is.Equal(m.Newest(), uint64(9))
+	m.Apply([]site.Record{newRecord("op/config", 5)}, 5)
+	m.Merge([]site.Record{newRecord("op/config", 9), newRecord("servers/a", 8)})
+	is.Equal(m.CompleteRevision(), uint64(5)) // changes between 5 and 9 may be missing
+	is.Equal(m.NewestRevision(), uint64(9))
 	is.Equal(len(m.Since(5).Records), 1)
 	is.Equal(len(m.List()), 1)
 }
 
-// Records come in any order, from listings, watches and peers, any number of
-// times. Whoever has heard of all of them holds the newest of each key.
-func TestOrderDoesNotMatter(t *testing.T) {
+// Records arrive in any order and any number of times, from listings, watches and peers. A copy
+// that received all of them must hold the newest record of each key.
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := []site.Record{}
 		newest := map[string]site.Record{}
 		for revision := uint64(1); revision < 20; revision++ {
 			key := fmt.Sprintf("servers/%d", rapid.IntRange(0, 3).Draw(t, "key"))
-			r := put(key, revision)
+			r := newRecord(key, revision)
 			if rapid.Bool().Draw(t, "deleted") {
-				r = gone(key, revision)
+				r = newTombstone(key, revision)
 			}
 			records = append(records, r)
 			newest[key] = r
 		}
 		m := newMirror("servers/")
 		for range 3 {
-			m.Learn(rapid.Permutation(records).Draw(t, "order"))
+			m.Merge(rapid.Permutation(records).Draw(t, "order"))
 		}
 		for key, r := range newest {
-			got, found := find(m, key)
+			got, found := findLive(m, key)
 			if found == r.Deleted || found && got.Revision != r.Revision {
 				t.Fatalf("%s: got %v (%v), want %v", key, got, found, r)
 			}
@@ -100,29 +99,29 @@
 	})
 }
 
-// world is a store with some copies of it.
-type world struct {
+// simulation is a store with several copies of it.
+type simulation struct {
 	revision uint64
-	// history holds every change, latest the last one of each key.
+	// history holds every change, latest the last change of each key.
 	history []site.Record
 	latest  map[string]site.Record
 	copies  []*mirror.Mirror
 }
 
-func (w *world) change(key string, deleted bool) {
-	w.revision++
-	r := put(key, w.revision)
+func (s *simulation) change(key string, deleted bool) {
+	s.revision++
+	r := newRecord(key, s.revision)
 	if deleted {
-		r = gone(key, w.revision)
+		r = newTombstone(key, s.revision)
 	}
-	w.history = append(w.history, r)
-	w.latest[key] = r
+	s.history = append(s.history, r)
+	s.latest[key] = r
 }
 
-// list returns what a listing of now holds.
-func (w *world) list() []site.Record {
+// list returns a listing of the store's current records.
+func (s *simulation) list() []site.Record {
 	records := []site.Record{}
-	for _, r := range w.latest {
+	for _, r := range s.latest {
 		if !r.Deleted {
 			records = append(records, r)
 		}
@@ -130,53 +129,53 @@
 	return records
 }
 
-// check fails where a copy lacks anything that the store told until the copy's revision.
-func (w *world) check(t *rapid.T) {
-	for i, m := range w.copies {
-		for key, r := range w.latest {
-			if r.Revision > m.At() {
+// check fails if a copy lacks a change up to its complete revision.
+func (s *simulation) check(t *rapid.T) {
+	for i, m := range s.copies {
+		for key, r := range s.latest {
+			if r.Revision > m.CompleteRevision() {
 				continue
 			}
-			got, found := find(m, key)
+			got, found := findLive(m, key)
 			if found == r.Deleted || found && got.Revision != r.Revision {
-				t.Fatalf("copy %d is complete up to %d, but of %s it has %v (%v) and not %v", i, m.At(), key, got, found, r)
+				t.Fatalf("copy %d is complete up to revision %d, but for %s it has %v (%v) instead of %v", i, m.CompleteRevision(), key, got, found, r)
 			}
 		}
 	}
 }
 
-// Ingresses hear of the store by listings, by looks at a part of it, by watches that may begin late, and from
-// each other, in any order, also from one that lags, and after the store dropped its
-// history. A hole would be a server that left and is still sent work; whoever says
-// that its copy is complete up to a revision must have none.
-func TestCopiesOfCopiesHaveNoHoles(t *testing.T) {
+// Copies are updated in any order by listings, by partial reads, by watches that may start late,
+// and from each other, including from a copy that lags and after the store compacted its history.
+// A missed change could be a removed server that still gets work, so no copy may lack a change
+// up to its complete revision.
+func TestCopiesHaveNoGapsUpToCompleteRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{latest: map[string]site.Record{}}
+		s := &simulation{latest: map[string]site.Record{}}
 		for range 4 {
-			w.copies = append(w.copies, newMirror("servers/"))
+			s.copies = append(s.copies, newMirror("servers/"))
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			m := w.copies[rapid.IntRange(0, 3).Draw(t, "copy")]
-			other := w.copies[rapid.IntRange(0, 3).Draw(t, "other")]
+			m := s.copies[rapid.IntRange(0, 3).Draw(t, "copy")]
+			other := s.copies[rapid.IntRange(0, 3).Draw(t, "other")]
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
-				w.change(fmt.Sprintf("servers/%d", rapid.IntRange(0, 4).Draw(t, "key")), rapid.Bool().Draw(t, "deleted"))
+				s.change(fmt.Sprintf("servers/%d", rapid.IntRange(0, 4).Draw(t, "key")), rapid.Bool().Draw(t, "deleted"))
 			case 2:
-				m.Replace(w.list(), w.revision)
+				m.ApplyListing(s.list(), s.revision)
 			case 3:
-				if m.At() > 0 {
-					m.Apply(w.history[m.At():], w.revision)
+				if m.CompleteRevision() > 0 {
+					m.Apply(s.history[m.CompleteRevision():], s.revision)
 				}
 			case 4:
-				m.Take(other.Since(m.At()))
+				m.ApplyDelta(other.Since(m.CompleteRevision()))
 			case 5:
-				m.Advance(other.Newest(), other.At())
+				m.Advance(other.NewestRevision(), other.CompleteRevision())
 			case 6:
-				if list := w.list(); len(list) > 0 {
-					m.Learn(list[:1]) // a look at some records only
+				if list := s.list(); len(list) > 0 {
+					m.Merge(list[:1]) // a partial read
 				}
 			}
-			w.check(t)
+			s.check(t)
 		}
 	})
 }
