--- a/ingress/services/state/state.go
+++ b/ingress/services/state/state.go
@@ -175,7 +175,7 @@
 		return
 	}
 	clear(b.lost)
-	b.servers.RegainStore(time.Now())
+	b.servers.MarkStoreAvailable(time.Now())
 }
 
 // isReading tells whether this ingress watches the store itself.
@@ -300,7 +300,7 @@
 	delete(b.lost, what)
 	b.options.Log.Info("store-regained", zap.String("what", string(what)))
 	if len(b.lost) == 0 {
-		b.servers.RegainStore(time.Now())
+		b.servers.MarkStoreAvailable(time.Now())
 	}
 }
 
@@ -316,7 +316,7 @@
 	if !b.direct {
 		return // a watch that was given up ended late
 	}
-	b.servers.LoseStore(since)
+	b.servers.MarkStoreUnavailable(since)
 	if b.lost[what] {
 		return
 	}
@@ -353,7 +353,7 @@
 func (b *Book) Expire(now time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	dropped := b.servers.Expire(now)
+	dropped := b.servers.DropExpired(now)
 	if len(dropped) > 0 {
 		b.options.Log.Info("servers-not-back", zap.Strings("servers", dropped))
 	}
--- a/ingress/services/state/take.go
+++ b/ingress/services/state/take.go
@@ -60,7 +60,7 @@
 func (b *Book) takeEvacuation(r site.Record, source string) {
 	domain := b.options.Codec.EvacuatedDomain(r.Key)
 	if r.Deleted {
-		b.servers.Return(domain, time.Now(), b.coldTime)
+		b.servers.EndEvacuation(domain, time.Now(), b.coldTime)
 	} else {
 		b.servers.Evacuate(domain)
 	}
--- a/share/decide/alive/alive.go
+++ b/share/decide/alive/alive.go
@@ -1,9 +1,9 @@
 // Package alive decides which registered backend servers may be sent new work.
 //
-// A backend server's registration lapses also while the store is away, though
-// the server is well. Taking every lapse at its word would leave nobody to
-// serve when the store comes back, so what lapsed around an outage is kept
-// until the servers have had time to register again.
+// During an outage of the store a backend server's registration expires although the server is
+// healthy. Acting on every such expiry would leave no servers when the store recovers, so
+// servers whose registration expired around an outage are kept until they have had time to
+// register again.
 package alive
 
 import (
@@ -15,38 +15,38 @@
 )
 
 const (
-	// ReturnTime is how long after the store's return a live server is back in it:
-	// the platform promises about two seconds; a quarter more for the watch's own delay.
-	ReturnTime = 2500 * time.Millisecond
-	// LapseTime is how long after the store's return a removal still counts as a lapse:
-	// what lapsed in the outage shows in the first answer, and the store
-	// may need a moment to look through its entries.
+	// ReregisterTime is how long after the store's recovery a live server is registered again:
+	// the platform promises about two seconds, plus a quarter more for the delay of the watch.
+	ReregisterTime = 2500 * time.Millisecond
+	// ExpiryWindow is how long after the store's recovery a removal still counts as an expiry:
+	// registrations that expired in the outage are missing in the first answer, and the store
+	// may need a moment to scan its entries.
 	//
-	// Guards against new work for a server that left just after this process reached
-	// the store again. A process that was cut off alone cannot tell that from an
-	// outage; it kept the server for ReturnTime, and sent it work after the
-	// time in which a leaving server must still take some.
-	LapseTime = 700 * time.Millisecond
-	// minOutage is the shortest loss of the store that is taken for an outage in
-	// which registrations may lapse; a single lost call is shorter.
+	// The window is short because a process that alone lost its connection cannot tell this
+	// from an outage of the store. A server that shut down just after such a process had
+	// reconnected would be kept for ReregisterTime, and would get work after the time in
+	// which a draining server must still accept some.
+	ExpiryWindow = 700 * time.Millisecond
+	// minOutage is the shortest unavailability of the store that counts as an outage, in which
+	// registrations may expire. A single failed call is shorter.
 	minOutage = time.Second
 )
 
-// Set holds the registered servers; its caller guards it.
+// Set holds the registered servers. It is not safe for concurrent use.
 type Set struct {
 	servers map[string]entry
-	// lostAt is when the store was lost, zero while it is reached.
-	lostAt time.Time
-	// regainedAt is when the last outage ended, zero before the first.
-	regainedAt time.Time
+	// unavailableSince is when the store became unavailable; zero while it is available.
+	unavailableSince time.Time
+	// recoveredAt is when the last outage ended; zero before the first.
+	recoveredAt time.Time
 	// evacuated holds the failure domains that get no new work.
 	evacuated map[string]bool
 }
 
 type entry struct {
 	server site.Server
-	// lapsed servers are missing in the store and kept for now.
-	lapsed bool
+	// expired is set if the server is missing in the store but kept for now.
+	expired bool
 }
 
 // NewSet returns a set without servers.
@@ -54,20 +54,21 @@
 	return &Set{servers: map[string]entry{}, evacuated: map[string]bool{}}
 }
 
-// Put notes a registration.
+// Put adds or updates a registered server.
 func (s *Set) Put(server site.Server) {
 	s.servers[server.ID] = entry{server: server}
 }
 
-// Remove notes that a registration ended at time now. It returns true where the server is kept for now.
+// Remove handles the end of a registration at time now. It returns true if the server is kept
+// for now.
 func (s *Set) Remove(id string, now time.Time) (kept bool) {
 	e, known := s.servers[id]
 	if !known {
 		return false
 	}
-	// A server that said that it leaves is not expected back.
-	if e.server.State == site.ServerReady && s.isUnsure(now) {
-		e.lapsed = true
+	// A draining server is not expected to register again.
+	if e.server.State == site.ServerReady && s.mayHaveExpired(now) {
+		e.expired = true
 		s.servers[id] = e
 		return true
 	}
@@ -75,43 +76,45 @@
 	return false
 }
 
-// isUnsure tells whether a removal may be a lapse.
-func (s *Set) isUnsure(now time.Time) bool {
-	return s.isAway(now) || s.isWithin(now, LapseTime)
+// mayHaveExpired reports whether a removal may be an expiry caused by an outage.
+func (s *Set) mayHaveExpired(now time.Time) bool {
+	return s.isInOutage(now) || s.hasRecoveredWithin(now, ExpiryWindow)
 }
 
-// isAway tells whether the store has been lost for so long that registrations may lapse.
-func (s *Set) isAway(now time.Time) bool {
-	return !s.lostAt.IsZero() && now.Sub(s.lostAt) >= minOutage
+// isInOutage reports whether the store has been unavailable for so long that registrations may
+// expire.
+func (s *Set) isInOutage(now time.Time) bool {
+	return !s.unavailableSince.IsZero() && now.Sub(s.unavailableSince) >= minOutage
 }
 
-// isWithin tells whether the last outage ended less than span ago.
-func (s *Set) isWithin(now time.Time, span time.Duration) bool {
-	return !s.regainedAt.IsZero() && now.Sub(s.regainedAt) < span
+// hasRecoveredWithin reports whether the last outage ended less than span ago.
+func (s *Set) hasRecoveredWithin(now time.Time, span time.Duration) bool {
+	return !s.recoveredAt.IsZero() && now.Sub(s.recoveredAt) < span
 }
 
-// LoseStore notes that the store has not answered since a time.
-func (s *Set) LoseStore(since time.Time) {
-	if s.lostAt.IsZero() || since.Before(s.lostAt) {
-		s.lostAt = since
+// MarkStoreUnavailable records that the store has not answered since the given time.
+func (s *Set) MarkStoreUnavailable(since time.Time) {
+	if s.unavailableSince.IsZero() || since.Before(s.unavailableSince) {
+		s.unavailableSince = since
 	}
 }
 
-// RegainStore notes that the store answers.
-func (s *Set) RegainStore(now time.Time) {
-	if s.isAway(now) {
-		s.regainedAt = now
+// MarkStoreAvailable records that the store answers.
+func (s *Set) MarkStoreAvailable(now time.Time) {
+	if s.isInOutage(now) {
+		s.recoveredAt = now
 	}
-	s.lostAt = time.Time{}
+	s.unavailableSince = time.Time{}
 }
 
-// Expire drops the lapsed servers whose time to come back is over and returns their IDs.
-func (s *Set) Expire(now time.Time) (dropped []string) {
-	if s.isAway(now) || s.isWithin(now, ReturnTime) {
+// DropExpired removes the expired servers once their time to register again has passed, and
+// returns their IDs.
+func (s *Set) DropExpired(now time.Time) (dropped []string) {
+	if s.isInOutage(now) || s.hasRecoveredWithin(now, ReregisterTime) {
 		return nil
 	}
 	for id, e := range s.servers {
-		if e.lapsed {
+		if e.expired {
 			delete(s.servers, id)
 			dropped = append(dropped, id)
 		}
@@ -119,15 +122,15 @@
 	return dropped
 }
 
-// Evacuate notes that the servers of a failure domain are to get no new work.
+// Evacuate stops new work for the servers of a failure domain.
 func (s *Set) Evacuate(domain string) { s.evacuated[domain] = true }
 
-// Return notes that the servers of a failure domain take work again. They count as cold
-// for as long as coldTime says of their service, unless they say that it is longer.
+// EndEvacuation lets the servers of a failure domain take work again. They count as cold for
+// the coldTime of their service, or longer if their registration says so.
 //
-// Guards against a second of too many requests: the servers are cold when their domain
-// is taken back, and their own word of it comes up to a heartbeat later.
-func (s *Set) Return(domain string, now time.Time, coldTime func(service string) time.Duration) {
+// Without the cold time they would get too many requests for a second: they are cold when the
+// evacuation ends, but report this up to a heartbeat later.
+func (s *Set) EndEvacuation(domain string, now time.Time, coldTime func(service string) time.Duration) {
 	if !s.evacuated[domain] {
 		return
 	}
@@ -147,7 +150,7 @@
 // Evacuated returns the failure domains that get no new work, sorted.
 func (s *Set) Evacuated() []string { return slices.Sorted(maps.Keys(s.evacuated)) }
 
-// List returns the servers that take new work, by service.
+// List returns the servers that may be sent new work, by service.
 func (s *Set) List() map[string][]site.Server {
 	list := map[string][]site.Server{}
 	for _, e := range s.servers {
