--- a/ingress/services/flow/flow.go
+++ b/ingress/services/flow/flow.go
@@ -313,7 +313,7 @@
 	s := x.server
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if !s.getPool(x.service).repeats.TakeRepeats(time.Now(), 1, s.ingresses) {
+	if !s.getPool(x.service).repeats.TakeRetries(time.Now(), 1, s.ingresses) {
 		x.log.Info("repeat-denied", zap.String("reason", reason), zap.Int("ingresses", s.ingresses))
 		return false
 	}
--- a/ingress/services/pieces/owner.go
+++ b/ingress/services/pieces/owner.go
@@ -149,7 +149,7 @@
 		o.budgets[s.Name] = repeats
 	}
 	planner := batch.NewPlanner(*s.Pool, o.options.Regions, func(now time.Time, n int) bool {
-		return repeats.TakeRepeats(now, n, o.ingresses)
+		return repeats.TakeRetries(now, n, o.ingresses)
 	})
 	return &unit{planner: planner, repeats: repeats, waiting: map[uint64]chan batch.Done{}}
 }
--- a/share/decide/budget/budget.go
+++ b/share/decide/budget/budget.go
@@ -1,59 +1,62 @@
-// Package budget bounds how often requests are sent once more. The bound holds
-// for all ingresses together over any span of a window's length; each one keeps
-// to its part without asking, so it holds also while they are cut off from each
-// other.
+// Package budget implements the retry budget of a service: it bounds how many requests are
+// retried. The bound holds for all ingresses together over any span of one window. Each ingress
+// keeps to its own part of it without communication, so it also holds while the ingresses
+// cannot reach each other.
 package budget
 
 import "time"
 
-// Settings are the deployment's bound.
+// Settings define the bound of a deployment.
 type Settings struct {
-	// Ratio of the requests of a window that may be sent once more.
+	// Ratio is the share of a window's requests that may be retried.
 	Ratio float64
-	// Slack is what may be sent once more in a window beside that, by all ingresses together.
+	// Slack is the number of retries per window that are allowed in addition to Ratio, by all
+	// ingresses together.
 	Slack float64
-	// Window is the span over which is counted.
+	// Window is the span over which requests and retries are counted.
 	Window time.Duration
 }
 
-// keepPart is the share of the bound that is used. The rest covers arrivals that
-// are counted in another window than they were sent in, and an ingress that was
-// replaced and counts anew.
-const keepPart = 0.7
+// usableShare is the share of the bound that is used. The rest covers requests that arrive, and
+// are counted, in another window than the one they were sent in, and an ingress that was
+// replaced and starts counting from zero.
+const usableShare = 0.7
 
-// Budget counts for one service at one ingress; its caller guards it.
+// Budget counts the requests and retries of one service at one ingress. It is not safe for
+// concurrent use.
 type Budget struct {
 	settings Settings
-	// requests and repeats hold the times of the last window, the oldest first.
+	// requests and retries hold the times within the last window, the oldest first.
 	requests []time.Time
-	repeats  []time.Time
+	retries  []time.Time
 }
 
-// NewBudget returns a budget with nothing counted.
+// NewBudget returns a budget without counted requests.
 func NewBudget(settings Settings) *Budget {
 	return &Budget{settings: settings}
 }
 
-// SetSettings takes a new bound; what was counted stays.
+// SetSettings replaces the settings and keeps the counts.
 func (b *Budget) SetSettings(settings Settings) { b.settings = settings }
 
-// CountRequest notes the first arrival of a request.
+// CountRequest counts a new request, as opposed to a retry.
 func (b *Budget) CountRequest(now time.Time) {
 	b.expire(now)
 	b.requests = append(b.requests, now)
 }
 
-// TakeRepeats counts n further arrivals and returns true, or returns false where they are beyond
-// this ingress's part. Ingresses is the highest number of them that may count at the same time.
-func (b *Budget) TakeRepeats(now time.Time, n, ingresses int) bool {
+// TakeRetries counts n retries and returns true, or counts none and returns false if they
+// exceed this ingress's part of the bound. The argument ingresses is the highest number of
+// ingresses that may use the budget at the same time.
+func (b *Budget) TakeRetries(now time.Time, n, ingresses int) bool {
 	b.expire(now)
 	part := b.settings.Slack / float64(max(ingresses, 1))
-	bound := keepPart * (b.settings.Ratio*float64(len(b.requests)) + part)
-	if float64(len(b.repeats)+n) > bound {
+	bound := usableShare * (b.settings.Ratio*float64(len(b.requests)) + part)
+	if float64(len(b.retries)+n) > bound {
 		return false
 	}
 	for range n {
-		b.repeats = append(b.repeats, now)
+		b.retries = append(b.retries, now)
 	}
 	return true
 }
@@ -61,7 +64,7 @@
 func (b *Budget) expire(now time.Time) {
 	oldest := now.Add(-b.settings.Window)
 	b.requests = dropBefore(b.requests, oldest)
-	b.repeats = dropBefore(b.repeats, oldest)
+	b.retries = dropBefore(b.retries, oldest)
 }
 
 func dropBefore(times []time.Time, oldest time.Time) []time.Time {
--- a/share/decide/budget/budget_test.go
+++ b/share/decide/budget/budget_test.go
@@ -12,10 +12,9 @@
 
 var settings = budget.Settings{Ratio: 0.2, Slack: 58, Window: 10 * time.Second} //nolint:gochecknoglobals // a constant in all but syntax
 
-// Backend servers crash under a burst and every request is sent once more. Six
-// ingresses, cut off from each other, must keep to the bound together in any span
-// of a window's length.
-func TestIngressesKeepTheBoundTogether(t *testing.T) {
+// Backend servers crash in a burst and every request is retried. Six ingresses that cannot
+// reach each other must together stay within the bound over any span of one window.
+func TestIngressesTogetherStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ingresses = 6
 		budgets := [ingresses]*budget.Budget{}
@@ -23,22 +22,22 @@
 			budgets[i] = budget.NewBudget(settings)
 		}
 		start := time.Unix(0, 0)
-		requests, repeats := []time.Time{}, []time.Time{}
+		requests, retries := []time.Time{}, []time.Time{}
 		now := start
 		for range 3000 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, ingresses-1).Draw(t, "ingress")]
 			b.CountRequest(now)
 			requests = append(requests, now)
-			if b.TakeRepeats(now, 1, ingresses) {
-				repeats = append(repeats, now)
+			if b.TakeRetries(now, 1, ingresses) {
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			from := end.Add(-settings.Window)
-			n, m := countIn(repeats, from, end), countIn(requests, from, end)
+			n, m := countIn(retries, from, end), countIn(requests, from, end)
 			if float64(n) > settings.Ratio*float64(m)+settings.Slack {
-				t.Fatalf("%d repeats for %d requests", n, m)
+				t.Fatalf("%d retries for %d requests", n, m)
 			}
 		}
 	})
@@ -54,15 +53,15 @@
 	return n
 }
 
-func TestQuietServiceMayRepeat(t *testing.T) {
+func TestIdleServiceMayRetryWithinSlack(t *testing.T) {
 	is := is.New(t)
 	b := budget.NewBudget(settings)
 	now := time.Unix(0, 0)
-	is.True(b.TakeRepeats(now, 1, 6))
+	is.True(b.TakeRetries(now, 1, 6))
 	taken := 1
-	for b.TakeRepeats(now, 1, 6) {
+	for b.TakeRetries(now, 1, 6) {
 		taken++
 	}
 	is.Equal(taken, 6) // 0.7 of 58/6
-	is.True(b.TakeRepeats(now.Add(settings.Window+time.Millisecond), 1, 6))
+	is.True(b.TakeRetries(now.Add(settings.Window+time.Millisecond), 1, 6))
 }
