--- a/ingress/services/pieces/owner.go
+++ b/ingress/services/pieces/owner.go
@@ -26,7 +26,7 @@
 
 // Pools calls the backend servers that make results.
 type Pools interface {
-	Make(ctx context.Context, server site.Server, items []site.Item) (site.Batch, error)
+	Make(ctx context.Context, server site.Server, items []site.Item) (site.BatchAnswer, error)
 	Release(ctx context.Context, holder netip.AddrPort, handles []string) error
 	// Warm prepares for the next call to a server.
 	Warm(server site.Server)
@@ -149,7 +149,7 @@
 		o.budgets[s.Name] = repeats
 	}
 	planner := batch.NewPlanner(*s.Pool, o.options.Regions, func(now time.Time, n int) bool {
-		return repeats.TakeRepeats(now, n, o.ingresses)
+		return repeats.TakeRetries(now, n, o.ingresses)
 	})
 	return &unit{planner: planner, repeats: repeats, waiting: map[uint64]chan batch.Done{}}
 }
--- a/share/decide/place/place_test.go
+++ b/share/decide/place/place_test.go
@@ -146,7 +146,7 @@
 	c.Start(now, "s0")
 	c.End(now, "s0", place.ResultUnreachable, 0, nil)
 	is.Equal(pick(t, c, now), "s1")
-	servers[0].Born = 7
+	servers[0].Incarnation = 7
 	c.SetServers(servers)
 	is.Equal(pick(t, c, now), "s0")
 }
