--- a/agent/cmds/serve.go
+++ b/agent/cmds/serve.go
@@ -92,7 +92,7 @@
 	port := kvport.NewPort(a.store)
 	a.stopper = stops.NewStopper(drain.Settings{Grace: s.Stop.Grace, Linger: min(s.Peers.Linger, s.Stop.Grace)})
 	a.follower = procs.NewFollower(s.Instance.Name, s.Instance.Domain, port, a, a.log)
-	guard := claim.NewGuard(incarnation, claim.GuardLimits{Attempts: guardAttempts, Answers: guardAnswers})
+	guard := claim.NewGuard(incarnation, claim.GuardLimits{Attempts: guardAttempts, CachedAnswers: guardAnswers})
 	a.keeper = claims.NewKeeper(guard, port, a.log)
 	a.gate = gate.NewGate(queue.Settings{
 		Mode:    queue.Mode(s.Backend.QueueMode),
--- a/agent/services/claims/keeper.go
+++ b/agent/services/claims/keeper.go
@@ -62,8 +62,8 @@
 			return nil
 		case claim.Refuse:
 			return codes.NewResult(a.Code, "the attempt may not start").WithOutcome(codes.OutcomeNotRun)
-		case claim.Tell:
-			return codes.NewResult(codes.InProgress, "a copy of the attempt has started: "+string(a.Told.State))
+		case claim.ReportAttempt:
+			return codes.NewResult(codes.InProgress, "a copy of the attempt has started: "+string(a.Report.State))
 		}
 	}
 	return codes.NewResult(codes.Internal, "no decision on the attempt")
@@ -71,7 +71,7 @@
 
 // StartAttempt says whether the attempt may be sent to the backend server now.
 func (k *Keeper) StartAttempt(attempt string, until time.Time) *codes.Result {
-	for _, action := range k.step(claim.Starting{Attempt: attempt, Until: until}) {
+	for _, action := range k.step(claim.Starting{Attempt: attempt, Deadline: until}) {
 		switch a := action.(type) {
 		case claim.Run:
 			return nil
@@ -90,7 +90,7 @@
 // FinishAttempt notes the end of a run; a whole answer is written to the key-value service until that is confirmed.
 func (k *Keeper) FinishAttempt(ctx context.Context, attempt string, outcome codes.Outcome, answer claim.Answer) {
 	for _, action := range k.step(claim.RunFinished{Attempt: attempt, Outcome: outcome, Answer: answer}) {
-		if write, ok := action.(claim.WriteDone); ok {
+		if write, ok := action.(claim.WriteAnswer); ok {
 			go k.runWrite(ctx, write)
 		}
 	}
@@ -98,15 +98,15 @@
 
 // AnswerAsk tells what became of an attempt; one that has not started is tombstoned.
 func (k *Keeper) AnswerAsk(ask *wire.Ask) *wire.Told {
-	for _, action := range k.step(claim.Asked{Attempt: ask.GetAttempt(), Incarnation: ask.GetIncarnation()}) {
-		if tell, ok := action.(claim.Tell); ok {
-			return encodeTold(tell.Told)
+	for _, action := range k.step(claim.TombstoneRequested{Attempt: ask.GetAttempt(), Incarnation: ask.GetIncarnation()}) {
+		if tell, ok := action.(claim.ReportAttempt); ok {
+			return encodeTold(tell.Report)
 		}
 	}
-	return &wire.Told{State: string(claim.ToldBusy)}
+	return &wire.Told{State: string(claim.ReportedBusy)}
 }
 
-func encodeTold(told claim.Told) *wire.Told {
+func encodeTold(told claim.AttemptReport) *wire.Told {
 	out := &wire.Told{State: string(told.State)}
 	if told.Answer == nil {
 		return out
@@ -127,11 +127,11 @@
 
 // runWrite repeats the write through an outage: until it is confirmed, only
 // this process knows the answer.
-func (k *Keeper) runWrite(ctx context.Context, write claim.WriteDone) {
+func (k *Keeper) runWrite(ctx context.Context, write claim.WriteAnswer) {
 	for ctx.Err() == nil {
 		err := k.writeDone(ctx, write)
 		if err == nil {
-			k.step(claim.DoneWritten{Attempt: write.Attempt})
+			k.step(claim.AnswerWritten{Attempt: write.Attempt})
 			return
 		}
 		k.log.Warn("claim-write-failed", zap.String("attempt", write.Attempt), zap.Error(err))
@@ -139,7 +139,7 @@
 	}
 }
 
-func (k *Keeper) writeDone(ctx context.Context, write claim.WriteDone) error {
+func (k *Keeper) writeDone(ctx context.Context, write claim.WriteAnswer) error {
 	stored, err := k.store.GetClaim(ctx, write.Key)
 	if err != nil {
 		return err
--- a/entry/routers/caller/world_test.go
+++ b/entry/routers/caller/world_test.go
@@ -186,7 +186,7 @@
 }
 
 func (w *world) AskAgent(context.Context, string, *wire.Ask) (*wire.Told, error) {
-	return &wire.Told{State: string(claim.ToldTombstoned)}, nil
+	return &wire.Told{State: string(claim.ReportedTombstoned)}, nil
 }
 
 func (w *world) GetClaim(_ context.Context, key string) (*claim.Stored, error) {
--- a/entry/services/direct/claimed.go
+++ b/entry/services/direct/claimed.go
@@ -148,7 +148,7 @@
 		return s.read(ctx, a.Key)
 	case claim.CompareAndSwap:
 		return s.swap(ctx, a)
-	case claim.AskAgent:
+	case claim.RequestTombstone:
 		return s.ask(ctx, a)
 	case claim.Dispatch:
 		return s.dispatch(ctx)
@@ -164,9 +164,9 @@
 	stored, err := s.caller.options.Claims.GetClaim(ctx, key)
 	if err != nil {
 		s.log("claim-read-failed", err)
-		return claim.ReadBack{Failed: true}
+		return claim.ReadResult{Failed: true}
 	}
-	return claim.ReadBack{Stored: stored}
+	return claim.ReadResult{Stored: stored}
 }
 
 func (s *submission) swap(ctx context.Context, a claim.CompareAndSwap) claim.Event {
@@ -181,7 +181,7 @@
 	return claim.SwapResult{Outcome: claim.SwapDone}
 }
 
-func (s *submission) ask(ctx context.Context, a claim.AskAgent) claim.Event {
+func (s *submission) ask(ctx context.Context, a claim.RequestTombstone) claim.Event {
 	// The caller's deadline may have passed; asking has a short time of its own.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTime)
 	defer cancel()
@@ -192,13 +192,13 @@
 	})
 	if err != nil {
 		s.log("claim-ask-failed", err)
-		return claim.Told{Attempt: a.Attempt, State: claim.ToldUnreachable}
+		return claim.AttemptReport{Attempt: a.Attempt, State: claim.ReportedUnreachable}
 	}
 	return decodeTold(a.Attempt, told)
 }
 
 func decodeTold(attempt string, told *wire.Told) claim.Event {
-	out := claim.Told{Attempt: attempt, State: claim.ToldState(told.GetState())}
+	out := claim.AttemptReport{Attempt: attempt, State: claim.ReportedState(told.GetState())}
 	if len(told.GetAnswer()) == 0 {
 		return out
 	}
@@ -221,11 +221,11 @@
 		s.caller.addUse(ctx, s.request)
 	}
 	if result != nil {
-		return claim.RunEnded{Attempt: s.attempt, Result: *result}
+		return claim.DispatchEnded{Attempt: s.attempt, Result: *result}
 	}
 	answer := claim.Answer{Code: codes.OK, Status: got.Status, ContentType: got.ContentType, Body: got.Body}
 	ok := codes.NewResult(codes.OK, "")
-	return claim.RunEnded{Attempt: s.attempt, Result: *ok, Answer: &answer}
+	return claim.DispatchEnded{Attempt: s.attempt, Result: *ok, Answer: &answer}
 }
 
 // dispatched tells whether the chosen agent was used up by a dispatch.
--- a/entry/services/settle/settle.go
+++ b/entry/services/settle/settle.go
@@ -79,7 +79,7 @@
 		return admapi.Claim{}, codes.NewResult(codes.ConfigConflict, detail)
 	}
 	told := s.ask(ctx, claim.Key(team, key), &stored.Record)
-	resolution := claim.Resolution{By: operator, Outcome: r.Outcome, Told: told, InstanceGone: r.InstanceGone}
+	resolution := claim.Resolution{Operator: operator, Outcome: r.Outcome, Reported: told, InstanceGone: r.InstanceGone}
 	record, err := claim.Resolve(stored.Record, resolution, time.Now())
 	if err != nil {
 		return admapi.Claim{}, newRefusal(told, err)
@@ -95,7 +95,7 @@
 	return settled, nil
 }
 
-func (s *Service) ask(ctx context.Context, key string, record *claim.Record) claim.ToldState {
+func (s *Service) ask(ctx context.Context, key string, record *claim.Record) claim.ReportedState {
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	told, err := s.agents.AskAgent(ctx, record.Agent, &wire.Ask{
@@ -104,9 +104,9 @@
 		Incarnation: record.Incarnation,
 	})
 	if err != nil {
-		return claim.ToldUnreachable
+		return claim.ReportedUnreachable
 	}
-	return claim.ToldState(told.GetState())
+	return claim.ReportedState(told.GetState())
 }
 
 func (s *Service) swap(ctx context.Context, key string, record claim.Record, index uint64) error {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func (s *Service) record(operator, team, key string, told claim.ToldState, r admapi.ClaimResolution) {
+func (s *Service) record(operator, team, key string, told claim.ReportedState, r admapi.ClaimResolution) {
 	s.log.Info("claim-resolution",
 		zap.String("operator", operator),
 		zap.String("team", team),
@@ -134,9 +134,9 @@
 }
 
 // newRefusal says that nothing was settled, which is what its outcome speaks of.
-func newRefusal(told claim.ToldState, err error) error {
+func newRefusal(told claim.ReportedState, err error) error {
 	code := codes.OutcomeNotKnown
-	if told == claim.ToldRunning || told == claim.ToldDone {
+	if told == claim.ReportedRunning || told == claim.ReportedDone {
 		code = codes.InProgress
 	}
 	return codes.NewResult(code, err.Error()).WithOutcome(codes.OutcomeNotRun)
--- a/entry/services/settle/settle_test.go
+++ b/entry/services/settle/settle_test.go
@@ -25,7 +25,7 @@
 	// loseAnswer makes the write take effect and fail; move makes another write come first.
 	loseAnswer, move bool
 	// says is what the agent answers; empty: it cannot be reached.
-	says  claim.ToldState
+	says  claim.ReportedState
 	asked []*wire.Ask
 	log   bytes.Buffer
 }
@@ -62,7 +62,7 @@
 	return &wire.Told{State: string(w.says)}, nil
 }
 
-func newWorld(says claim.ToldState) *world {
+func newWorld(says claim.ReportedState) *world {
 	return &world{says: says, stored: &claim.Stored{Index: 7, Record: claim.Record{
 		State:       claim.StateClaimed,
 		Attempt:     "a1",
@@ -97,20 +97,20 @@
 func TestResolveDependsOnWhatTheAgentSays(t *testing.T) {
 	tests := []struct {
 		name    string
-		says    claim.ToldState
+		says    claim.ReportedState
 		outcome codes.Outcome
 		gone    bool
 		code    codes.Code
 	}{
-		{"given up, so free", claim.ToldTombstoned, codes.OutcomeNotRun, false, codes.OK},
-		{"restarted, so free", claim.ToldOtherIncarnation, codes.OutcomeNotRun, false, codes.OK},
-		{"it ran, seen at the server", claim.ToldOutcomeUnknown, codes.OutcomeRan, false, codes.OK},
+		{"given up, so free", claim.ReportedTombstoned, codes.OutcomeNotRun, false, codes.OK},
+		{"restarted, so free", claim.ReportedOtherIncarnation, codes.OutcomeNotRun, false, codes.OK},
+		{"it ran, seen at the server", claim.ReportedOutcomeUnknown, codes.OutcomeRan, false, codes.OK},
 		{"silent, it ran", "", codes.OutcomeRan, false, codes.OK},
 		{"silent, freed", "", codes.OutcomeNotRun, false, codes.OutcomeNotKnown},
 		{"silent, freed, gone", "", codes.OutcomeNotRun, true, codes.OK},
-		{"busy, freed", claim.ToldBusy, codes.OutcomeNotRun, false, codes.OutcomeNotKnown},
-		{"running", claim.ToldRunning, codes.OutcomeNotRun, true, codes.InProgress},
-		{"done", claim.ToldDone, codes.OutcomeRan, true, codes.InProgress},
+		{"busy, freed", claim.ReportedBusy, codes.OutcomeNotRun, false, codes.OutcomeNotKnown},
+		{"running", claim.ReportedRunning, codes.OutcomeNotRun, true, codes.InProgress},
+		{"done", claim.ReportedDone, codes.OutcomeRan, true, codes.InProgress},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -135,14 +135,14 @@
 }
 
 func TestResolveFailures(t *testing.T) {
-	done := newWorld(claim.ToldDone)
+	done := newWorld(claim.ReportedDone)
 	done.stored.Record.State = claim.StateDone
 	done.stored.Record.Answer = &claim.Answer{Status: 201}
-	down := newWorld(claim.ToldTombstoned)
+	down := newWorld(claim.ReportedTombstoned)
 	down.down = true
-	lost := newWorld(claim.ToldTombstoned)
+	lost := newWorld(claim.ReportedTombstoned)
 	lost.loseAnswer = true
-	moved := newWorld(claim.ToldTombstoned)
+	moved := newWorld(claim.ReportedTombstoned)
 	moved.move = true
 	tests := []struct {
 		name  string
--- a/share/decide/claim/event.go
+++ b/share/decide/claim/event.go
@@ -6,77 +6,83 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Event is what happened; each type below is one.
+// Event is an input of Submission.Step or Guard.Step.
 type Event interface{ event() }
 
-// Action is what the caller of a decision must do; each type below is one.
+// Action is an output of Submission.Step or Guard.Step that the caller must carry out.
 type Action interface{ action() }
 
-// SwapOutcome is the result of a compare-and-swap as its writer sees it.
+// SwapOutcome is the result of a compare-and-swap as the writer observes it.
 type SwapOutcome string
 
 // The outcomes of a compare-and-swap.
 const (
 	SwapDone SwapOutcome = "swapped"
 	SwapLost SwapOutcome = "lost"
-	// SwapUnknown means no answer: the write may have taken effect, or may yet.
+	// SwapUnknown means that no answer came: the write may have taken effect or may still do so.
 	SwapUnknown SwapOutcome = "unknown"
 )
 
-// ToldState is what is known of an attempt at its agent.
-type ToldState string
+// ReportedState is the state of an attempt as its agent reports it, or ReportedUnreachable.
+type ReportedState string
 
-// The states that an agent tells, and the last for one that does not answer.
+// The reported states.
 const (
-	// ToldTombstoned means that the attempt has not run and never will.
-	ToldTombstoned ToldState = "tombstoned"
-	ToldRunning    ToldState = "running"
-	// ToldDone comes with the answer, or without where the key-value service holds it.
-	ToldDone             ToldState = "done"
-	ToldOtherIncarnation ToldState = "other-incarnation"
-	// ToldOutcomeUnknown means that the backend server may have run it and gave no answer.
-	ToldOutcomeUnknown ToldState = "outcome-unknown"
-	// ToldBusy means that the agent cannot remember another tombstone.
-	ToldBusy        ToldState = "busy"
-	ToldUnreachable ToldState = "unreachable"
+	// ReportedTombstoned means that the attempt has not run and never will.
+	ReportedTombstoned ReportedState = "tombstoned"
+	// ReportedRunning is also reported of a queued attempt whose dispatch arrives a second time.
+	ReportedRunning ReportedState = "running"
+	// ReportedDone comes with the answer. The answer may be missing once the key-value service holds
+	// it.
+	ReportedDone ReportedState = "done"
+	// ReportedOtherIncarnation means that the agent has another incarnation than the one in the
+	// request, and no record of that one's attempts.
+	ReportedOtherIncarnation ReportedState = "other-incarnation"
+	// ReportedOutcomeUnknown means that the backend server may have run the attempt but did not
+	// answer.
+	ReportedOutcomeUnknown ReportedState = "outcome-unknown"
+	// ReportedBusy means that the agent has no memory left for another tombstone.
+	ReportedBusy ReportedState = "busy"
+	// ReportedUnreachable means that the agent did not answer.
+	ReportedUnreachable ReportedState = "unreachable"
 )
 
 // Events of a Submission.
 type (
 	// Started opens the submission.
 	Started struct {
-		// Known is the record an earlier submission of the same entry released; nil: none.
-		Known *Stored
+		// Released is the record that an earlier submission of the same entry released, nil if none.
+		Released *Stored
 	}
-	// ReadBack answers Read.
-	ReadBack struct {
-		// Stored is nil where the key is absent or Failed is set.
+	// ReadResult answers Read.
+	ReadResult struct {
+		// Stored is nil if the key is absent or Failed is set.
 		Stored *Stored
-		// Failed means that the service gave no answer.
+		// Failed means that the key-value service did not answer.
 		Failed bool
 	}
 	// SwapResult answers CompareAndSwap.
 	SwapResult struct {
 		Outcome SwapOutcome
-		// Index is the new one, for SwapDone.
+		// Index is the index of the written record; it is set for SwapDone only.
 		Index uint64
 	}
-	// Told answers AskAgent.
-	Told struct {
+	// AttemptReport answers RequestTombstone.
+	AttemptReport struct {
 		Attempt string
-		State   ToldState
+		State   ReportedState
 		Answer  *Answer
 	}
-	// RunEnded reports how the dispatched attempt ended, as far as this entry knows.
-	// Only the stream that carried the dispatch may bring it: to a second copy a
-	// restarted agent answers "not run" although the first copy may have run.
-	RunEnded struct {
+	// DispatchEnded reports how the dispatched attempt ended, as far as this entry knows.
+	// It must come only from the stream that carried the dispatch: a restarted agent answers a
+	// duplicate of the dispatch with "not run" although the first copy may have run.
+	DispatchEnded struct {
 		Attempt string
 		Result  codes.Result
-		// Answer is set where Result's outcome is codes.OutcomeRan and the answer is whole.
+		// Answer is set if the outcome of Result is codes.OutcomeRan and the answer is complete.
 		Answer *Answer
 	}
-	// DeadlinePassed comes at the deadline, and again once the time for asking the agent is over.
+	// DeadlinePassed comes at the deadline, and again when RequestTombstone has timed out.
 	DeadlinePassed struct{}
 )
 
@@ -84,28 +90,29 @@
 type (
 	// Read asks the key-value service for the key.
 	Read struct{ Key string }
-	// CompareAndSwap writes Record if the key's index still is Index.
+	// CompareAndSwap writes Record if the key's index is still Index.
 	CompareAndSwap struct {
 		Key    string
 		Record Record
 		Index  uint64
 	}
-	// AskAgent asks the agent to tombstone the attempt unless it has started.
-	AskAgent struct {
+	// RequestTombstone asks the agent to tombstone the attempt unless it has started, and to report
+	// its state.
+	RequestTombstone struct {
 		Key         string
 		Agent       string
 		Incarnation string
 		Attempt     string
 	}
-	// Dispatch sends the attempt, once, on one stream.
+	// Dispatch sends the attempt to its agent, once, on one stream.
 	Dispatch struct{ Choice Choice }
-	// Reply answers the caller: Answer where it is set, else Result.
+	// Reply answers the caller with Answer if it is set, else with Result.
 	Reply struct {
 		Result codes.Result
 		Answer *Answer
 	}
-	// Release frees the key by compare-and-swap; its result is not reported back.
-	// An entry that submits again at once passes it to Started instead.
+	// Release frees the key by compare-and-swap. Its result is not passed to Step. An entry that
+	// resubmits the key immediately passes Stored to Started instead of writing it.
 	Release struct {
 		Key    string
 		Stored Stored
@@ -114,41 +121,42 @@
 
 // Events of a Guard.
 type (
-	// Dispatched is the arrival of an attempt.
+	// Dispatched is the arrival of a dispatched attempt at the agent.
 	Dispatched struct {
 		Key         string
 		Attempt     string
 		Incarnation string
 	}
-	// Starting comes immediately before the call to the backend server.
+	// Starting comes immediately before the request is sent to the backend server.
 	Starting struct {
 		Attempt string
-		// Until is the moment of the monotonic clock from which the run must not start.
-		Until time.Time
+		// Deadline is the time on the monotonic clock from which the run must not start.
+		Deadline time.Time
 	}
-	// Dropped says that the agent refused the attempt, before or after Dispatched, or took it off its queue.
-	// Each refusal outside the guard must be told, or a second copy of the dispatch could run.
+	// Dropped reports that the agent refused the attempt, before or after Dispatched, or removed it
+	// from its queue. Every refusal that the guard did not decide must be reported; otherwise a
+	// duplicate of the dispatch could run.
 	Dropped struct{ Attempt string }
-	// Asked wants the attempt tombstoned unless it has started.
-	Asked struct {
+	// TombstoneRequested is the arrival of a RequestTombstone.
+	TombstoneRequested struct {
 		Attempt     string
 		Incarnation string
 	}
-	// RunFinished is the end of a run.
+	// RunFinished reports the end of a run.
 	RunFinished struct {
 		Attempt string
-		// Outcome is codes.OutcomeNotRun only where nothing was sent to the backend server.
+		// Outcome is codes.OutcomeNotRun only if nothing was sent to the backend server.
 		Outcome codes.Outcome
-		// Answer is read for codes.OutcomeRan.
+		// Answer is used for codes.OutcomeRan only.
 		Answer Answer
 	}
-	// DoneWritten confirms that the key-value service holds the answer.
-	DoneWritten struct{ Attempt string }
+	// AnswerWritten confirms that the key-value service holds the answer or no longer needs it.
+	AnswerWritten struct{ Attempt string }
 )
 
 // Actions of a Guard.
 type (
-	// Enqueue puts the attempt in the agent's queue.
+	// Enqueue adds the attempt to the agent's queue.
 	Enqueue struct{ Attempt string }
 	// Run sends the request to the backend server, once.
 	Run struct{ Attempt string }
@@ -157,37 +165,39 @@
 		Attempt string
 		Code    codes.Code
 	}
-	// Tell answers Asked, or a second dispatch of an attempt that has started.
-	Tell struct{ Told Told }
-	// WriteDone reads the key's record and writes what Finish returns; to be repeated until DoneWritten.
-	WriteDone struct {
+	// ReportAttempt answers TombstoneRequested, or a duplicate dispatch of an attempt that is not
+	// tombstoned.
+	ReportAttempt struct{ Report AttemptReport }
+	// WriteAnswer reads the key's record and writes the one that Finish returns. The caller retries
+	// until it can report AnswerWritten.
+	WriteAnswer struct {
 		Key     string
 		Attempt string
 		Answer  Answer
 	}
 )
 
-func (Started) event()        {}
-func (ReadBack) event()       {}
-func (SwapResult) event()     {}
-func (Told) event()           {}
-func (RunEnded) event()       {}
-func (DeadlinePassed) event() {}
-func (Dispatched) event()     {}
-func (Starting) event()       {}
-func (Dropped) event()        {}
-func (Asked) event()          {}
-func (RunFinished) event()    {}
-func (DoneWritten) event()    {}
+func (Started) event()            {}
+func (ReadResult) event()         {}
+func (SwapResult) event()         {}
+func (AttemptReport) event()      {}
+func (DispatchEnded) event()      {}
+func (DeadlinePassed) event()     {}
+func (Dispatched) event()         {}
+func (Starting) event()           {}
+func (Dropped) event()            {}
+func (TombstoneRequested) event() {}
+func (RunFinished) event()        {}
+func (AnswerWritten) event()      {}
 
-func (Read) action()           {}
-func (CompareAndSwap) action() {}
-func (AskAgent) action()       {}
-func (Dispatch) action()       {}
-func (Reply) action()          {}
-func (Release) action()        {}
-func (Enqueue) action()        {}
-func (Run) action()            {}
-func (Refuse) action()         {}
-func (Tell) action()           {}
-func (WriteDone) action()      {}
+func (Read) action()             {}
+func (CompareAndSwap) action()   {}
+func (RequestTombstone) action() {}
+func (Dispatch) action()         {}
+func (Reply) action()            {}
+func (Release) action()          {}
+func (Enqueue) action()          {}
+func (Run) action()              {}
+func (Refuse) action()           {}
+func (ReportAttempt) action()    {}
+func (WriteAnswer) action()      {}
--- a/share/decide/claim/guard.go
+++ b/share/decide/claim/guard.go
@@ -13,42 +13,45 @@
 	attemptQueued     attemptState = "queued"
 	attemptRunning    attemptState = "running"
 	attemptTombstoned attemptState = "tombstoned"
-	// attemptFinished has an answer that the key-value service may not hold yet.
+	// attemptFinished means that the attempt ran and its answer may not be in the key-value service
+	// yet.
 	attemptFinished attemptState = "finished"
-	// attemptWritten has its answer in the key-value service, and here only while cached.
+	// attemptWritten means that the key-value service holds the answer; the guard only caches it.
 	attemptWritten attemptState = "written"
-	// attemptUnknown may have run; it stays an open claim until an operator resolves it.
+	// attemptUnknown means that the attempt may have run. Its claim stays open until an operator
+	// resolves it.
 	attemptUnknown attemptState = "unknown"
 )
 
 type attempt struct {
 	key   string
 	state attemptState
-	// answer is set for attemptFinished, and for attemptWritten while cached.
+	// answer is set in attemptFinished, and in attemptWritten while it is cached.
 	answer *Answer
 }
 
-// GuardLimits bounds the memory of a Guard.
+// GuardLimits limits the memory of a Guard.
 type GuardLimits struct {
 	// Attempts is how many attempts one incarnation remembers, each in about 200 bytes.
-	// None is forgotten: a forgotten one could run again or be called "not run".
+	// None is ever forgotten: a forgotten attempt could run again or be reported as "not run".
 	Attempts int
-	// Answers is how many confirmed answers stay cached, each at most MaxAnswerBytes.
-	// Unconfirmed ones come on top; they are bounded because without the
-	// key-value service no new claim is made.
-	Answers int
+	// CachedAnswers is how many answers stay cached after AnswerWritten, each with a body of at
+	// most MaxAnswerBytes. Answers not yet written are held in addition. Their number is limited
+	// too, because no new key can be claimed while the key-value service is unavailable.
+	CachedAnswers int
 }
 
-// Guard is the agent's side: it starts each attempt at most once within its incarnation.
+// Guard is the agent's state machine: it starts each attempt at most once within its incarnation.
 type Guard struct {
 	incarnation string
 	limits      GuardLimits
-	// attempts only grows while the incarnation lasts; at most limits.Attempts.
+	// attempts holds at most limits.Attempts entries and only grows during an incarnation.
 	attempts map[string]*attempt
-	// cached lists attempts in attemptWritten with an answer, oldest first; at most limits.Answers.
+	// cached lists the attempts in attemptWritten that still have their answer, oldest first; at
+	// most limits.CachedAnswers.
 	cached []string
-	// open counts attempts queued, running or finished.
-	open int
+	// openCount is the number of attempts that are queued, running or finished.
+	openCount int
 }
 
 // NewGuard returns the guard of a new incarnation.
@@ -56,62 +59,63 @@
 	return &Guard{incarnation: incarnation, limits: limits, attempts: map[string]*attempt{}}
 }
 
-// Incarnation returns the one that dispatches must name.
+// Incarnation returns the current incarnation, which every dispatch must carry.
 func (g *Guard) Incarnation() string { return g.incarnation }
 
-// Full tells whether no further attempt can be remembered; Renew makes room.
+// Full reports whether the limit of remembered attempts is reached. StartIncarnation makes room.
 func (g *Guard) Full() bool { return len(g.attempts) >= g.limits.Attempts }
 
-// Renew takes a new incarnation with an empty memory and reports whether it could.
+// StartIncarnation switches to a new incarnation without any remembered attempt and reports whether
+// it did so.
 //
-// Guards against running out of tombstones without forgetting one: whatever
-// still arrives for the old incarnation is refused by its name. It waits for
-// open attempts, since askers are sent away from then on.
-func (g *Guard) Renew(incarnation string) bool {
-	if g.open > 0 || incarnation == g.incarnation {
+// This frees the memory of tombstones safely: a dispatch that still arrives for the old incarnation
+// is refused because its incarnation differs. It fails while attempts are open, because the guard
+// no longer reports the state of the old incarnation's attempts after the switch.
+func (g *Guard) StartIncarnation(incarnation string) bool {
+	if g.openCount > 0 || incarnation == g.incarnation {
 		return false
 	}
 	*g = *NewGuard(incarnation, g.limits)
 	return true
 }
 
-// FindUnwritten lists the answers that the key-value service has not confirmed, sorted by attempt.
-func (g *Guard) FindUnwritten() []WriteDone {
-	var found []WriteDone
+// FindUnwritten returns the writes of all answers without AnswerWritten, sorted by attempt.
+func (g *Guard) FindUnwritten() []WriteAnswer {
+	var found []WriteAnswer
 	for id, a := range g.attempts {
 		if a.state == attemptFinished {
-			found = append(found, WriteDone{Key: a.key, Attempt: id, Answer: *a.answer})
+			found = append(found, WriteAnswer{Key: a.key, Attempt: id, Answer: *a.answer})
 		}
 	}
 	sort.Slice(found, func(i, j int) bool { return found[i].Attempt < found[j].Attempt })
 	return found
 }
 
-// Step takes one event and returns what is to be done.
+// Step handles one event and returns the actions to carry out.
 func (g *Guard) Step(now time.Time, e Event) []Action {
 	switch v := e.(type) {
 	case Dispatched:
-		return g.dispatched(v)
+		return g.handleDispatched(v)
 	case Starting:
-		return g.starting(now, v)
+		return g.handleStarting(now, v)
 	case Dropped:
-		return g.dropped(v)
-	case Asked:
-		return g.asked(v)
+		return g.handleDropped(v)
+	case TombstoneRequested:
+		return g.handleTombstoneRequested(v)
 	case RunFinished:
-		return g.finished(v)
-	case DoneWritten:
-		g.written(v)
+		return g.handleRunFinished(v)
+	case AnswerWritten:
+		g.handleAnswerWritten(v)
 	}
 	return nil
 }
 
-// dispatched admits an attempt.
+// handleDispatched admits a new attempt.
 //
-// Guards against a dispatch that arrives late from a buffer: after an agent's
-// restart the incarnation differs; after a tombstone the attempt is known; a
-// second copy finds the first. In each case nothing is queued.
-func (g *Guard) dispatched(e Dispatched) []Action {
+// It queues nothing for a dispatch that was delayed in a buffer: after a restart of the agent the
+// incarnation differs, after a tombstone the attempt is known, and a duplicate finds the attempt of
+// the first copy.
+func (g *Guard) handleDispatched(e Dispatched) []Action {
 	if e.Incarnation != g.incarnation {
 		return []Action{Refuse{Attempt: e.Attempt, Code: codes.OtherIncarnation}}
 	}
@@ -120,25 +124,25 @@
 	case known && a.state == attemptTombstoned:
 		return []Action{Refuse{Attempt: e.Attempt, Code: codes.Tombstoned}}
 	case known:
-		return []Action{Tell{Told: tell(e.Attempt, a)}}
+		return []Action{ReportAttempt{Report: newReport(e.Attempt, a)}}
 	case g.Full():
 		return []Action{Refuse{Attempt: e.Attempt, Code: codes.Overloaded}}
 	}
 	g.attempts[e.Attempt] = &attempt{key: e.Key, state: attemptQueued}
-	g.open++
+	g.openCount++
 	return []Action{Enqueue{Attempt: e.Attempt}}
 }
 
-// starting lets a queued attempt run.
+// handleStarting starts a queued attempt.
 //
-// Guards against an agent that was frozen with the attempt in its queue: on
-// waking it would run work that its caller gave up on. The clock is read after the wait.
-func (g *Guard) starting(now time.Time, e Starting) []Action {
+// It compares the deadline with the time after the wait in the queue: an agent that was frozen
+// would otherwise run work after its caller has timed out.
+func (g *Guard) handleStarting(now time.Time, e Starting) []Action {
 	a, known := g.attempts[e.Attempt]
 	if !known || a.state != attemptQueued {
 		return nil
 	}
-	if !now.Before(e.Until) {
+	if !now.Before(e.Deadline) {
 		g.tombstone(a)
 		return []Action{Refuse{Attempt: e.Attempt, Code: codes.DeadlineExceeded}}
 	}
@@ -146,7 +150,7 @@
 	return []Action{Run{Attempt: e.Attempt}}
 }
 
-func (g *Guard) dropped(e Dropped) []Action {
+func (g *Guard) handleDropped(e Dropped) []Action {
 	a, known := g.attempts[e.Attempt]
 	if known && a.state == attemptQueued {
 		g.tombstone(a)
@@ -157,9 +161,9 @@
 	return nil
 }
 
-func (g *Guard) asked(e Asked) []Action {
+func (g *Guard) handleTombstoneRequested(e TombstoneRequested) []Action {
 	if e.Incarnation != g.incarnation {
-		return []Action{Tell{Told: Told{Attempt: e.Attempt, State: ToldOtherIncarnation}}}
+		return []Action{ReportAttempt{Report: AttemptReport{Attempt: e.Attempt, State: ReportedOtherIncarnation}}}
 	}
 	a, known := g.attempts[e.Attempt]
 	switch {
@@ -167,47 +171,47 @@
 		g.tombstone(a)
 		return []Action{
 			Refuse{Attempt: e.Attempt, Code: codes.Tombstoned},
-			Tell{Told: tell(e.Attempt, a)},
+			ReportAttempt{Report: newReport(e.Attempt, a)},
 		}
 	case known:
-		return []Action{Tell{Told: tell(e.Attempt, a)}}
+		return []Action{ReportAttempt{Report: newReport(e.Attempt, a)}}
 	case g.Full():
-		return []Action{Tell{Told: Told{Attempt: e.Attempt, State: ToldBusy}}}
+		return []Action{ReportAttempt{Report: AttemptReport{Attempt: e.Attempt, State: ReportedBusy}}}
 	}
 	a = &attempt{state: attemptTombstoned}
 	g.attempts[e.Attempt] = a
-	return []Action{Tell{Told: tell(e.Attempt, a)}}
+	return []Action{ReportAttempt{Report: newReport(e.Attempt, a)}}
 }
 
-func (g *Guard) finished(e RunFinished) []Action {
+func (g *Guard) handleRunFinished(e RunFinished) []Action {
 	a, known := g.attempts[e.Attempt]
 	if !known || a.state != attemptRunning {
 		return nil
 	}
 	switch e.Outcome {
 	case codes.OutcomeRan:
-		answer := e.Answer.Bound()
+		answer := e.Answer.WithoutOversizedBody()
 		a.state = attemptFinished
 		a.answer = &answer
-		return []Action{WriteDone{Key: a.key, Attempt: e.Attempt, Answer: answer}}
+		return []Action{WriteAnswer{Key: a.key, Attempt: e.Attempt, Answer: answer}}
 	case codes.OutcomeNotRun:
 		g.tombstone(a)
 	default:
 		a.state = attemptUnknown
-		g.open--
+		g.openCount--
 	}
 	return nil
 }
 
-func (g *Guard) written(e DoneWritten) {
+func (g *Guard) handleAnswerWritten(e AnswerWritten) {
 	a, known := g.attempts[e.Attempt]
 	if !known || a.state != attemptFinished {
 		return
 	}
 	a.state = attemptWritten
-	g.open--
+	g.openCount--
 	g.cached = append(g.cached, e.Attempt)
-	if len(g.cached) > g.limits.Answers {
+	if len(g.cached) > g.limits.CachedAnswers {
 		g.attempts[g.cached[0]].answer = nil
 		g.cached = g.cached[1:]
 	}
@@ -215,18 +219,19 @@
 
 func (g *Guard) tombstone(a *attempt) {
 	a.state = attemptTombstoned
-	g.open--
+	g.openCount--
 }
 
-func tell(id string, a *attempt) Told {
+// newReport returns the report on a remembered attempt.
+func newReport(id string, a *attempt) AttemptReport {
 	switch a.state {
 	case attemptTombstoned:
-		return Told{Attempt: id, State: ToldTombstoned}
+		return AttemptReport{Attempt: id, State: ReportedTombstoned}
 	case attemptFinished, attemptWritten:
-		return Told{Attempt: id, State: ToldDone, Answer: a.answer}
+		return AttemptReport{Attempt: id, State: ReportedDone, Answer: a.answer}
 	case attemptUnknown:
-		return Told{Attempt: id, State: ToldOutcomeUnknown}
+		return AttemptReport{Attempt: id, State: ReportedOutcomeUnknown}
 	default:
-		return Told{Attempt: id, State: ToldRunning}
+		return AttemptReport{Attempt: id, State: ReportedRunning}
 	}
 }
--- a/share/decide/claim/record_test.go
+++ b/share/decide/claim/record_test.go
@@ -35,13 +35,13 @@
 func TestDecodeIsStrict(t *testing.T) {
 	full := `"attempt":"a","agent":"g","incarnation":"i","body-digest":"d","claimed-at":"2026-12-01T09:00:00Z"`
 	for name, text := range map[string]string{
-		"unknown field":          `{"state":"claimed","colour":1,` + full + `}`,
-		"unknown state":          `{"state":"open",` + full + `}`,
-		"done, no answer":        `{"state":"done",` + full + `}`,
-		"resolved by nobody":     `{"state":"resolved",` + full + `}`,
-		"no attempt":             `{"state":"claimed"}`,
-		"data after it":          `{"state":"claimed",` + full + `} {}`,
-		"closing brace after it": `{"state":"claimed",` + full + `} }`,
+		"unknown field":                  `{"state":"claimed","colour":1,` + full + `}`,
+		"unknown state":                  `{"state":"open",` + full + `}`,
+		"done, no answer":                `{"state":"done",` + full + `}`,
+		"resolved, no operator":          `{"state":"resolved",` + full + `}`,
+		"no attempt":                     `{"state":"claimed"}`,
+		"data after the record":          `{"state":"claimed",` + full + `} {}`,
+		"closing brace after the record": `{"state":"claimed",` + full + `} }`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestKeysOfTwoTeamsNeverMeet(t *testing.T) {
+func TestKeysOfTwoTeamsNeverCollide(t *testing.T) {
 	is := is.New(t)
 	is.True(claim.Key("a", "b/c") != claim.Key("a/b", "c"))
 }
@@ -66,7 +66,7 @@
 
 func TestLargeAnswerIsKeptWithoutBody(t *testing.T) {
 	is := is.New(t)
-	a := claim.Answer{Status: 200, Body: make([]byte, claim.MaxAnswerBytes+1)}.Bound()
+	a := claim.Answer{Status: 200, Body: make([]byte, claim.MaxAnswerBytes+1)}.WithoutOversizedBody()
 	is.Equal(a.Code, codes.AnswerTooLarge)
 	is.Equal(len(a.Body), 0)
 	data, err := claim.EncodeAnswer(a)
@@ -76,23 +76,24 @@
 	is.Equal(back, a)
 }
 
-// A caller never hears about its order and asks the operator, who frees the
-// key. Cause of harm: the agent was only frozen, and runs the order on waking.
-func TestResolveFreesOnlyWhatCannotStart(t *testing.T) {
+// Guards against a request that runs after an operator settled it as not run: its caller got no
+// answer, the operator freed the key, and the agent, which was only frozen, runs the attempt on
+// waking.
+func TestResolveFreesOnlyAttemptsThatCannotStart(t *testing.T) {
 	for name, c := range map[string]struct {
 		resolution claim.Resolution
 		ok         bool
 	}{
-		"agent restarted":          {claim.Resolution{Told: claim.ToldOtherIncarnation, Outcome: codes.OutcomeNotRun}, true},
-		"agent silent":             {claim.Resolution{Told: claim.ToldUnreachable, Outcome: codes.OutcomeNotRun}, false},
-		"agent silent, has run":    {claim.Resolution{Told: claim.ToldUnreachable, Outcome: codes.OutcomeRan}, true},
-		"instance gone":            {claim.Resolution{Told: claim.ToldUnreachable, Outcome: codes.OutcomeNotRun, InstanceGone: true}, true},
-		"still running":            {claim.Resolution{Told: claim.ToldRunning, Outcome: codes.OutcomeRan}, false},
-		"outcome cannot be chosen": {claim.Resolution{Told: claim.ToldOtherIncarnation, Outcome: codes.OutcomeUnknown}, false},
+		"agent restarted":                  {claim.Resolution{Reported: claim.ReportedOtherIncarnation, Outcome: codes.OutcomeNotRun}, true},
+		"agent unreachable":                {claim.Resolution{Reported: claim.ReportedUnreachable, Outcome: codes.OutcomeNotRun}, false},
+		"agent unreachable, attempt ran":   {claim.Resolution{Reported: claim.ReportedUnreachable, Outcome: codes.OutcomeRan}, true},
+		"agent unreachable, instance gone": {claim.Resolution{Reported: claim.ReportedUnreachable, Outcome: codes.OutcomeNotRun, InstanceGone: true}, true},
+		"still running":                    {claim.Resolution{Reported: claim.ReportedRunning, Outcome: codes.OutcomeRan}, false},
+		"unknown is not a resolution":      {claim.Resolution{Reported: claim.ReportedOtherIncarnation, Outcome: codes.OutcomeUnknown}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c.resolution.By = "ana"
+			c.resolution.Operator = "ana"
 			r, err := claim.Resolve(claimed(), c.resolution, start())
 			is.Equal(err == nil, c.ok)
 			if c.ok {
--- a/share/decide/claim/replay_test.go
+++ b/share/decide/claim/replay_test.go
@@ -14,7 +14,7 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// TestMain fixes the seed: each run replays the same histories.
+// TestMain fixes the seed, so that each run replays the same histories.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{
@@ -27,7 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// pick skips before it draws where there is nothing, so that rapid tries another move.
+// pick draws an index below n. If n is 0, it skips before it draws, so that rapid tries another
+// move.
 func pick(t *rapid.T, n int, label string) int {
 	if n == 0 {
 		t.Skip("nothing to pick")
@@ -35,19 +36,19 @@
 	return rapid.IntRange(0, n-1).Draw(t, label)
 }
 
-func (w *world) pickServer(t *rapid.T, fits func(*server) bool) *server {
-	var found []*server
-	for i := range worldAgents {
-		if s := w.servers[fmt.Sprint("agent-", i)]; fits(s) {
-			found = append(found, s)
+func (w *world) pickAgent(t *rapid.T, fits func(*agent) bool) *agent {
+	var found []*agent
+	for i := range agentCount {
+		if ag := w.agents[fmt.Sprint("agent-", i)]; fits(ag) {
+			found = append(found, ag)
 		}
 	}
 	return found[pick(t, len(found), "agent")]
 }
 
-func (w *world) pickClient(t *rapid.T, fits func(*client) bool) int {
+func (w *world) pickSubmitter(t *rapid.T, fits func(*submitter) bool) int {
 	var found []int
-	for id, c := range w.clients {
+	for id, c := range w.submitters {
 		if fits(c) {
 			found = append(found, id)
 		}
@@ -55,37 +56,39 @@
 	return found[pick(t, len(found), "submission")]
 }
 
-// moves are what may happen next, in any order.
+// moves returns the steps that a history may take, in any order. A second entry for a step doubles
+// its frequency.
 func (w *world) moves() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"submit":            func(t *rapid.T) { w.submit(t, fmt.Sprint("key-", pick(t, worldKeys, "key")), nil) },
+		"submit":            func(t *rapid.T) { w.submit(t, fmt.Sprint("key-", pick(t, keyCount, "key")), nil) },
 		"service answers":   w.moveInbox,
 		"service answers 2": w.moveInbox,
 		"deliver":           w.moveDeliver,
 		"deliver 2":         w.moveDeliver,
 		"late write":        w.moveLateWrite,
-		"cut":               w.moveCut,
-		"time":              w.moveTime,
-		"silence":           w.moveSilence,
+		"cut":               w.moveStreamLost,
+		"time":              w.moveClock,
+		"silence":           w.moveUnreachable,
 		"start":             w.moveStart,
 		"start 2":           w.moveStart,
 		"finish":            w.moveFinish,
 		"drop":              w.moveDrop,
-		"write done":        w.moveWriteDone,
+		"write done":        w.moveWriteAnswer,
 		"restart":           w.moveRestart,
 		"resolve":           w.moveResolve,
 	}
 }
 
 func (w *world) moveInbox(t *rapid.T) {
-	id := w.pickClient(t, func(c *client) bool { return len(c.inbox) > 0 })
-	c := w.clients[id]
+	id := w.pickSubmitter(t, func(c *submitter) bool { return len(c.inbox) > 0 })
+	c := w.submitters[id]
 	e := c.inbox[0]
 	c.inbox = c.inbox[1:]
 	w.step(t, id, e)
 }
 
-// moveDeliver takes any message; it may stay to come again, or be lost.
+// moveDeliver takes any message in transit and delivers it or loses it. A delivered message may
+// stay in transit as a duplicate.
 func (w *world) moveDeliver(t *rapid.T) {
 	i := pick(t, len(w.network), "message")
 	m := w.network[i]
@@ -93,7 +96,7 @@
 	if how > 1 {
 		w.network = append(w.network[:i:i], w.network[i+1:]...)
 	} else {
-		w.network[i].echo = true
+		w.network[i].duplicate = true
 	}
 	if how != 9 {
 		w.arrive(t, m)
@@ -101,22 +104,22 @@
 }
 
 func (w *world) moveLateWrite(t *rapid.T) {
-	i := pick(t, len(w.late), "write")
-	c := w.late[i]
-	w.late = append(w.late[:i:i], w.late[i+1:]...)
+	i := pick(t, len(w.lateWrites), "write")
+	c := w.lateWrites[i]
+	w.lateWrites = append(w.lateWrites[:i:i], w.lateWrites[i+1:]...)
 	w.swap(c)
 }
 
-// moveCut ends a dispatch's stream without an end record.
-func (w *world) moveCut(t *rapid.T) {
-	id := w.pickClient(t, func(c *client) bool { return !c.submission.Settled() })
+// moveStreamLost ends the stream of a dispatch without its result.
+func (w *world) moveStreamLost(t *rapid.T) {
+	id := w.pickSubmitter(t, func(c *submitter) bool { return !c.submission.Settled() })
 	result := codes.NewResult(codes.BackendLost, "").WithOutcome(codes.OutcomeUnknown)
-	w.step(t, id, claim.RunEnded{Attempt: w.clients[id].request.Choice.Attempt, Result: *result})
+	w.step(t, id, claim.DispatchEnded{Attempt: w.submitters[id].request.Choice.Attempt, Result: *result})
 }
 
-func (w *world) moveTime(t *rapid.T) {
+func (w *world) moveClock(t *rapid.T) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
-	for id, c := range w.clients {
+	for id, c := range w.submitters {
 		due := !c.submission.Settled() && !w.now.Before(c.request.Deadline)
 		if due && rapid.Bool().Draw(t, "timer runs") {
 			w.step(t, id, claim.DeadlinePassed{})
@@ -124,92 +127,93 @@
 	}
 }
 
-// moveSilence lets the asking of an agent end without an answer.
-func (w *world) moveSilence(t *rapid.T) {
-	id := w.pickClient(t, func(c *client) bool { return c.asking != "" && !c.submission.Settled() })
-	state := claim.ToldUnreachable
+// moveUnreachable ends a RequestTombstone without a report.
+func (w *world) moveUnreachable(t *rapid.T) {
+	id := w.pickSubmitter(t, func(c *submitter) bool { return c.queriedAttempt != "" && !c.submission.Settled() })
+	state := claim.ReportedUnreachable
 	if w.fault == faultUnreachableIsTombstoned {
-		state = claim.ToldTombstoned
+		state = claim.ReportedTombstoned
 	}
-	w.step(t, id, claim.Told{Attempt: w.clients[id].asking, State: state})
+	w.step(t, id, claim.AttemptReport{Attempt: w.submitters[id].queriedAttempt, State: state})
 }
 
 func (w *world) moveStart(t *rapid.T) {
-	s := w.pickServer(t, func(s *server) bool { return len(s.queue) > 0 })
-	i := pick(t, len(s.queue), "queued")
-	attempt := s.queue[i]
-	s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
-	until := w.clients[s.origins[attempt]].request.Deadline
-	for _, a := range s.guard.Step(w.now, claim.Starting{Attempt: attempt, Until: until}) {
-		w.serve(t, s, s.origins[attempt], a)
+	ag := w.pickAgent(t, func(ag *agent) bool { return len(ag.queue) > 0 })
+	i := pick(t, len(ag.queue), "queued")
+	attempt := ag.queue[i]
+	ag.queue = append(ag.queue[:i:i], ag.queue[i+1:]...)
+	until := w.submitters[ag.origins[attempt]].request.Deadline
+	for _, a := range ag.guard.Step(w.now, claim.Starting{Attempt: attempt, Deadline: until}) {
+		w.serve(t, ag, ag.origins[attempt], a)
 	}
 }
 
 func (w *world) moveFinish(t *rapid.T) {
-	s := w.pickServer(t, func(s *server) bool { return len(s.running) > 0 })
+	ag := w.pickAgent(t, func(ag *agent) bool { return len(ag.running) > 0 })
 	outcome := codes.OutcomeRan
 	if rapid.IntRange(0, 4).Draw(t, "answer lost") == 0 {
 		outcome = codes.OutcomeUnknown
 	}
-	w.finish(t, s, outcome)
+	w.finish(t, ag, outcome)
 }
 
-// moveDrop lets an agent refuse a queued attempt.
+// moveDrop makes an agent refuse a queued attempt.
 func (w *world) moveDrop(t *rapid.T) {
-	s := w.pickServer(t, func(s *server) bool { return len(s.queue) > 0 })
-	i := pick(t, len(s.queue), "queued")
-	attempt := s.queue[i]
+	ag := w.pickAgent(t, func(ag *agent) bool { return len(ag.queue) > 0 })
+	i := pick(t, len(ag.queue), "queued")
+	attempt := ag.queue[i]
 	if w.fault != faultRefusalOutsideGuard {
-		s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
-		s.guard.Step(w.now, claim.Dropped{Attempt: attempt})
+		ag.queue = append(ag.queue[:i:i], ag.queue[i+1:]...)
+		ag.guard.Step(w.now, claim.Dropped{Attempt: attempt})
 	}
-	w.refuse(s, attempt, codes.Overloaded)
+	w.refuse(ag, attempt, codes.Overloaded)
 }
 
-func (w *world) moveWriteDone(t *rapid.T) {
-	w.writeDone(t, w.pickServer(t, func(s *server) bool { return len(s.unconfirmed) > 0 }))
+func (w *world) moveWriteAnswer(t *rapid.T) {
+	w.writeAnswer(t, w.pickAgent(t, func(ag *agent) bool { return len(ag.unconfirmed) > 0 }))
 }
 
 func (w *world) moveRestart(t *rapid.T) {
-	s := w.pickServer(t, func(*server) bool { return true })
+	ag := w.pickAgent(t, func(*agent) bool { return true })
 	switch {
 	case rapid.IntRange(0, 5).Draw(t, "crash") == 0:
-		w.restart(s)
-	case s.guard.Full() && s.guard.Renew(fmt.Sprint(s.name, "-", s.restarts+1)):
-		s.restarts++
-	case w.fault == faultForgetful:
-		s.guard = newWorldGuard(s.guard.Incarnation())
+		w.restart(ag)
+	case ag.guard.Full() && ag.guard.StartIncarnation(fmt.Sprint(ag.name, "-", ag.restarts+1)):
+		ag.restarts++
+	case w.fault == faultForgottenAttempts:
+		ag.guard = newAgentGuard(ag.guard.Incarnation())
 	}
 }
 
-// moveResolve is an operator who asks the agent and knows the backend server's books.
+// moveResolve simulates an operator who requests the agent's report and knows from the backend
+// server whether the key's request ran.
 func (w *world) moveResolve(t *rapid.T) {
-	key := fmt.Sprint("key-", pick(t, worldKeys, "key"))
+	key := fmt.Sprint("key-", pick(t, keyCount, "key"))
 	stored, ok := w.stored[key]
 	if !ok || rapid.IntRange(0, 5).Draw(t, "operator") > 0 {
 		return
 	}
-	told := claim.ToldUnreachable
+	reported := claim.ReportedUnreachable
 	r := stored.Record
-	for _, a := range w.servers[r.Agent].guard.Step(w.now, claim.Asked{Attempt: r.Attempt, Incarnation: r.Incarnation}) {
-		if v, ok := a.(claim.Tell); ok {
-			told = v.Told.State
+	for _, a := range w.agents[r.Agent].guard.Step(w.now, claim.TombstoneRequested{Attempt: r.Attempt, Incarnation: r.Incarnation}) {
+		if v, ok := a.(claim.ReportAttempt); ok {
+			reported = v.Report.State
 		}
 	}
 	outcome := codes.OutcomeNotRun
 	if w.runs[key] > 0 {
 		outcome = codes.OutcomeRan
 	}
-	settled, err := claim.Resolve(r, claim.Resolution{By: "ana", Outcome: outcome, Told: told}, w.now)
+	settled, err := claim.Resolve(r, claim.Resolution{Operator: "ana", Outcome: outcome, Reported: reported}, w.now)
 	if err != nil {
 		return
 	}
 	w.swap(claim.CompareAndSwap{Key: key, Record: settled, Index: stored.Index})
 }
 
-// A workshop's boards come twice, or never though the answer said otherwise.
-// Causes: a key sent again at other entries while claim writes come late,
-// answers get lost, messages double and cross, and agents restart.
+// Guards against a request that runs twice, or whose answer is wrong about whether it ran: its key
+// is retried at other entries while claim writes take effect late, answers are lost, messages are
+// duplicated and reordered, and agents restart.
 func TestAtMostOnce(t *testing.T) {
 	is := is.New(t)
 	replies, answers, notRun, runs := 0, 0, 0, 0
@@ -217,8 +221,8 @@
 		w := newWorld(faultNone)
 		moves := w.moves()
 		moves[""] = func(t *rapid.T) {
-			if w.broken != "" {
-				t.Fatal(w.broken)
+			if w.violation != "" {
+				t.Fatal(w.violation)
 			}
 		}
 		t.Repeat(moves)
@@ -232,26 +236,26 @@
 	t.Logf("%d replies, %d of them with the answer, %d not run; %d keys run", replies, answers, notRun, runs)
 }
 
-// The replay must notice each guard that is broken from outside.
-func TestReplayNoticesBrokenGuards(t *testing.T) {
+// The simulation must detect each disabled safeguard, or TestAtMostOnce would prove nothing.
+func TestSimulationDetectsDisabledSafeguards(t *testing.T) {
 	const histories = 20000
 	for _, f := range []fault{
-		faultSameIncarnation, faultIgnoredIndex, faultUnsureIsSwapped, faultUnreachableIsTombstoned,
-		faultRestartIsTombstoned, faultRefusalOutsideGuard, faultForgetful, faultEchoAnswered,
+		faultSameIncarnation, faultIgnoredIndex, faultUnknownIsSwapped, faultUnreachableIsTombstoned,
+		faultRestartIsTombstoned, faultRefusalOutsideGuard, faultForgottenAttempts, faultDuplicateAnswered,
 	} {
 		t.Run(string(f), func(t *testing.T) {
 			history := rapid.Custom(func(t *rapid.T) string {
 				w := newWorld(f)
 				t.Repeat(w.moves())
-				return w.broken
+				return w.violation
 			})
 			for seed := range histories {
-				if broken := history.Example(seed); broken != "" {
-					t.Logf("history %d: %s", seed, broken)
+				if violation := history.Example(seed); violation != "" {
+					t.Logf("history %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Fatalf("%d histories did not notice", histories)
+			t.Fatalf("no violation in %d histories", histories)
 		})
 	}
 }
--- a/share/decide/claim/submission.go
+++ b/share/decide/claim/submission.go
@@ -6,12 +6,12 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// maxSwaps bounds the compare-and-swaps of one submission against others that keep winning.
+// maxSwaps limits the compare-and-swaps of one submission while other submissions keep winning.
 const maxSwaps = 4
 
-// Choice is the attempt an entry would dispatch.
+// Choice is a new attempt and the agent process that the entry has chosen for it.
 type Choice struct {
-	// Attempt is new for every submission, also for the same key.
+	// Attempt is new for every submission, even of the same key.
 	Attempt     string
 	Agent       string
 	Incarnation string
@@ -19,18 +19,19 @@
 
 // Request describes one submission of a key.
 type Request struct {
-	// Key is the result of the function Key.
+	// Key is a key returned by the function Key.
 	Key        string
 	BodyDigest string
 	Choice     Choice
-	// Deadline is the moment of the monotonic clock after which nothing is dispatched.
+	// Deadline is the time on the monotonic clock from which nothing is dispatched.
 	Deadline time.Time
-	// RetryAfter is what a caller is told to wait where it may ask again.
+	// RetryAfter is the wait to suggest to the caller when it may retry.
 	RetryAfter time.Duration
 }
 
 type phase string
 
+// The phases. All but phaseNew and phaseSettled wait for the result of an action.
 const (
 	phaseNew      phase = "new"
 	phaseSwapping phase = "swapping"
@@ -40,69 +41,71 @@
 	phaseSettled  phase = "settled"
 )
 
-// Submission is the entry's side of one submission of a key.
+// Submission is the entry's state machine for one submission of a key.
 type Submission struct {
 	request Request
 	phase   phase
-	// claim is the record of the last own write.
-	claim Record
-	// held is the last record read, or the own claim once it is known to hold.
-	held Stored
-	// other is set while held is another submission's open claim.
-	other bool
-	// unsure is set by a write without an answer; the submission then writes no more.
-	unsure bool
-	// contended is set once a write lost: the key has a record.
+	// ownClaim is the record that this submission wrote last, whether or not the write took effect.
+	ownClaim Record
+	// current is the record read last, or the own claim once it is known to hold the key.
+	current Stored
+	// heldByOther is set while current is an open claim of another submission.
+	heldByOther bool
+	// writeUnknown is set by a write without an answer. The submission then writes no further claim.
+	writeUnknown bool
+	// contended is set once a write lost, which means that the key has a record.
 	contended bool
-	// dispatched never goes back to false; a submission dispatches once at most.
+	// dispatched is never reset; a submission dispatches at most once.
 	dispatched bool
-	// silence is what the agent told about the attempt asked before the record is read a last time.
-	silence ToldState
-	asked   string
-	// cause is how the own run ended as far as known, for the answer if it proves not to have run.
-	cause codes.Result
-	swaps int
+	// lastReport is the agent's report on queriedAttempt if it did not settle the submission. The
+	// record is then read a last time.
+	lastReport ReportedState
+	// queriedAttempt is the attempt of the last RequestTombstone.
+	queriedAttempt string
+	// runResult is the inconclusive result of the own dispatch. The caller gets it if the attempt
+	// turns out not to have run.
+	runResult codes.Result
+	swaps     int
 }
 
-// NewSubmission returns a submission that waits for Started.
+// NewSubmission returns a submission. Its first event must be Started.
 func NewSubmission(r Request) *Submission {
 	return &Submission{request: r, phase: phaseNew}
 }
 
-// Settled tells whether the caller has its answer.
+// Settled reports whether the caller has its answer.
 func (s *Submission) Settled() bool {
 	return s.phase == phaseSettled
 }
 
-// Step takes one event and returns what is to be done.
+// Step handles one event and returns the actions to carry out.
 func (s *Submission) Step(now time.Time, e Event) []Action {
 	if s.phase == phaseSettled {
-		return s.stepSettled(now, e)
+		return s.handleSettled(now, e)
 	}
 	switch v := e.(type) {
 	case Started:
-		return s.start(now, v)
+		return s.handleStarted(now, v)
 	case SwapResult:
-		return s.swapped(now, v)
-	case ReadBack:
-		return s.readBack(now, v)
-	case Told:
-		return s.told(now, v)
-	case RunEnded:
-		return s.runEnded(now, v)
+		return s.handleSwapResult(now, v)
+	case ReadResult:
+		return s.handleReadResult(now, v)
+	case AttemptReport:
+		return s.handleReport(now, v)
+	case DispatchEnded:
+		return s.handleDispatchEnded(now, v)
 	case DeadlinePassed:
-		return s.deadline()
+		return s.handleDeadline()
 	default:
 		return nil
 	}
 }
 
-// stepSettled frees a key whose claim took effect after the answer was given.
+// handleSettled frees a key whose claim took effect after the caller was answered.
 //
-// Guards against a claim write that outlives its submission: the caller was
-// told "not run", then the write succeeds. The phase never leaves settled, so
-// the attempt is never dispatched and the answer stays true.
-func (s *Submission) stepSettled(now time.Time, e Event) []Action {
+// It covers a claim whose write succeeds after the caller was answered "not run". The phase never
+// leaves phaseSettled, so the attempt is never dispatched and the answer stays true.
+func (s *Submission) handleSettled(now time.Time, e Event) []Action {
 	v, ok := e.(SwapResult)
 	if !ok || s.dispatched || v.Outcome != SwapDone {
 		return nil
@@ -110,27 +113,27 @@
 	return []Action{s.release(now, v.Index)}
 }
 
-func (s *Submission) start(now time.Time, e Started) []Action {
+func (s *Submission) handleStarted(now time.Time, e Started) []Action {
 	if s.phase != phaseNew {
 		return nil
 	}
-	if e.Known != nil {
-		return s.judge(now, *e.Known)
+	if e.Released != nil {
+		return s.handleRecord(now, *e.Released)
 	}
-	return s.swap(now, 0)
+	return s.claimKey(now, 0)
 }
 
-// swap claims the key over the record at index; 0 creates it.
-func (s *Submission) swap(now time.Time, index uint64) []Action {
+// claimKey writes the own claim over the record at index; index 0 creates the record.
+func (s *Submission) claimKey(now time.Time, index uint64) []Action {
 	if !now.Before(s.request.Deadline) {
-		return s.refuse(codes.DeadlineExceeded, "the deadline passed before the claim")
+		return s.replyNotRun(codes.DeadlineExceeded, "the deadline passed before the key was claimed")
 	}
 	if s.swaps == maxSwaps {
-		return s.inProgress()
+		return s.replyInProgress()
 	}
 	s.swaps++
 	s.phase = phaseSwapping
-	s.claim = Record{
+	s.ownClaim = Record{
 		State:       StateClaimed,
 		Attempt:     s.request.Choice.Attempt,
 		Agent:       s.request.Choice.Agent,
@@ -138,20 +141,20 @@
 		BodyDigest:  s.request.BodyDigest,
 		ClaimedAt:   now,
 	}
-	return []Action{CompareAndSwap{Key: s.request.Key, Record: s.claim, Index: index}}
+	return []Action{CompareAndSwap{Key: s.request.Key, Record: s.ownClaim, Index: index}}
 }
 
-func (s *Submission) swapped(now time.Time, e SwapResult) []Action {
+func (s *Submission) handleSwapResult(now time.Time, e SwapResult) []Action {
 	if s.phase != phaseSwapping {
 		return nil
 	}
 	switch e.Outcome {
 	case SwapDone:
-		return s.dispatch(now, Stored{Record: s.claim, Index: e.Index})
+		return s.dispatch(now, Stored{Record: s.ownClaim, Index: e.Index})
 	case SwapLost:
 		s.contended = true
 	default:
-		s.unsure = true
+		s.writeUnknown = true
 	}
 	return s.read()
 }
@@ -161,15 +164,15 @@
 	return []Action{Read{Key: s.request.Key}}
 }
 
-// dispatch sends the own claimed attempt.
+// dispatch sends the attempt of the own claim.
 //
-// Guards against an entry that was frozen between the claim and here: its
-// caller has given up. The clock is read after the claim is known to hold.
+// It compares the deadline with the time after the claim is known to hold: an entry that was frozen
+// since it wrote the claim would otherwise dispatch after its caller has timed out.
 func (s *Submission) dispatch(now time.Time, own Stored) []Action {
-	s.held = own
-	s.other = false
+	s.current = own
+	s.heldByOther = false
 	if !now.Before(s.request.Deadline) {
-		actions := s.refuse(codes.DeadlineExceeded, "the deadline passed during the claim")
+		actions := s.replyNotRun(codes.DeadlineExceeded, "the deadline passed while the key was being claimed")
 		return append(actions, s.release(now, own.Index))
 	}
 	s.dispatched = true
@@ -177,62 +180,62 @@
 	return []Action{Dispatch{Choice: s.request.Choice}}
 }
 
-func (s *Submission) readBack(now time.Time, e ReadBack) []Action {
+func (s *Submission) handleReadResult(now time.Time, e ReadResult) []Action {
 	if s.phase != phaseReading {
 		return nil
 	}
 	if e.Failed {
-		return s.readFailed()
+		return s.handleReadFailed()
 	}
 	if e.Stored != nil {
-		return s.judge(now, *e.Stored)
+		return s.handleRecord(now, *e.Stored)
 	}
-	return s.readAbsent(now)
+	return s.handleAbsent(now)
 }
 
-func (s *Submission) readFailed() []Action {
-	if s.dispatched || s.other {
-		return s.unknown()
+func (s *Submission) handleReadFailed() []Action {
+	if s.dispatched || s.heldByOther {
+		return s.replyUnknown()
 	}
 	result := codes.NewResult(codes.ClaimsUnavailable, "the claim could not be read").WithRetryAfter(s.request.RetryAfter)
 	if s.contended {
-		// The key has a record, so an earlier submission may have run.
+		// The key has a record, so the attempt of another submission may have run.
 		result = result.WithOutcome(codes.OutcomeUnknown)
 	}
 	return s.reply(*result)
 }
 
-// readAbsent decides where the key has no record.
+// handleAbsent decides when the key has no record.
 //
-// Guards against a claim write that timed out, reads back absent and takes
-// effect afterwards: the submission ends here and never dispatches, so "not
-// run" stays true; the orphaned claim is tombstoned by the next submission.
-func (s *Submission) readAbsent(now time.Time) []Action {
+// A claim write that timed out may take effect after this read. After such a write the submission
+// ends here and never dispatches, so the answer "not run" stays true. The next submission has the
+// orphaned claim tombstoned.
+func (s *Submission) handleAbsent(now time.Time) []Action {
 	if s.dispatched {
-		return s.unknown()
+		return s.replyUnknown()
 	}
-	if s.unsure {
-		return s.refuse(codes.ClaimsUnavailable, "the claim's write gave no answer")
+	if s.writeUnknown {
+		return s.replyNotRun(codes.ClaimsUnavailable, "the key-value service did not answer the write of the claim")
 	}
-	return s.swap(now, 0)
+	return s.claimKey(now, 0)
 }
 
-// judge decides by the record that holds the key.
-func (s *Submission) judge(now time.Time, stored Stored) []Action {
+// handleRecord decides on the record of the key.
+func (s *Submission) handleRecord(now time.Time, stored Stored) []Action {
 	r := stored.Record
 	if r.BodyDigest != s.request.BodyDigest {
-		return s.reply(*codes.NewResult(codes.KeyConflict, "the key is held with another body"))
+		return s.reply(*codes.NewResult(codes.KeyConflict, "the key was already used with another request body"))
 	}
-	s.held = stored
-	s.other = r.State == StateClaimed && r.Attempt != s.request.Choice.Attempt
+	s.current = stored
+	s.heldByOther = r.State == StateClaimed && r.Attempt != s.request.Choice.Attempt
 	switch r.State {
 	case StateDone:
 		return s.replyAnswer(r.Answer)
 	case StateClaimed:
-		return s.judgeClaimed(now, stored)
+		return s.handleClaimed(now, stored)
 	case StateResolved:
 		if r.Outcome == codes.OutcomeRan {
-			result := codes.NewResult(codes.OutcomeNotKnown, "settled as run by "+r.ResolvedBy).WithOutcome(codes.OutcomeRan)
+			result := codes.NewResult(codes.OutcomeNotKnown, "the attempt was settled as run by operator "+r.ResolvedBy).WithOutcome(codes.OutcomeRan)
 			return s.reply(*result)
 		}
 	case StateTombstoned:
@@ -240,35 +243,35 @@
 	return s.reclaim(now, stored.Index)
 }
 
-func (s *Submission) judgeClaimed(now time.Time, stored Stored) []Action {
+func (s *Submission) handleClaimed(now time.Time, stored Stored) []Action {
 	switch {
-	case !s.other && !s.dispatched:
+	case !s.heldByOther && !s.dispatched:
 		return s.dispatch(now, stored)
-	case s.silence != "" && s.asked == stored.Record.Attempt:
-		return s.unknown()
-	case s.silence != "" || s.dispatched || s.unsure:
-		return s.inProgress()
+	case s.lastReport != "" && s.queriedAttempt == stored.Record.Attempt:
+		return s.replyUnknown()
+	case s.lastReport != "" || s.dispatched || s.writeUnknown:
+		return s.replyInProgress()
 	default:
-		return s.ask(stored.Record)
+		return s.requestTombstone(stored.Record)
 	}
 }
 
-// reclaim takes over a key whose attempt can never run.
+// reclaim claims a key whose recorded attempt did not run and never will.
 func (s *Submission) reclaim(now time.Time, index uint64) []Action {
 	switch {
 	case s.dispatched:
-		return s.refuse(codes.Tombstoned, "the attempt was given up on before it started")
-	case s.unsure:
-		return s.refuse(codes.ClaimsUnavailable, "the claim's write gave no answer")
+		return s.replyNotRun(codes.Tombstoned, "the attempt was abandoned before it started")
+	case s.writeUnknown:
+		return s.replyNotRun(codes.ClaimsUnavailable, "the key-value service did not answer the write of the claim")
 	default:
-		return s.swap(now, index)
+		return s.claimKey(now, index)
 	}
 }
 
-func (s *Submission) ask(r Record) []Action {
+func (s *Submission) requestTombstone(r Record) []Action {
 	s.phase = phaseAsking
-	s.asked = r.Attempt
-	return []Action{AskAgent{
+	s.queriedAttempt = r.Attempt
+	return []Action{RequestTombstone{
 		Key:         s.request.Key,
 		Agent:       r.Agent,
 		Incarnation: r.Incarnation,
@@ -276,35 +279,35 @@
 	}}
 }
 
-func (s *Submission) told(now time.Time, e Told) []Action {
-	if s.phase != phaseAsking || e.Attempt != s.asked {
+func (s *Submission) handleReport(now time.Time, e AttemptReport) []Action {
+	if s.phase != phaseAsking || e.Attempt != s.queriedAttempt {
 		return nil
 	}
 	switch e.State {
-	case ToldTombstoned:
-		return s.toldTombstoned(now)
-	case ToldRunning:
-		return s.inProgress()
-	case ToldDone:
+	case ReportedTombstoned:
+		return s.handleTombstoned(now)
+	case ReportedRunning:
+		return s.replyInProgress()
+	case ReportedDone:
 		if e.Answer != nil {
 			return s.replyAnswer(e.Answer)
 		}
 	default:
 	}
-	// Done may have been written since the record was read, so it is read once more.
-	s.silence = e.State
+	// The record is read again: the answer may have been written since the last read.
+	s.lastReport = e.State
 	return s.read()
 }
 
-func (s *Submission) toldTombstoned(now time.Time) []Action {
+func (s *Submission) handleTombstoned(now time.Time) []Action {
 	if !s.dispatched {
-		return s.swap(now, s.held.Index)
+		return s.claimKey(now, s.current.Index)
 	}
-	actions := s.reply(*s.cause.WithOutcome(codes.OutcomeNotRun))
-	return append(actions, s.release(now, s.held.Index))
+	actions := s.reply(*s.runResult.WithOutcome(codes.OutcomeNotRun))
+	return append(actions, s.release(now, s.current.Index))
 }
 
-func (s *Submission) runEnded(now time.Time, e RunEnded) []Action {
+func (s *Submission) handleDispatchEnded(now time.Time, e DispatchEnded) []Action {
 	if !s.dispatched || e.Attempt != s.request.Choice.Attempt {
 		return nil
 	}
@@ -314,47 +317,47 @@
 	case e.Result.Outcome == codes.OutcomeRan:
 		return s.reply(e.Result)
 	case e.Result.Outcome == codes.OutcomeNotRun:
-		return append(s.reply(e.Result), s.release(now, s.held.Index))
+		return append(s.reply(e.Result), s.release(now, s.current.Index))
 	case s.phase != phaseRunning:
 		return nil
 	default:
-		s.cause = e.Result
-		return s.ask(s.held.Record)
+		s.runResult = e.Result
+		return s.requestTombstone(s.current.Record)
 	}
 }
 
-func (s *Submission) deadline() []Action {
+func (s *Submission) handleDeadline() []Action {
 	passed := codes.NewResult(codes.DeadlineExceeded, "the deadline passed").WithRetryAfter(s.request.RetryAfter)
 	switch {
 	case s.phase == phaseRunning:
-		s.cause = *passed
-		return s.ask(s.held.Record)
+		s.runResult = *passed
+		return s.requestTombstone(s.current.Record)
 	case s.dispatched:
 		return s.reply(*passed.WithOutcome(codes.OutcomeUnknown))
-	case s.other || s.contended:
-		return s.inProgress()
+	case s.heldByOther || s.contended:
+		return s.replyInProgress()
 	default:
 		return s.reply(*passed.WithOutcome(codes.OutcomeNotRun))
 	}
 }
 
-func (s *Submission) inProgress() []Action {
+func (s *Submission) replyInProgress() []Action {
 	result := codes.NewResult(codes.InProgress, "the key is claimed by an attempt that has not ended")
 	return s.reply(*result.WithRetryAfter(s.request.RetryAfter))
 }
 
-func (s *Submission) unknown() []Action {
+func (s *Submission) replyUnknown() []Action {
 	result := codes.NewResult(codes.OutcomeNotKnown, "the attempt may have run")
-	switch s.silence {
-	case ToldUnreachable, ToldBusy, ToldDone:
+	switch s.lastReport {
+	case ReportedUnreachable, ReportedBusy, ReportedDone:
 		result = result.WithRetryAfter(s.request.RetryAfter)
 	}
 	return s.reply(*result)
 }
 
-// refuse says "not run": either nothing was dispatched, and a settled
+// replyNotRun answers "not run". This is true because either nothing was dispatched, and a settled
 // submission never dispatches, or the attempt is tombstoned.
-func (s *Submission) refuse(c codes.Code, detail string) []Action {
+func (s *Submission) replyNotRun(c codes.Code, detail string) []Action {
 	result := codes.NewResult(c, detail).WithOutcome(codes.OutcomeNotRun)
 	return s.reply(*result.WithRetryAfter(s.request.RetryAfter))
 }
@@ -371,7 +374,7 @@
 }
 
 func (s *Submission) release(now time.Time, index uint64) Action {
-	freed := s.claim
+	freed := s.ownClaim
 	freed.State = StateTombstoned
 	freed.SettledAt = now
 	return Release{Key: s.request.Key, Stored: Stored{Record: freed, Index: index}}
--- a/share/decide/claim/submission_test.go
+++ b/share/decide/claim/submission_test.go
@@ -18,27 +18,28 @@
 	})
 }
 
-func stored(state claim.State, edit func(*claim.Record)) claim.ReadBack {
+func stored(state claim.State, edit func(*claim.Record)) claim.ReadResult {
 	r := claimed()
 	r.State = state
 	if edit != nil {
 		edit(&r)
 	}
-	return claim.ReadBack{Stored: &claim.Stored{Record: r, Index: 7}}
+	return claim.ReadResult{Stored: &claim.Stored{Record: r, Index: 7}}
 }
 
 func mine(r *claim.Record) { r.Attempt = "mine" }
 
-// Each case is the whole life of one submission; the cases (a) to (i) are those of the design.
+// Each case is one submission from Started to its reply. The letters (a) to (i) refer to the cases
+// of the design.
 func TestSubmission(t *testing.T) {
 	answer := &claim.Answer{Status: 201, Body: []byte("board 7")}
 	done := func(r *claim.Record) { r.Answer = answer }
 	lost := claim.SwapResult{Outcome: claim.SwapLost}
-	unsure := claim.SwapResult{Outcome: claim.SwapUnknown}
+	unknown := claim.SwapResult{Outcome: claim.SwapUnknown}
 	swapped := claim.SwapResult{Outcome: claim.SwapDone, Index: 3}
-	told := func(s claim.ToldState) claim.Told { return claim.Told{Attempt: "a1", State: s} }
-	toldMine := func(s claim.ToldState) claim.Told { return claim.Told{Attempt: "mine", State: s} }
-	cut := claim.RunEnded{Attempt: "mine", Result: *codes.NewResult(codes.BackendLost, "").WithOutcome(codes.OutcomeUnknown)}
+	reported := func(s claim.ReportedState) claim.AttemptReport { return claim.AttemptReport{Attempt: "a1", State: s} }
+	reportedMine := func(s claim.ReportedState) claim.AttemptReport { return claim.AttemptReport{Attempt: "mine", State: s} }
+	streamLost := claim.DispatchEnded{Attempt: "mine", Result: *codes.NewResult(codes.BackendLost, "").WithOutcome(codes.OutcomeUnknown)}
 	for name, c := range map[string]struct {
 		events     []claim.Event
 		code       codes.Code
@@ -46,30 +47,30 @@
 		dispatches int
 		releases   int
 	}{
-		"plain run":                           {[]claim.Event{swapped, claim.RunEnded{Attempt: "mine", Result: *codes.NewResult(codes.OK, ""), Answer: answer}}, codes.OK, codes.OutcomeRan, 1, 0},
-		"refused by the agent (d)":            {[]claim.Event{swapped, claim.RunEnded{Attempt: "mine", Result: *codes.NewResult(codes.OtherIncarnation, "")}}, codes.OtherIncarnation, codes.OutcomeNotRun, 1, 1},
-		"unsure, absent (b)":                  {[]claim.Event{unsure, claim.ReadBack{}}, codes.ClaimsUnavailable, codes.OutcomeNotRun, 0, 0},
-		"unsure, own claim":                   {[]claim.Event{unsure, stored(claim.StateClaimed, mine), cut, toldMine(claim.ToldRunning)}, codes.InProgress, codes.OutcomeUnknown, 1, 0},
-		"unsure, another's claim (i)":         {[]claim.Event{unsure, stored(claim.StateClaimed, nil)}, codes.InProgress, codes.OutcomeUnknown, 0, 0},
-		"unsure, service down":                {[]claim.Event{unsure, claim.ReadBack{Failed: true}}, codes.ClaimsUnavailable, codes.OutcomeNotRun, 0, 0},
-		"lost, service down":                  {[]claim.Event{lost, claim.ReadBack{Failed: true}}, codes.ClaimsUnavailable, codes.OutcomeUnknown, 0, 0},
-		"done before":                         {[]claim.Event{lost, stored(claim.StateDone, done)}, codes.OK, codes.OutcomeRan, 0, 0},
-		"other body (f)":                      {[]claim.Event{lost, stored(claim.StateDone, func(r *claim.Record) { r.Answer = answer; r.BodyDigest = "e" })}, codes.KeyConflict, codes.OutcomeNotRun, 0, 0},
-		"running elsewhere":                   {[]claim.Event{lost, stored(claim.StateClaimed, nil), told(claim.ToldRunning)}, codes.InProgress, codes.OutcomeUnknown, 0, 0},
-		"finished, not written (e)":           {[]claim.Event{lost, stored(claim.StateClaimed, nil), claim.Told{Attempt: "a1", State: claim.ToldDone, Answer: answer}}, codes.OK, codes.OutcomeRan, 0, 0},
-		"tombstoned, claimed anew":            {[]claim.Event{lost, stored(claim.StateClaimed, nil), told(claim.ToldTombstoned), swapped, claim.RunEnded{Attempt: "mine", Result: *codes.NewResult(codes.OK, ""), Answer: answer}}, codes.OK, codes.OutcomeRan, 1, 0},
-		"tombstoned, another was first (h)":   {[]claim.Event{lost, stored(claim.StateClaimed, nil), told(claim.ToldTombstoned), lost, stored(claim.StateClaimed, func(r *claim.Record) { r.Attempt = "a2" }), claim.Told{Attempt: "a2", State: claim.ToldRunning}}, codes.InProgress, codes.OutcomeUnknown, 0, 0},
-		"incarnation gone":                    {[]claim.Event{lost, stored(claim.StateClaimed, nil), told(claim.ToldOtherIncarnation), stored(claim.StateClaimed, nil)}, codes.OutcomeNotKnown, codes.OutcomeUnknown, 0, 0},
-		"incarnation gone, done meanwhile":    {[]claim.Event{lost, stored(claim.StateClaimed, nil), told(claim.ToldOtherIncarnation), stored(claim.StateDone, done)}, codes.OK, codes.OutcomeRan, 0, 0},
-		"agent silent":                        {[]claim.Event{lost, stored(claim.StateClaimed, nil), told(claim.ToldUnreachable), claim.ReadBack{Failed: true}}, codes.OutcomeNotKnown, codes.OutcomeUnknown, 0, 0},
-		"stream cut before the start":         {[]claim.Event{swapped, cut, toldMine(claim.ToldTombstoned)}, codes.BackendLost, codes.OutcomeNotRun, 1, 1},
-		"agent restarted during the run":      {[]claim.Event{swapped, cut, toldMine(claim.ToldOtherIncarnation), stored(claim.StateClaimed, mine)}, codes.OutcomeNotKnown, codes.OutcomeUnknown, 1, 0},
-		"deadline while queued":               {[]claim.Event{swapped, claim.DeadlinePassed{}, toldMine(claim.ToldTombstoned)}, codes.DeadlineExceeded, codes.OutcomeNotRun, 1, 1},
-		"deadline, agent silent":              {[]claim.Event{swapped, claim.DeadlinePassed{}, claim.DeadlinePassed{}}, codes.DeadlineExceeded, codes.OutcomeUnknown, 1, 0},
-		"deadline during the write":           {[]claim.Event{claim.DeadlinePassed{}, swapped}, codes.DeadlineExceeded, codes.OutcomeNotRun, 0, 1},
-		"deadline while asking about another": {[]claim.Event{lost, stored(claim.StateClaimed, nil), claim.DeadlinePassed{}}, codes.InProgress, codes.OutcomeUnknown, 0, 0},
-		"settled as run":                      {[]claim.Event{lost, stored(claim.StateResolved, func(r *claim.Record) { r.Outcome = codes.OutcomeRan })}, codes.OutcomeNotKnown, codes.OutcomeRan, 0, 0},
-		"settled as not run":                  {[]claim.Event{lost, stored(claim.StateResolved, func(r *claim.Record) { r.Outcome = codes.OutcomeNotRun }), swapped, claim.RunEnded{Attempt: "mine", Result: *codes.NewResult(codes.OK, ""), Answer: answer}}, codes.OK, codes.OutcomeRan, 1, 0},
+		"claimed and run":                                                {[]claim.Event{swapped, claim.DispatchEnded{Attempt: "mine", Result: *codes.NewResult(codes.OK, ""), Answer: answer}}, codes.OK, codes.OutcomeRan, 1, 0},
+		"refused by the agent (d)":                                       {[]claim.Event{swapped, claim.DispatchEnded{Attempt: "mine", Result: *codes.NewResult(codes.OtherIncarnation, "")}}, codes.OtherIncarnation, codes.OutcomeNotRun, 1, 1},
+		"write unanswered, key absent (b)":                               {[]claim.Event{unknown, claim.ReadResult{}}, codes.ClaimsUnavailable, codes.OutcomeNotRun, 0, 0},
+		"write unanswered, own claim holds":                              {[]claim.Event{unknown, stored(claim.StateClaimed, mine), streamLost, reportedMine(claim.ReportedRunning)}, codes.InProgress, codes.OutcomeUnknown, 1, 0},
+		"write unanswered, claim of another submission (i)":              {[]claim.Event{unknown, stored(claim.StateClaimed, nil)}, codes.InProgress, codes.OutcomeUnknown, 0, 0},
+		"write unanswered, store unavailable":                            {[]claim.Event{unknown, claim.ReadResult{Failed: true}}, codes.ClaimsUnavailable, codes.OutcomeNotRun, 0, 0},
+		"write lost, store unavailable":                                  {[]claim.Event{lost, claim.ReadResult{Failed: true}}, codes.ClaimsUnavailable, codes.OutcomeUnknown, 0, 0},
+		"already done":                                                   {[]claim.Event{lost, stored(claim.StateDone, done)}, codes.OK, codes.OutcomeRan, 0, 0},
+		"another body (f)":                                               {[]claim.Event{lost, stored(claim.StateDone, func(r *claim.Record) { r.Answer = answer; r.BodyDigest = "e" })}, codes.KeyConflict, codes.OutcomeNotRun, 0, 0},
+		"other attempt running":                                          {[]claim.Event{lost, stored(claim.StateClaimed, nil), reported(claim.ReportedRunning)}, codes.InProgress, codes.OutcomeUnknown, 0, 0},
+		"other attempt finished, answer not written (e)":                 {[]claim.Event{lost, stored(claim.StateClaimed, nil), claim.AttemptReport{Attempt: "a1", State: claim.ReportedDone, Answer: answer}}, codes.OK, codes.OutcomeRan, 0, 0},
+		"other attempt tombstoned, key claimed again":                    {[]claim.Event{lost, stored(claim.StateClaimed, nil), reported(claim.ReportedTombstoned), swapped, claim.DispatchEnded{Attempt: "mine", Result: *codes.NewResult(codes.OK, ""), Answer: answer}}, codes.OK, codes.OutcomeRan, 1, 0},
+		"other attempt tombstoned, write lost to a third submission (h)": {[]claim.Event{lost, stored(claim.StateClaimed, nil), reported(claim.ReportedTombstoned), lost, stored(claim.StateClaimed, func(r *claim.Record) { r.Attempt = "a2" }), claim.AttemptReport{Attempt: "a2", State: claim.ReportedRunning}}, codes.InProgress, codes.OutcomeUnknown, 0, 0},
+		"agent has another incarnation":                                  {[]claim.Event{lost, stored(claim.StateClaimed, nil), reported(claim.ReportedOtherIncarnation), stored(claim.StateClaimed, nil)}, codes.OutcomeNotKnown, codes.OutcomeUnknown, 0, 0},
+		"agent has another incarnation, done meanwhile":                  {[]claim.Event{lost, stored(claim.StateClaimed, nil), reported(claim.ReportedOtherIncarnation), stored(claim.StateDone, done)}, codes.OK, codes.OutcomeRan, 0, 0},
+		"agent unreachable":                                              {[]claim.Event{lost, stored(claim.StateClaimed, nil), reported(claim.ReportedUnreachable), claim.ReadResult{Failed: true}}, codes.OutcomeNotKnown, codes.OutcomeUnknown, 0, 0},
+		"stream lost before the start":                                   {[]claim.Event{swapped, streamLost, reportedMine(claim.ReportedTombstoned)}, codes.BackendLost, codes.OutcomeNotRun, 1, 1},
+		"agent restarted during the run":                                 {[]claim.Event{swapped, streamLost, reportedMine(claim.ReportedOtherIncarnation), stored(claim.StateClaimed, mine)}, codes.OutcomeNotKnown, codes.OutcomeUnknown, 1, 0},
+		"deadline while queued":                                          {[]claim.Event{swapped, claim.DeadlinePassed{}, reportedMine(claim.ReportedTombstoned)}, codes.DeadlineExceeded, codes.OutcomeNotRun, 1, 1},
+		"deadline, agent does not report":                                {[]claim.Event{swapped, claim.DeadlinePassed{}, claim.DeadlinePassed{}}, codes.DeadlineExceeded, codes.OutcomeUnknown, 1, 0},
+		"deadline during the write":                                      {[]claim.Event{claim.DeadlinePassed{}, swapped}, codes.DeadlineExceeded, codes.OutcomeNotRun, 0, 1},
+		"deadline while awaiting the report on another attempt":          {[]claim.Event{lost, stored(claim.StateClaimed, nil), claim.DeadlinePassed{}}, codes.InProgress, codes.OutcomeUnknown, 0, 0},
+		"resolved as run":                                                {[]claim.Event{lost, stored(claim.StateResolved, func(r *claim.Record) { r.Outcome = codes.OutcomeRan })}, codes.OutcomeNotKnown, codes.OutcomeRan, 0, 0},
+		"resolved as not run":                                            {[]claim.Event{lost, stored(claim.StateResolved, func(r *claim.Record) { r.Outcome = codes.OutcomeNotRun }), swapped, claim.DispatchEnded{Attempt: "mine", Result: *codes.NewResult(codes.OK, ""), Answer: answer}}, codes.OK, codes.OutcomeRan, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -98,8 +99,9 @@
 	}
 }
 
-// A caller waits, gives up and orders again under a new key; both orders
-// run. Cause: the entry froze between its claim and the dispatch.
+// Guards against a request that runs twice: the entry freezes between its claim and the dispatch,
+// the caller times out and sends the request again under a new key, and the entry dispatches on
+// waking.
 func TestFrozenEntryDoesNotDispatch(t *testing.T) {
 	is := is.New(t)
 	s := newSubmission()
@@ -114,6 +116,6 @@
 	is := is.New(t)
 	s := newSubmission()
 	freed := stored(claim.StateTombstoned, nil).Stored
-	actions := s.Step(start(), claim.Started{Known: freed})
+	actions := s.Step(start(), claim.Started{Released: freed})
 	is.Equal(actions[0].(claim.CompareAndSwap).Index, uint64(7))
 }
