--- a/share/decide/lease/replay_test.go
+++ b/share/decide/lease/replay_test.go
@@ -12,7 +12,7 @@
 	"verbenaroad.example/share/decide/lease"
 )
 
-// TestMain fixes the seed: each run replays the same histories.
+// TestMain fixes the seed, so that each run replays the same histories.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "3000", "rapid.nofailfile": "true"} {
@@ -23,31 +23,32 @@
 	os.Exit(m.Run())
 }
 
-// order is one that was sent; an ignoring engine works on it until end at the latest.
+// order is a sent order. An engine that ignores the fencing number executes it until end at the
+// latest.
 type order struct {
-	holder int
-	number uint64
-	end    time.Time
+	sender        int
+	fencingNumber uint64
+	end           time.Time
 }
 
-// world is three holders before one engine, with a key-value service that
-// loses answers and lets writes take effect late.
+// world simulates three candidates for the lease of one engine, and a key-value service that loses
+// answers and applies writes late.
 type world struct {
-	t       *rapid.T
-	now     time.Time
-	holders []*lease.Holder
-	inbox   [][]lease.Event
-	stored  lease.Stored
-	late    []lease.Stored
-	orders  []order
-	fenced  bool
-	sent    int
+	t             *rapid.T
+	now           time.Time
+	candidates    []*lease.Candidate
+	inbox         [][]lease.Event
+	stored        lease.Stored
+	lateWrites    []lease.Stored
+	orders        []order
+	checksFencing bool
+	sent          int
 }
 
-func newWorld(t *rapid.T, fenced bool) *world {
-	w := &world{t: t, now: at(0), fenced: fenced, inbox: make([][]lease.Event, 3)}
+func newWorld(t *rapid.T, checksFencing bool) *world {
+	w := &world{t: t, now: at(0), checksFencing: checksFencing, inbox: make([][]lease.Event, 3)}
 	for i := range 3 {
-		w.holders = append(w.holders, newHolder(fmt.Sprint(i), fenced))
+		w.candidates = append(w.candidates, newCandidate(fmt.Sprint(i), checksFencing))
 	}
 	return w
 }
@@ -62,7 +63,7 @@
 }
 
 func (w *world) deliver(i int, e lease.Event) {
-	for _, a := range w.holders[i].Step(w.now, e) {
+	for _, a := range w.candidates[i].Step(w.now, e) {
 		w.act(i, a)
 	}
 }
@@ -71,7 +72,7 @@
 	switch v := a.(type) {
 	case lease.Read:
 		failed := rapid.IntRange(0, 9).Draw(w.t, "read fails") == 0
-		w.inbox[i] = append(w.inbox[i], lease.ReadBack{Stored: w.stored, Failed: failed})
+		w.inbox[i] = append(w.inbox[i], lease.ReadResult{Stored: w.stored, Failed: failed})
 	case lease.CompareAndSwap:
 		w.inbox[i] = append(w.inbox[i], w.swap(v.Stored))
 	case lease.SendOrder:
@@ -82,7 +83,7 @@
 func (w *world) swap(s lease.Stored) lease.Event {
 	switch rapid.IntRange(0, 3).Draw(w.t, "write") {
 	case 0:
-		w.late = append(w.late, s)
+		w.lateWrites = append(w.lateWrites, s)
 		return lease.SwapResult{Outcome: lease.SwapUnknown}
 	case 1:
 		w.apply(s)
@@ -94,18 +95,18 @@
 	return lease.SwapResult{Outcome: lease.SwapLost}
 }
 
-// order checks the invariants at the engine.
+// order checks the invariants on the orders to the engine and records the order.
 func (w *world) order(i int, v lease.SendOrder) {
 	w.sent++
 	for _, o := range w.orders {
-		if o.number > v.Number {
-			w.t.Fatalf("order with number %d after one with %d", v.Number, o.number)
+		if o.fencingNumber > v.FencingNumber {
+			w.t.Fatalf("order with fencing number %d after one with %d", v.FencingNumber, o.fencingNumber)
 		}
-		if !w.fenced && o.holder != i && w.now.Before(o.end) {
-			w.t.Fatalf("holder %d sent while holder %d's order may be at work", i, o.holder)
+		if !w.checksFencing && o.sender != i && w.now.Before(o.end) {
+			w.t.Fatalf("candidate %d sent an order while the order of candidate %d may still be executed", i, o.sender)
 		}
 	}
-	w.orders = append(w.orders, order{holder: i, number: v.Number, end: w.now.Add(5 * time.Second)})
+	w.orders = append(w.orders, order{sender: i, fencingNumber: v.FencingNumber, end: w.now.Add(5 * time.Second)})
 }
 
 func (w *world) step() {
@@ -114,9 +115,9 @@
 	case 0, 1:
 		w.now = w.now.Add(time.Duration(rapid.IntRange(100, 4000).Draw(w.t, "ms")) * time.Millisecond)
 	case 2:
-		if len(w.late) > 0 {
-			w.apply(w.late[0])
-			w.late = w.late[1:]
+		if len(w.lateWrites) > 0 {
+			w.apply(w.lateWrites[0])
+			w.lateWrites = w.lateWrites[1:]
 		}
 	case 3, 4, 5:
 		if len(w.inbox[i]) > 0 {
@@ -127,23 +128,22 @@
 	case 6, 7:
 		w.deliver(i, lease.Ticked{})
 	case 8, 9, 10, 11:
-		w.deliver(i, lease.OrderWanted{ID: fmt.Sprint(w.sent)})
+		w.deliver(i, lease.OrderRequested{ID: fmt.Sprint(w.sent)})
 	case 12:
 		if rapid.IntRange(0, 9).Draw(w.t, "release") == 0 {
-			w.deliver(i, lease.ReleaseWanted{})
+			w.deliver(i, lease.ReleaseRequested{})
 		}
 	}
 }
 
-// A model vanishes from an engine that another process has just loaded.
-// Causes: pauses, late writes and lost answers leave two processes that
-// both take themselves for the holder.
+// Guards against an engine that unloads a model which another process has just loaded: pauses, late
+// writes and lost answers make two processes act as the holder at the same time.
 func TestOneHolderSends(t *testing.T) {
-	for name, fenced := range map[string]bool{"engine checks": true, "engine ignores": false} {
+	for name, checksFencing := range map[string]bool{"engine checks": true, "engine ignores": false} {
 		t.Run(name, func(t *testing.T) {
 			sent := 0
 			rapid.Check(t, func(t *rapid.T) {
-				w := newWorld(t, fenced)
+				w := newWorld(t, checksFencing)
 				for range 300 {
 					w.step()
 				}
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -3,7 +3,7 @@
  * three processes, one record moved by compare-and-swap, lost answers and late
  * writes, a clock that goes on while any of them is paused.
  *
- * Mirrors Holder of share/decide/lease. Without -DIGNORES the engine refuses
+ * Mirrors Candidate of share/decide/lease. Without -DIGNORES the engine refuses
  * an order with a lower number than one it has seen, and orders may wait
  * for any time after the holder's last look at the clock. With -DIGNORES it
  * takes every order; the look and the sending are one step, and an order's
