--- a/ingress/services/pieces/maker.go
+++ b/ingress/services/pieces/maker.go
@@ -11,9 +11,9 @@
 
 	"verbenaroad.example/ingress/modules/encode"
 	"verbenaroad.example/ingress/services/state"
-	"verbenaroad.example/share/decide/ahead"
 	"verbenaroad.example/share/decide/batch"
 	"verbenaroad.example/share/decide/chain"
+	"verbenaroad.example/share/decide/delay"
 	"verbenaroad.example/share/decide/shard"
 	"verbenaroad.example/share/models/site"
 	"verbenaroad.example/share/modules/logs"
@@ -50,7 +50,7 @@
 	pools map[string]*site.Pool
 	waits map[string]chain.Wait
 	// pending counts the results that chains of this ingress still need, by queue.
-	pending map[string]ahead.Counts
+	pending map[string]delay.Counts
 	// ingresses counts them by region, all of them under the empty one.
 	ingresses map[string]int
 	// lateTurn is when the last held request began.
@@ -59,7 +59,7 @@
 
 // NewMaker returns a maker; owner holds the queues that fall to this ingress.
 func NewMaker(peers Peers, owner *Owner, log *zap.Logger) *Maker {
-	return &Maker{peers: peers, owner: owner, log: log, regions: owner.options.Regions, region: owner.options.Region, waits: map[string]chain.Wait{}, pending: map[string]ahead.Counts{}}
+	return &Maker{peers: peers, owner: owner, log: log, regions: owner.options.Regions, region: owner.options.Region, waits: map[string]chain.Wait{}, pending: map[string]delay.Counts{}}
 }
 
 // TakeView takes the services of a new view.
@@ -98,7 +98,7 @@
 func (m *Maker) newPlan(c *Chain) chain.Plan {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	pending := map[string]ahead.Counts{}
+	pending := map[string]delay.Counts{}
 	for _, s := range c.Stages {
 		pending[s.Service] = m.countPending(s.Service)
 	}
@@ -145,10 +145,10 @@
 	m.noteOutlook(told.GetService(), decodeOutlook(told))
 }
 
-func (m *Maker) noteOutlook(service string, o ahead.Outlook) {
+func (m *Maker) noteOutlook(service string, o delay.Backlog) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.waits[service] = chain.Wait{Outlook: o, At: time.Now()}
+	m.waits[service] = chain.Wait{Backlog: o, At: time.Now()}
 }
 
 // addPending notes results that chains of this ingress still need and that no queue holds yet.
@@ -157,7 +157,7 @@
 	defer m.lock.Unlock()
 	counts := m.pending[service]
 	if counts == nil {
-		counts = ahead.Counts{}
+		counts = delay.Counts{}
 		m.pending[service] = counts
 	}
 	counts[rank] += float64(n)
@@ -176,7 +176,7 @@
 // takes the job; results of the lost one end by themselves.
 func (m *Maker) produce(ctx context.Context, service string, j batch.Job) batch.Done {
 	done := m.produceAnywhere(ctx, service, j)
-	if done.Outlook.IsTold() {
+	if done.Outlook.IsKnown() {
 		m.noteOutlook(service, done.Outlook)
 	}
 	return done
--- a/ingress/services/pieces/outlook.go
+++ b/ingress/services/pieces/outlook.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"verbenaroad.example/share/decide/ahead"
+	"verbenaroad.example/share/decide/delay"
 	"verbenaroad.example/share/models/site"
 	"verbenaroad.example/share/modules/wire"
 )
@@ -15,12 +15,12 @@
 // Guards against a job that its batcher gave up, or one for a service that it does not
 // know, making the service look stalled at the ingress that asked: written as a rate of
 // 0, each of its next requests would be given a wait of a second.
-func encodeOutlook(service string, o ahead.Outlook) *wire.Outlook {
-	if !o.IsTold() {
+func encodeOutlook(service string, o delay.Backlog) *wire.Outlook {
+	if !o.IsKnown() {
 		return nil
 	}
 	ranks := map[site.Rank]bool{}
-	for _, counts := range []ahead.Counts{o.OnTime, o.Late, o.Demand} {
+	for _, counts := range []delay.Counts{o.OnTime, o.Late, o.Demand} {
 		for rank := range counts {
 			ranks[rank] = true
 		}
@@ -35,11 +35,11 @@
 }
 
 // decodeOutlook reads it; what was not told stays so.
-func decodeOutlook(told *wire.Outlook) ahead.Outlook {
+func decodeOutlook(told *wire.Outlook) delay.Backlog {
 	if told == nil {
-		return ahead.Outlook{}
+		return delay.Backlog{}
 	}
-	o := ahead.Outlook{OnTime: ahead.Counts{}, Late: ahead.Counts{}, Demand: ahead.Counts{}, Rate: told.GetRate()}
+	o := delay.Backlog{OnTime: delay.Counts{}, Late: delay.Counts{}, Demand: delay.Counts{}, Rate: told.GetRate()}
 	for _, q := range told.GetQueues() {
 		rank := site.Rank(q.GetRank())
 		o.OnTime[rank] = q.GetOnTime()
--- a/ingress/services/pieces/queues.go
+++ b/ingress/services/pieces/queues.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"verbenaroad.example/share/decide/ahead"
+	"verbenaroad.example/share/decide/delay"
 	"verbenaroad.example/share/decide/shard"
 	"verbenaroad.example/share/models/site"
 )
@@ -31,7 +31,7 @@
 // countPending returns what chains of all ingresses still need of a queue. The balancer
 // spreads the callers, so the others have about as much under way as this one, those of
 // another region for its queue as this one for that of its own; called under the lock.
-func (m *Maker) countPending(queue string) ahead.Counts {
+func (m *Maker) countPending(queue string) delay.Counts {
 	service, region := shard.Parse(queue)
 	if region != "" {
 		queue = shard.Name(service, m.region)
--- a/share/decide/batch/batch.go
+++ b/share/decide/batch/batch.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"verbenaroad.example/share/decide/ahead"
+	"verbenaroad.example/share/decide/delay"
 	"verbenaroad.example/share/models/site"
 )
 
@@ -103,7 +103,7 @@
 	Handles    []string
 	RetryAfter time.Duration
 	// Outlook is the queue that the next jobs meet.
-	Outlook ahead.Outlook
+	Outlook delay.Backlog
 	// InputsReleased tells that the job's inputs are not held any more.
 	InputsReleased bool
 }
@@ -148,7 +148,7 @@
 	jobs    map[uint64]*job
 	calls   map[uint64]*Call
 	lastID  uint64
-	demand  *ahead.Demand
+	demand  *delay.Demand
 	// blamed are the requests that were alone in a call that broke off, and of which nothing was made since.
 	blamed map[string]bool
 	// ready are the workers by ID, so that choices do not depend on the order of a map.
@@ -188,7 +188,7 @@
 		workers: map[string]*worker{},
 		jobs:    map[uint64]*job{},
 		calls:   map[uint64]*Call{},
-		demand:  ahead.NewDemand(),
+		demand:  delay.NewDemand(),
 		blamed:  map[string]bool{},
 	}
 }
--- a/share/decide/batch/ends.go
+++ b/share/decide/batch/ends.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"verbenaroad.example/share/decide/ahead"
+	"verbenaroad.example/share/decide/delay"
 	"verbenaroad.example/share/models/site"
 )
 
@@ -172,8 +172,8 @@
 }
 
 // Outlook tells what waits for a call, and how many results a second are made in full calls.
-func (p *Planner) Outlook(now time.Time) ahead.Outlook {
-	o := ahead.Outlook{OnTime: ahead.Counts{}, Late: ahead.Counts{}, Rate: p.rate(now), Demand: p.demand.Rates(now)}
+func (p *Planner) Outlook(now time.Time) delay.Backlog {
+	o := delay.Backlog{OnTime: delay.Counts{}, Late: delay.Counts{}, Rate: p.rate(now), Demand: p.demand.Rates(now)}
 	for _, q := range p.queue {
 		counts := o.Late
 		if p.isOnTime(now, q.Job) {
--- a/share/decide/batch/plan.go
+++ b/share/decide/batch/plan.go
@@ -105,7 +105,7 @@
 		if p.isOnTime(now, j.Job) {
 			continue
 		}
-		wait := o.TimeFor(before+float64(len(j.todo)), o.Demand.Sum())
+		wait := o.ProcessingTime(before+float64(len(j.todo)), o.Demand.Sum())
 		if !j.isBegun() && len(j.Inputs) == 0 && now.Add(wait+p.pool.CallTime).After(j.Expires) {
 			p.finish(a, now, j, Done{JobID: j.ID, Outcome: OutcomeBusy, RetryAfter: wait})
 			continue
--- a/share/decide/chain/chain.go
+++ b/share/decide/chain/chain.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"verbenaroad.example/share/decide/ahead"
+	"verbenaroad.example/share/decide/delay"
 	"verbenaroad.example/share/models/site"
 )
 
@@ -24,7 +24,7 @@
 
 // Wait is what the batcher of a service last told of its queue.
 type Wait struct {
-	ahead.Outlook
+	delay.Backlog
 	// At is when it was told; zero: it was not.
 	At time.Time
 }
@@ -35,7 +35,7 @@
 	Waits map[string]Wait
 	// Ahead are the results of each service that requests under way still need and
 	// that no queue holds yet, at all ingresses together.
-	Ahead map[string]ahead.Counts
+	Ahead map[string]delay.Counts
 }
 
 // Plan is the outlook of one request's stages.
@@ -133,7 +133,7 @@
 // wait predicts how long a request that can be on time waits at a service.
 func (k Known) wait(now time.Time, service string, rank site.Rank) time.Duration {
 	w := k.Waits[service]
-	return fade(now, w, w.Wait(rank)) + aheadTime(w, k.Ahead[service].Before(rank))
+	return fade(now, w, w.Wait(rank)) + aheadTime(w, k.Ahead[service].UpTo(rank))
 }
 
 // lateWait predicts the same for a request that cannot be on time.
@@ -154,7 +154,7 @@
 	if w.Rate == 0 {
 		return 0
 	}
-	return w.TimeFor(results, 0)
+	return w.ProcessingTime(results, 0)
 }
 
 // Begin tells whether a stage whose inputs are there begins now. Deepest is the
--- a/share/decide/chain/chain_test.go
+++ b/share/decide/chain/chain_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/matryer/is"
 
-	"verbenaroad.example/share/decide/ahead"
 	"verbenaroad.example/share/decide/chain"
+	"verbenaroad.example/share/decide/delay"
 	"verbenaroad.example/share/models/site"
 )
 
@@ -27,8 +27,8 @@
 // newWait is a queue in which a request of rank 0 waits for the times given.
 func newWait(at time.Time, onTime, late time.Duration) chain.Wait {
 	const rate = 1000
-	return chain.Wait{At: at, Outlook: ahead.Outlook{
-		OnTime: ahead.Counts{0: rate * onTime.Seconds()}, Late: ahead.Counts{0: rate * (late - onTime).Seconds()}, Rate: rate,
+	return chain.Wait{At: at, Backlog: delay.Backlog{
+		OnTime: delay.Counts{0: rate * onTime.Seconds()}, Late: delay.Counts{0: rate * (late - onTime).Seconds()}, Rate: rate,
 	}}
 }
 
@@ -115,8 +115,8 @@
 	k := newKnown(now, 0)
 	counts := []int{0, 1, 6, 10}
 	empty := chain.NewPlan(now, 0, newStages(), counts, k)
-	k.Waits["rerank"] = chain.Wait{Outlook: ahead.Outlook{Rate: 500}, At: now}
-	k.Ahead = map[string]ahead.Counts{"rerank": {0: 1000}}
+	k.Waits["rerank"] = chain.Wait{Backlog: delay.Backlog{Rate: 500}, At: now}
+	k.Ahead = map[string]delay.Counts{"rerank": {0: 1000}}
 	full := chain.NewPlan(now, 0, newStages(), counts, k)
 	// 1000 results at 500 a second take 2 s, of which 510 ms pass in the stages before
 	is.Equal(full.Total-empty.Total, 1490*ms)
@@ -151,10 +151,10 @@
 	const note, review, chat = site.Rank(0), site.Rank(1), site.Rank(2)
 	now := time.Unix(0, 0)
 	k := newKnown(now, 0)
-	k.Waits["encode"] = chain.Wait{At: now, Outlook: ahead.Outlook{
-		OnTime: ahead.Counts{note: 20, review: 300}, Late: ahead.Counts{review: 500}, Rate: 100,
+	k.Waits["encode"] = chain.Wait{At: now, Backlog: delay.Backlog{
+		OnTime: delay.Counts{note: 20, review: 300}, Late: delay.Counts{review: 500}, Rate: 100,
 	}}
-	k.Ahead = map[string]ahead.Counts{"encode": {review: 100}}
+	k.Ahead = map[string]delay.Counts{"encode": {review: 100}}
 	admit := func(rank site.Rank) chain.Verdict {
 		p := chain.NewPlan(now, rank, newStages(), []int{0, 1, 6, 10}, k)
 		v, _ := p.Admit(now, now.Add(2*time.Second), now.Add(6*time.Second))
