--- a/ingress/services/pieces/admit.go
+++ b/ingress/services/pieces/admit.go
@@ -30,7 +30,7 @@
 		case verdict == chain.Refuse:
 			return plan, codes.NewResult(codes.DeadlineUnmeetable, "the stages would take "+plan.LateTotal.Round(time.Millisecond).String()).
 				WithRetryAfter(max(pause, minPause))
-		case verdict == chain.Go && (!held || m.takeLateTurn()):
+		case verdict == chain.Admit && (!held || m.takeLateTurn()):
 			c.Log.Info("admitted", zap.Duration("held", time.Since(began)), zap.Duration("on-time", plan.Total),
 				zap.Duration("late", plan.LateTotal), zap.Duration("target", time.Until(c.Target)), zap.Duration("ends", time.Until(c.Ends)))
 			return plan, nil
--- a/ingress/services/pieces/maker.go
+++ b/ingress/services/pieces/maker.go
@@ -48,7 +48,7 @@
 	domains map[netip.AddrPort]string
 	// pools and waits are by queue.
 	pools map[string]*site.Pool
-	waits map[string]chain.Wait
+	waits map[string]chain.Report
 	// pending counts the results that chains of this ingress still need, by queue.
 	pending map[string]delay.Counts
 	// ingresses counts them by region, all of them under the empty one.
@@ -59,7 +59,7 @@
 
 // NewMaker returns a maker; owner holds the queues that fall to this ingress.
 func NewMaker(peers Peers, owner *Owner, log *zap.Logger) *Maker {
-	return &Maker{peers: peers, owner: owner, log: log, regions: owner.options.Regions, region: owner.options.Region, waits: map[string]chain.Wait{}, pending: map[string]delay.Counts{}}
+	return &Maker{peers: peers, owner: owner, log: log, regions: owner.options.Regions, region: owner.options.Region, waits: map[string]chain.Report{}, pending: map[string]delay.Counts{}}
 }
 
 // TakeView takes the services of a new view.
@@ -102,7 +102,7 @@
 	for _, s := range c.Stages {
 		pending[s.Service] = m.countPending(s.Service)
 	}
-	known := chain.Known{Pools: m.pools, Waits: m.waits, Ahead: pending}
+	known := chain.Snapshot{Pools: m.pools, Reports: m.waits, Pending: pending}
 	return chain.NewPlan(time.Now(), c.Rank, c.Stages, c.Items, known)
 }
 
@@ -148,7 +148,7 @@
 func (m *Maker) noteOutlook(service string, o delay.Backlog) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.waits[service] = chain.Wait{Backlog: o, At: time.Now()}
+	m.waits[service] = chain.Report{Backlog: o, At: time.Now()}
 }
 
 // addPending notes results that chains of this ingress still need and that no queue holds yet.
--- a/ingress/services/pieces/walk.go
+++ b/ingress/services/pieces/walk.go
@@ -133,7 +133,7 @@
 	deepest := 0
 	for stage, s := range states {
 		if s != stageEnded && w.count(stage) > 0 {
-			deepest = max(deepest, w.plan.Level[stage])
+			deepest = max(deepest, w.plan.StagesLeft[stage])
 		}
 	}
 	started := 0
@@ -141,7 +141,7 @@
 		if states[stage] != "" || !w.hasInputs(stage, states) {
 			continue
 		}
-		if w.count(stage) > 0 && !w.plan.Begin(stage, deepest) {
+		if w.count(stage) > 0 && !w.plan.ShouldStart(stage, deepest) {
 			continue
 		}
 		states[stage] = stageRunning
@@ -173,7 +173,7 @@
 	}
 	began := time.Now()
 	s := w.Stages[stage]
-	target, expires := w.plan.Limits(stage, w.Target, w.Ends)
+	target, expires := w.plan.Deadlines(stage, w.Target, w.Ends)
 	if until, bound := w.inputsUntil(stage); bound && until.Before(expires) {
 		expires = until
 	}
--- a/share/decide/chain/chain.go
+++ b/share/decide/chain/chain.go
@@ -1,5 +1,5 @@
-// Package chain decides about the stages of one request together: whether they
-// can end in time, when each should begin, and until when each is of use.
+// Package chain makes the decisions that concern all stages of one request together:
+// whether the stages can end in time, when each of them starts, and by when each must end.
 package chain
 
 import (
@@ -10,100 +10,107 @@
 )
 
 const (
-	// engineTime is about how long an engine takes to begin its answer once it has the results.
-	engineTime = 200 * time.Millisecond
-	// waitAge is how long a reported wait counts; it fades over that time, since the
-	// queue that it was read from is worked off meanwhile.
-	waitAge = 1500 * time.Millisecond
-	// endReserve is kept between the end of the stages and the request's own deadline,
-	// for the events of the answer.
-	endReserve = 700 * time.Millisecond
-	// typicalFill is the part of a batch that a call holds beside the request's own items.
-	typicalFill = 2
+	// engineStartTime is the approximate time from when an engine has the results of the
+	// stages until its answer begins.
+	engineStartTime = 200 * time.Millisecond
+	// reportFadeTime is the age at which a reported wait no longer counts. Its weight falls
+	// linearly until then, because the queue it describes is worked off in the meantime.
+	reportFadeTime = 1500 * time.Millisecond
+	// answerReserve is the time kept free between the end of the stages and the deadline
+	// of the request, for the events of the answer.
+	answerReserve = 700 * time.Millisecond
+	// typicalFillDivisor sets the assumed size of a call: a full batch divided by it, or the
+	// request's own items if they are more, but never more than a batch.
+	typicalFillDivisor = 2
 )
 
-// Wait is what the batcher of a service last told of its queue.
-type Wait struct {
+// Report is the last report of a batcher about the queue of its service.
+type Report struct {
 	delay.Backlog
-	// At is when it was told; zero: it was not.
+	// At is when the report arrived; zero if there was none.
 	At time.Time
 }
 
-// Known are the services of the stages as one ingress knows them.
-type Known struct {
-	Pools map[string]*site.Pool
-	Waits map[string]Wait
-	// Ahead are the results of each service that requests under way still need and
-	// that no queue holds yet, at all ingresses together.
-	Ahead map[string]delay.Counts
+// Snapshot is the view that one ingress has of the services that run the stages.
+type Snapshot struct {
+	Pools   map[string]*site.Pool
+	Reports map[string]Report
+	// Pending counts, by service, the results that requests in flight still need but that
+	// are not in a queue yet, summed over all ingresses.
+	Pending map[string]delay.Counts
 }
 
-// Plan is the outlook of one request's stages.
+// Plan holds the estimated times of the stages of one request.
 type Plan struct {
-	// Total predicts the time until the engine begins its answer, LateTotal the same
-	// for a request that goes behind those that can be on time.
+	// Total is the estimated time until the engine's answer begins if the request is served
+	// among those that can be on time, LateTotal the same if it is served after them.
 	Total     time.Duration
 	LateTotal time.Duration
-	// After predicts, by stage, the time from the end of a stage to that.
-	After []time.Duration
-	// Level is, by stage, how many stages still follow on the longest way to the engine.
-	Level []int
-	// held is the longest wait of a late request's results for the next stage,
-	// against the time that they are kept.
-	held float64
+	// Remaining is, by stage, the estimated time from the end of that stage until the
+	// engine's answer begins.
+	Remaining []time.Duration
+	// StagesLeft is, by stage, the number of stages that follow on the longest path to the
+	// engine. Stages without results do not count.
+	StagesLeft []int
+	// maxWaitShare is the longest time that results of a late request wait for their next
+	// stage, as a share of the time for which servers keep them.
+	maxWaitShare float64
 }
 
-// NewPlan predicts a chain for a request of a rank: it waits for what goes before it
-// and passes the rest. Counts holds the number of results of each stage; a stage
-// without results takes no time.
+// NewPlan estimates the times of the stages for a request of the given rank, which waits
+// for requests that are at least as urgent and overtakes the others. Counts holds the number
+// of results of each stage; a stage without results takes no time.
 //
-// Guards against a burst of the less urgent that keeps the urgent out: judged by the
-// whole queue, as many of both are refused, and those that are let in are the ones
-// with the fewest stages.
-func NewPlan(now time.Time, rank site.Rank, stages []site.Stage, counts []int, k Known) Plan {
-	p := Plan{After: make([]time.Duration, len(stages)), Level: make([]int, len(stages))}
-	onTime, _ := k.stageTimes(stages, counts, func(service string) time.Duration { return k.wait(now, service, rank) })
-	late, lateWaits := k.stageTimes(stages, counts, func(service string) time.Duration { return k.lateWait(now, service, rank) })
-	afterLate := make([]time.Duration, len(stages))
+// If the estimate used the whole queue instead, a burst of less urgent requests would cause as
+// many urgent requests as less urgent ones to be refused, and the requests admitted would be
+// those with the fewest stages.
+func NewPlan(now time.Time, rank site.Rank, stages []site.Stage, counts []int, s Snapshot) Plan {
+	p := Plan{Remaining: make([]time.Duration, len(stages)), StagesLeft: make([]int, len(stages))}
+	onTime, _ := s.stageTimes(stages, counts, func(service string) time.Duration { return s.wait(now, service, rank) })
+	late, lateWaits := s.stageTimes(stages, counts, func(service string) time.Duration { return s.lateWait(now, service, rank) })
+	lateRemaining := make([]time.Duration, len(stages))
 	for i := range stages {
-		p.After[i] = engineTime
-		afterLate[i] = engineTime
+		p.Remaining[i] = engineStartTime
+		lateRemaining[i] = engineStartTime
 	}
-	// A stage takes results of stages with lower numbers only.
+	// The inputs of a stage come only from stages with lower numbers, so going backwards
+	// visits every stage after all stages that use its results.
 	for i := len(stages) - 1; i >= 0; i-- {
-		own := p.After[i] + onTime[i]
-		ownLate := afterLate[i] + late[i]
-		for _, before := range stages[i].After {
-			p.After[before] = max(p.After[before], own)
-			afterLate[before] = max(afterLate[before], ownLate)
-			p.Level[before] = max(p.Level[before], p.Level[i]+min(countOf(counts, i), 1))
-			p.held = max(p.held, k.heldShare(stages[before].Service, lateWaits[i]))
+		total := p.Remaining[i] + onTime[i]
+		lateTotal := lateRemaining[i] + late[i]
+		for _, input := range stages[i].After {
+			p.Remaining[input] = max(p.Remaining[input], total)
+			lateRemaining[input] = max(lateRemaining[input], lateTotal)
+			p.StagesLeft[input] = max(p.StagesLeft[input], p.StagesLeft[i]+min(countOf(counts, i), 1))
+			p.maxWaitShare = max(p.maxWaitShare, s.waitShare(stages[input].Service, lateWaits[i]))
 		}
-		p.Total = max(p.Total, own)
-		p.LateTotal = max(p.LateTotal, ownLate)
+		p.Total = max(p.Total, total)
+		p.LateTotal = max(p.LateTotal, lateTotal)
 	}
 	return p
 }
 
-// stageTimes predicts how long each stage takes, and how much of that it waits.
+// stageTimes estimates how long each stage takes and how much of that it waits. The function
+// wait returns the wait of a result that would reach the service now.
 //
-// Requests that are still in an earlier stage arrive before this one; leaving
-// them out lets a burst in until the queues behind the first stage are full,
-// which shows a second later. What is worked off until this one arrives is taken off.
-func (k Known) stageTimes(stages []site.Stage, counts []int, wait func(service string) time.Duration) (times, waits []time.Duration) {
+// That wait must include the results of requests that are still in an earlier stage, since
+// they reach the service first. Without them a burst is admitted until the queues after the
+// first stage are full, which becomes visible only a second later. The time that the request
+// spends in earlier stages is subtracted, because the queue is worked off in the meantime.
+func (s Snapshot) stageTimes(stages []site.Stage, counts []int, wait func(service string) time.Duration) (times, waits []time.Duration) {
 	times = make([]time.Duration, len(stages))
 	waits = make([]time.Duration, len(stages))
 	ends := make([]time.Duration, len(stages))
-	for i, s := range stages {
-		arrives := time.Duration(0)
-		for _, before := range s.After {
-			arrives = max(arrives, ends[before])
+	for i, stage := range stages {
+		arrival := time.Duration(0)
+		for _, input := range stage.After {
+			arrival = max(arrival, ends[input])
 		}
-		if n := countOf(counts, i); n > 0 && k.Pools[s.Service] != nil {
-			waits[i] = max(wait(s.Service)-arrives, 0)
-			times[i] = waits[i] + callTime(k.Pools[s.Service], n)
+		if n := countOf(counts, i); n > 0 && s.Pools[stage.Service] != nil {
+			waits[i] = max(wait(stage.Service)-arrival, 0)
+			times[i] = waits[i] + callTime(s.Pools[stage.Service], n)
 		}
-		ends[i] = arrives + times[i]
+		ends[i] = arrival + times[i]
 	}
 	return times, waits
 }
@@ -115,105 +122,106 @@
 	return counts[stage]
 }
 
-// callTime is about how long the call takes that holds a stage's results.
+// callTime estimates the duration of the call that produces count results of a stage.
 func callTime(pool *site.Pool, count int) time.Duration {
-	items := min(max(count, pool.Batch/typicalFill), pool.Batch)
+	items := min(max(count, pool.Batch/typicalFillDivisor), pool.Batch)
 	return pool.CallTime + time.Duration(items)*pool.ItemTime
 }
 
-// heldShare returns the part of the time that a server keeps results for which they would wait.
-func (k Known) heldShare(maker string, wait time.Duration) float64 {
-	pool := k.Pools[maker]
+// waitShare returns the time that results wait for their next stage as a share of the time
+// for which the servers of the producing service keep them.
+func (s Snapshot) waitShare(producer string, wait time.Duration) float64 {
+	pool := s.Pools[producer]
 	if pool == nil || pool.KeepTime <= 0 {
 		return 0
 	}
 	return float64(wait) / float64(pool.KeepTime)
 }
 
-// wait predicts how long a request that can be on time waits at a service.
-func (k Known) wait(now time.Time, service string, rank site.Rank) time.Duration {
-	w := k.Waits[service]
-	return fade(now, w, w.Wait(rank)) + aheadTime(w, k.Ahead[service].UpTo(rank))
+// wait estimates how long a request that can be on time waits at a service.
+func (s Snapshot) wait(now time.Time, service string, rank site.Rank) time.Duration {
+	r := s.Reports[service]
+	return fade(now, r, r.Wait(rank)) + pendingTime(r, s.Pending[service].UpTo(rank))
 }
 
-// lateWait predicts the same for a request that cannot be on time.
-func (k Known) lateWait(now time.Time, service string, rank site.Rank) time.Duration {
-	w := k.Waits[service]
-	return fade(now, w, w.LateWait(rank)) + aheadTime(w, k.Ahead[service].Sum())
+// lateWait estimates the same for a request that cannot be on time.
+func (s Snapshot) lateWait(now time.Time, service string, rank site.Rank) time.Duration {
+	r := s.Reports[service]
+	return fade(now, r, r.LateWait(rank)) + pendingTime(r, s.Pending[service].Sum())
 }
 
-// fade takes off what was worked off since a wait was told.
-func fade(now time.Time, w Wait, told time.Duration) time.Duration {
-	left := max(1-float64(now.Sub(w.At))/float64(waitAge), 0)
-	return time.Duration(left * float64(told))
+// fade reduces a reported wait by the share that has been worked off since the report.
+func fade(now time.Time, r Report, wait time.Duration) time.Duration {
+	left := max(1-float64(now.Sub(r.At))/float64(reportFadeTime), 0)
+	return time.Duration(left * float64(wait))
 }
 
-// aheadTime is how long the service takes for results that will be in its queue before
-// a new request; nothing where its rate is not known.
-func aheadTime(w Wait, results float64) time.Duration {
-	if w.Rate == 0 {
+// pendingTime estimates how long the service takes for results that will enter its queue
+// before a new request does; zero if its rate is not known.
+func pendingTime(r Report, results float64) time.Duration {
+	if r.Rate == 0 {
 		return 0
 	}
-	return w.ProcessingTime(results, 0)
+	return r.ProcessingTime(results, 0)
 }
 
-// Begin tells whether a stage whose inputs are there begins now. Deepest is the
-// highest level of the stages that have not ended.
+// ShouldStart reports whether a stage that has all its inputs starts now. MaxStagesLeft is the
+// maximum of StagesLeft over the stages that have not ended.
 //
-// A stage that nothing waits for begins when the others have as few stages left
-// as it has: begun earlier, its results would only take memory at their
-// server until the others have caught up. Such results are often the
-// large ones, of which a server holds few.
-func (p Plan) Begin(stage, deepest int) bool {
-	return p.Level[stage] >= deepest
+// A stage on a shorter path waits until the other stages have no more stages left than it
+// has. Started earlier, it would only fill the memory of its server with results that cannot
+// be used until the longer path has caught up. Such results are often the large ones, of
+// which a server can hold few.
+func (p Plan) ShouldStart(stage, maxStagesLeft int) bool {
+	return p.StagesLeft[stage] >= maxStagesLeft
 }
 
-// Verdict says what becomes of a request before its first stage.
+// Verdict is the decision on a request before its first stage.
 type Verdict string
 
 // The verdicts.
 const (
-	// Go begins.
-	Go Verdict = "go"
-	// Hold waits: the request will be late, and its results would lie at their
-	// servers for too long while others that can be on time go first.
+	// Admit starts the request.
+	Admit Verdict = "go"
+	// Hold delays the request: it will be late, and its results would occupy the memory of
+	// their servers for too long while requests that can be on time are served first.
 	Hold Verdict = "hold"
 	// Refuse answers at once that the request was not run.
 	Refuse Verdict = "refuse"
 )
 
 const (
-	// maxHeld is the part of the time that results are kept for which they may wait.
-	// Those that wait for longer take memory which requests that are on time need.
-	maxHeld = 0.15
-	// lateReserve is how much longer than predicted a late request must have: whatever
-	// can be on time goes before it.
-	lateReserve = 1.2
+	// maxLateWaitShare is the share of their keep time for which results of a late request
+	// may wait. Results that wait longer take memory that on-time requests need.
+	maxLateWaitShare = 0.15
+	// lateSafetyFactor scales the estimated time of a late request: every request that can
+	// be on time is served before it.
+	lateSafetyFactor = 1.2
 )
 
-// Admit decides on a request that should begin its answer before target and
-// must before ends. RetryAfter says when one that is refused could be served.
+// Admit decides on a request whose answer should begin before target and which must end
+// before deadline. RetryAfter is how long the caller of a refused request should wait.
 //
-// Overload makes all requests late where each waits its turn. So what can be
-// on time goes at once; what cannot, but would be done with some certainty
-// when the others have passed, waits where it holds nothing; the rest is told
-// at once when to come back.
-func (p Plan) Admit(now, target, ends time.Time) (v Verdict, retryAfter time.Duration) {
+// In an overload, serving all requests in their order of arrival makes all of them late.
+// Therefore a request that can be on time is admitted at once. A request that cannot, but
+// very likely ends before its deadline after the on-time requests have been served, is held
+// for as long as its results would wait too long between stages. Any other is refused at once.
+func (p Plan) Admit(now, target, deadline time.Time) (v Verdict, retryAfter time.Duration) {
 	if !now.Add(p.Total).After(target) {
-		return Go, 0
+		return Admit, 0
 	}
-	needed := time.Duration(lateReserve*float64(p.LateTotal)) + endReserve
-	if over := now.Add(needed).Sub(ends); over > 0 {
-		return Refuse, over
+	needed := time.Duration(lateSafetyFactor*float64(p.LateTotal)) + answerReserve
+	if excess := now.Add(needed).Sub(deadline); excess > 0 {
+		return Refuse, excess
 	}
-	if p.held > maxHeld {
+	if p.maxWaitShare > maxLateWaitShare {
 		return Hold, 0
 	}
-	return Go, 0
+	return Admit, 0
 }
 
-// Limits returns until when a stage must have ended for the request to be on
-// time, and until when its results are of use at all.
-func (p Plan) Limits(stage int, target, ends time.Time) (onTime, useful time.Time) {
-	return target.Add(-p.After[stage]), ends.Add(-p.After[stage] - endReserve)
+// Deadlines returns the time by which a stage must end for the request to meet its target,
+// and the time after which its results are useless.
+func (p Plan) Deadlines(stage int, target, deadline time.Time) (onTime, expires time.Time) {
+	return target.Add(-p.Remaining[stage]), deadline.Add(-p.Remaining[stage] - answerReserve)
 }
--- a/share/decide/chain/chain_test.go
+++ b/share/decide/chain/chain_test.go
@@ -13,8 +13,8 @@
 
 const ms = time.Millisecond
 
-// newStages is a part lookup: one stage of large results that nothing waits for,
-// beside a chain of three.
+// newStages returns the stages of a part lookup: one stage of large results that no other
+// stage uses, and a chain of three stages.
 func newStages() []site.Stage {
 	return []site.Stage{
 		{Service: "encode", ResultBytes: 1_500_000},
@@ -24,143 +24,144 @@
 	}
 }
 
-// newWait is a queue in which a request of rank 0 waits for the times given.
-func newWait(at time.Time, onTime, late time.Duration) chain.Wait {
+// newReport returns the report of a queue in which a request of rank 0 waits for the given
+// times: onTime if it can be on time, late if it cannot.
+func newReport(at time.Time, onTime, late time.Duration) chain.Report {
 	const rate = 1000
-	return chain.Wait{At: at, Backlog: delay.Backlog{
+	return chain.Report{At: at, Backlog: delay.Backlog{
 		OnTime: delay.Counts{0: rate * onTime.Seconds()}, Late: delay.Counts{0: rate * (late - onTime).Seconds()}, Rate: rate,
 	}}
 }
 
-func newKnown(now time.Time, wait time.Duration) chain.Known {
+func newSnapshot(now time.Time, wait time.Duration) chain.Snapshot {
 	pool := &site.Pool{Batch: 10, CallTime: 200 * ms, ItemTime: 10 * ms, KeepTime: 4 * time.Second}
-	k := chain.Known{Pools: map[string]*site.Pool{}, Waits: map[string]chain.Wait{}}
+	s := chain.Snapshot{Pools: map[string]*site.Pool{}, Reports: map[string]chain.Report{}}
 	for _, name := range []string{"encode", "retrieve", "rerank"} {
-		k.Pools[name] = pool
-		k.Waits[name] = newWait(now, wait, 3*wait)
+		s.Pools[name] = pool
+		s.Reports[name] = newReport(now, wait, 3*wait)
 	}
-	return k
+	return s
 }
 
-func TestPlanAddsTheLongestWay(t *testing.T) {
+func TestPlanAddsTheLongestPath(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	p := chain.NewPlan(now, 0, newStages(), []int{2, 1, 6, 10}, newKnown(now, 100*ms))
+	p := chain.NewPlan(now, 0, newStages(), []int{2, 1, 6, 10}, newSnapshot(now, 100*ms))
 	// engine 200, rerank 200+100, retrieve 200+60, encode 100+200+50; the queues of the
-	// later stages are worked off before the request gets there
+	// later stages are worked off before the request reaches them
 	is.Equal(p.Total, 1110*ms)
-	is.Equal(p.After[1], 760*ms)
-	is.Equal(p.After[0], 200*ms)
-	is.Equal(p.Level, []int{0, 2, 1, 0})
+	is.Equal(p.Remaining[1], 760*ms)
+	is.Equal(p.Remaining[0], 200*ms)
+	is.Equal(p.StagesLeft, []int{0, 2, 1, 0})
 }
 
-// A stage that is left out takes no time and holds nothing up.
+// A stage without results takes no time and does not delay other stages.
 func TestPlanSkipsStagesWithoutResults(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	p := chain.NewPlan(now, 0, newStages(), []int{2, 0, 0, 0}, newKnown(now, 100*ms))
+	p := chain.NewPlan(now, 0, newStages(), []int{2, 0, 0, 0}, newSnapshot(now, 100*ms))
 	is.Equal(p.Total, 550*ms) // 100+200+50 and the engine's 200
-	is.Equal(p.Level, []int{0, 0, 0, 0})
-	is.Equal(chain.NewPlan(now, 0, newStages(), nil, chain.Known{}).Total, 200*ms)
+	is.Equal(p.StagesLeft, []int{0, 0, 0, 0})
+	is.Equal(chain.NewPlan(now, 0, newStages(), nil, chain.Snapshot{}).Total, 200*ms)
 }
 
-// Twenty part lookups a second each make large results that their engine needs only
-// at the end. Begun at once they fill their server's memory for a second more each;
-// begun with the last stage of the chain they are done at the same time.
-func TestLargeResultsAreMadeLast(t *testing.T) {
+// Guards against large results that fill the memory of their server for a second longer than
+// needed. Only the engine needs them, at the end: started together with the last stage of the
+// chain, their stage is done at the same time as it. The load has twenty such requests a second.
+func TestLargeResultsAreProducedLast(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	p := chain.NewPlan(now, 0, newStages(), []int{2, 1, 6, 10}, newKnown(now, 0))
-	is.True(!p.Begin(0, 2)) // the chain has two stages left behind its first
-	is.True(p.Begin(1, 2))
-	is.True(!p.Begin(0, 1))
-	is.True(p.Begin(0, 0)) // the last stage begins now
+	p := chain.NewPlan(now, 0, newStages(), []int{2, 1, 6, 10}, newSnapshot(now, 0))
+	is.True(!p.ShouldStart(0, 2)) // two stages follow the first one of the chain
+	is.True(p.ShouldStart(1, 2))
+	is.True(!p.ShouldStart(0, 1))
+	is.True(p.ShouldStart(0, 0)) // the last stage of the chain starts now
 }
 
-// A burst of one kind of request, 2.6 times its rate for six seconds, fills the
-// queue of its last stage. Who can be on time begins; who cannot waits where it
-// holds nothing while there is hope, and is told at once when there is none.
+// A burst of one kind of request, at 2.6 times its usual rate for six seconds, fills the queue of
+// its last stage. Requests that can be on time are admitted, late ones that would
+// occupy memory for long are held before their first stage while they can still meet their
+// deadline, and those that cannot meet it are refused at once.
 func TestAdmitInABurst(t *testing.T) {
 	now := time.Unix(0, 0)
 	for _, c := range []struct {
-		name         string
-		onTime, late time.Duration
-		target, ends time.Duration
-		want         chain.Verdict
+		name             string
+		onTime, late     time.Duration
+		target, deadline time.Duration
+		want             chain.Verdict
 	}{
-		{"calm", 0, 0, 2 * time.Second, 8 * time.Second, chain.Go},
-		{"short queue", 900 * ms, 1200 * ms, 2500 * ms, 8 * time.Second, chain.Go},
-		{"late, and its results would wait for a part of their time", 2 * time.Second, 2500 * ms, 2 * time.Second, 8 * time.Second, chain.Hold},
-		{"late, short wait", 200 * ms, 300 * ms, 500 * ms, 8 * time.Second, chain.Go},
-		{"no hope", 3 * time.Second, 7 * time.Second, 2 * time.Second, 8 * time.Second, chain.Refuse},
+		{"no load", 0, 0, 2 * time.Second, 8 * time.Second, chain.Admit},
+		{"short queue", 900 * ms, 1200 * ms, 2500 * ms, 8 * time.Second, chain.Admit},
+		{"late, and its results would wait for a large share of their keep time", 2 * time.Second, 2500 * ms, 2 * time.Second, 8 * time.Second, chain.Hold},
+		{"late, short wait", 200 * ms, 300 * ms, 500 * ms, 8 * time.Second, chain.Admit},
+		{"late, and the deadline cannot be met", 3 * time.Second, 7 * time.Second, 2 * time.Second, 8 * time.Second, chain.Refuse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			k := newKnown(now, 0)
-			k.Waits["rerank"] = newWait(now, c.onTime, c.late)
-			p := chain.NewPlan(now, 0, newStages(), []int{2, 1, 6, 10}, k)
-			got, pause := p.Admit(now, now.Add(c.target), now.Add(c.ends))
+			s := newSnapshot(now, 0)
+			s.Reports["rerank"] = newReport(now, c.onTime, c.late)
+			p := chain.NewPlan(now, 0, newStages(), []int{2, 1, 6, 10}, s)
+			got, retryAfter := p.Admit(now, now.Add(c.target), now.Add(c.deadline))
 			is.Equal(got, c.want)
-			is.Equal(pause > 0, c.want == chain.Refuse)
+			is.Equal(retryAfter > 0, c.want == chain.Refuse)
 		})
 	}
 }
 
-// The burst has just begun: a hundred requests are in their first stage, and the
-// queues behind it are still empty. They will be full when the next request
-// gets there, so it must count what is on its way, less what is done until then.
-func TestPlanCountsWhatIsOnItsWay(t *testing.T) {
+// Guards against estimates from the current queues alone. At the start of a burst a hundred
+// requests are in their first stage and the later queues are still empty, but they will be full
+// when the next request gets there: pending results count, less those produced until then.
+func TestPlanCountsPendingResults(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	k := newKnown(now, 0)
+	s := newSnapshot(now, 0)
 	counts := []int{0, 1, 6, 10}
-	empty := chain.NewPlan(now, 0, newStages(), counts, k)
-	k.Waits["rerank"] = chain.Wait{Backlog: delay.Backlog{Rate: 500}, At: now}
-	k.Ahead = map[string]delay.Counts{"rerank": {0: 1000}}
-	full := chain.NewPlan(now, 0, newStages(), counts, k)
-	// 1000 results at 500 a second take 2 s, of which 510 ms pass in the stages before
+	empty := chain.NewPlan(now, 0, newStages(), counts, s)
+	s.Reports["rerank"] = chain.Report{Backlog: delay.Backlog{Rate: 500}, At: now}
+	s.Pending = map[string]delay.Counts{"rerank": {0: 1000}}
+	full := chain.NewPlan(now, 0, newStages(), counts, s)
+	// 1000 results at 500 per second take 2 s, of which 510 ms pass in the earlier stages
 	is.Equal(full.Total-empty.Total, 1490*ms)
 }
 
-// A queue that was told of two seconds ago says nothing any more: without this an
-// ingress that refused everything would never hear that there is room again.
-func TestWaitsFade(t *testing.T) {
+// A report that is two seconds old no longer counts. Otherwise an ingress that refused every
+// request would get no new reports and would never learn that the queue is short again.
+func TestReportedWaitsFade(t *testing.T) {
 	is := is.New(t)
-	told := time.Unix(0, 0)
-	k := newKnown(told, 2*time.Second)
-	fresh := chain.NewPlan(told, 0, newStages(), []int{0, 1, 1, 1}, k)
-	old := chain.NewPlan(told.Add(2*time.Second), 0, newStages(), []int{0, 1, 1, 1}, k)
-	is.Equal(fresh.Total-old.Total, 2*time.Second) // the later queues are worked off meanwhile
+	reported := time.Unix(0, 0)
+	s := newSnapshot(reported, 2*time.Second)
+	fresh := chain.NewPlan(reported, 0, newStages(), []int{0, 1, 1, 1}, s)
+	old := chain.NewPlan(reported.Add(2*time.Second), 0, newStages(), []int{0, 1, 1, 1}, s)
+	is.Equal(fresh.Total-old.Total, 2*time.Second) // the queues of the later stages are worked off meanwhile
 }
 
-func TestLimitsLeaveTimeForWhatFollows(t *testing.T) {
+func TestDeadlinesLeaveTimeForLaterStages(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	p := chain.NewPlan(now, 0, newStages(), []int{0, 1, 6, 10}, newKnown(now, 0))
-	onTime, useful := p.Limits(1, now.Add(2*time.Second), now.Add(8*time.Second))
-	is.Equal(onTime, now.Add(2*time.Second-p.After[1]))
-	is.True(useful.Before(now.Add(8*time.Second - p.After[1])))
+	p := chain.NewPlan(now, 0, newStages(), []int{0, 1, 6, 10}, newSnapshot(now, 0))
+	onTime, expires := p.Deadlines(1, now.Add(2*time.Second), now.Add(8*time.Second))
+	is.Equal(onTime, now.Add(2*time.Second-p.Remaining[1]))
+	is.True(expires.Before(now.Add(8*time.Second - p.Remaining[1])))
 }
 
-// Reviews burst and fill the queue of the first stage, and more are on their way; the
-// operators rank notes first. Judged by the whole queue a note waits for 3 s and is
-// refused; what really goes before it are other notes. A chat behind all of them is
-// not let in.
+// A burst of reviews fills the queue of the first stage, and more are pending; notes have a more
+// urgent rank. Estimated from the whole queue, a note would wait 3 s and be refused, but only
+// other notes are served before it. A chat, less urgent than both, must not be admitted.
 func TestAdmitByRank(t *testing.T) {
 	is := is.New(t)
 	const note, review, chat = site.Rank(0), site.Rank(1), site.Rank(2)
 	now := time.Unix(0, 0)
-	k := newKnown(now, 0)
-	k.Waits["encode"] = chain.Wait{At: now, Backlog: delay.Backlog{
+	s := newSnapshot(now, 0)
+	s.Reports["encode"] = chain.Report{At: now, Backlog: delay.Backlog{
 		OnTime: delay.Counts{note: 20, review: 300}, Late: delay.Counts{review: 500}, Rate: 100,
 	}}
-	k.Ahead = map[string]delay.Counts{"encode": {review: 100}}
+	s.Pending = map[string]delay.Counts{"encode": {review: 100}}
 	admit := func(rank site.Rank) chain.Verdict {
-		p := chain.NewPlan(now, rank, newStages(), []int{0, 1, 6, 10}, k)
+		p := chain.NewPlan(now, rank, newStages(), []int{0, 1, 6, 10}, s)
 		v, _ := p.Admit(now, now.Add(2*time.Second), now.Add(6*time.Second))
 		return v
 	}
-	is.Equal(admit(note), chain.Go)
+	is.Equal(admit(note), chain.Admit)
 	is.Equal(admit(review), chain.Refuse)
 	is.Equal(admit(chat), chain.Refuse)
 }
