--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -135,7 +135,7 @@
 		Pools: pools.Client{HTTP: client, Heads: heads.Codec{}}, Meter: i.meters, Repeats: s.Repeats.Settings, Log: i.log,
 		Regions: s.Place.Regions, Region: s.Place.Region,
 		Discard: func(service string, handles []string) { i.maker.Discard(service, handles) },
-		OnCrash: func(c batch.Crash) { i.screen.NoteBroken(poison.ID(c.Request), c.Server, c.Sent) },
+		OnCrash: func(c batch.Crash) { i.screen.NoteBroken(poison.ID(c.RequestDigest), c.Server, c.SentAt) },
 	})
 	i.placer = assign.NewPlacer(s.Place.Regions, s.Cold.Settings)
 	i.desk = assign.NewDesk(i.mesh, i.book, i.placer, i.log)
--- a/ingress/services/pieces/maker.go
+++ b/ingress/services/pieces/maker.go
@@ -174,15 +174,15 @@
 
 // produce has a job done. Where the ingress that batches is lost the next one
 // takes the job; results of the lost one end by themselves.
-func (m *Maker) produce(ctx context.Context, service string, j batch.Job) batch.Done {
+func (m *Maker) produce(ctx context.Context, service string, j batch.Job) batch.Completion {
 	done := m.produceAnywhere(ctx, service, j)
-	if done.Outlook.IsKnown() {
-		m.noteOutlook(service, done.Outlook)
+	if done.Backlog.IsKnown() {
+		m.noteOutlook(service, done.Backlog)
 	}
 	return done
 }
 
-func (m *Maker) produceAnywhere(ctx context.Context, service string, j batch.Job) batch.Done {
+func (m *Maker) produceAnywhere(ctx context.Context, service string, j batch.Job) batch.Completion {
 	for range maxOwners {
 		ranked := m.rank(service)
 		if len(ranked) == 0 || ranked[0] == m.peers.Self() {
@@ -193,7 +193,7 @@
 		// there, and must not be answered as one that left.
 		if err == nil && done.Outcome == batch.OutcomeCanceled && ctx.Err() == nil {
 			if done.InputsReleased {
-				return batch.Done{Outcome: batch.OutcomeGone, InputsReleased: true}
+				return batch.Completion{Outcome: batch.OutcomeGone, InputsReleased: true}
 			}
 			err = errGivenUp
 		}
@@ -201,7 +201,7 @@
 			return done
 		}
 		if ctx.Err() != nil {
-			return batch.Done{Outcome: batch.OutcomeCanceled}
+			return batch.Completion{Outcome: batch.OutcomeCanceled}
 		}
 		m.log.Warn("batcher-lost", zap.String("service", service), zap.String("ingress", ranked[0]),
 			zap.String("request", j.AttemptID), logs.Err(err))
@@ -209,7 +209,7 @@
 	return m.owner.Produce(ctx, service, j)
 }
 
-func (m *Maker) produceAt(ctx context.Context, name, service string, j batch.Job) (batch.Done, error) {
+func (m *Maker) produceAt(ctx context.Context, name, service string, j batch.Job) (batch.Completion, error) {
 	now := time.Now()
 	got, err := m.peers.Produce(ctx, name, &wire.Produce{
 		Service:        service,
@@ -226,16 +226,16 @@
 		InputService:   j.InputService,
 		InputBytes:     j.InputBytes,
 		Residency:      encode.Residency(j.Residency),
-		Request:        j.Request,
+		Request:        j.RequestDigest,
 	})
 	if err != nil {
-		return batch.Done{}, err
+		return batch.Completion{}, err
 	}
-	return batch.Done{
+	return batch.Completion{
 		Outcome:    batch.Outcome(got.GetOutcome()),
 		Handles:    got.GetHandles(),
 		RetryAfter: time.Duration(got.GetRetryAfterNanos()),
-		Outlook:    decodeOutlook(got.GetOutlook()),
+		Backlog:    decodeOutlook(got.GetOutlook()),
 
 		InputsReleased: got.GetInputsReleased(),
 	}, nil
@@ -261,18 +261,18 @@
 func (m *Maker) ServeProduce(ctx context.Context, p *wire.Produce) *wire.Produced {
 	now := time.Now()
 	done := m.owner.Produce(ctx, p.GetService(), batch.Job{
-		AttemptID:   p.GetAttemptId(),
-		Request:     p.GetRequest(),
-		Stage:       int(p.GetStage()),
-		Count:       int(p.GetCount()),
-		Key:         p.GetKey(),
-		Inputs:      p.GetInputs(),
-		ResultBytes: p.GetResultBytes(),
-		Target:      now.Add(time.Duration(p.GetTargetNanos())),
-		Expires:     now.Add(time.Duration(p.GetRemainingNanos())),
-		Rank:        site.Rank(p.GetRank()),
-		Domain:      p.GetDomain(),
-		Residency:   encode.ReadResidency(p.GetResidency()),
+		AttemptID:     p.GetAttemptId(),
+		RequestDigest: p.GetRequest(),
+		Stage:         int(p.GetStage()),
+		Count:         int(p.GetCount()),
+		Key:           p.GetKey(),
+		Inputs:        p.GetInputs(),
+		ResultBytes:   p.GetResultBytes(),
+		Target:        now.Add(time.Duration(p.GetTargetNanos())),
+		Expires:       now.Add(time.Duration(p.GetRemainingNanos())),
+		Rank:          site.Rank(p.GetRank()),
+		Domain:        p.GetDomain(),
+		Residency:     encode.ReadResidency(p.GetResidency()),
 
 		InputService: p.GetInputService(),
 		InputBytes:   p.GetInputBytes(),
@@ -280,7 +280,7 @@
 	return &wire.Produced{
 		Outcome: string(done.Outcome), Handles: done.Handles,
 		RetryAfterNanos: int64(done.RetryAfter), InputsReleased: done.InputsReleased,
-		Outlook: encodeOutlook(p.GetService(), done.Outlook),
+		Outlook: encodeOutlook(p.GetService(), done.Backlog),
 	}
 }
 
--- a/ingress/services/pieces/owner.go
+++ b/ingress/services/pieces/owner.go
@@ -88,7 +88,7 @@
 type unit struct {
 	planner *batch.Planner
 	repeats *budget.Budget
-	waiting map[uint64]chan batch.Done
+	waiting map[uint64]chan batch.Completion
 }
 
 // NewOwner returns an owner that knows no servers.
@@ -151,20 +151,20 @@
 	planner := batch.NewPlanner(*s.Pool, o.options.Regions, func(now time.Time, n int) bool {
 		return repeats.TakeRepeats(now, n, o.ingresses)
 	})
-	return &unit{planner: planner, repeats: repeats, waiting: map[uint64]chan batch.Done{}}
+	return &unit{planner: planner, repeats: repeats, waiting: map[uint64]chan batch.Completion{}}
 }
 
 // Produce does a job and waits for its end.
-func (o *Owner) Produce(ctx context.Context, service string, j batch.Job) batch.Done {
+func (o *Owner) Produce(ctx context.Context, service string, j batch.Job) batch.Completion {
 	o.lock.Lock()
 	u := o.units[service]
 	if u == nil {
 		o.lock.Unlock()
-		return batch.Done{Outcome: batch.OutcomeNoServer, RetryAfter: time.Second}
+		return batch.Completion{Outcome: batch.OutcomeNoServer, RetryAfter: time.Second}
 	}
 	o.lastJob++
 	j.ID = o.lastJob
-	done := make(chan batch.Done, 1)
+	done := make(chan batch.Completion, 1)
 	u.waiting[j.ID] = done
 	u.repeats.CountRequest(time.Now())
 	o.perform(service, u, u.planner.Add(time.Now(), j))
@@ -181,7 +181,7 @@
 	if d.Outcome == batch.OutcomeMade {
 		o.Discard(service, d.Handles)
 	}
-	return batch.Done{Outcome: batch.OutcomeCanceled, InputsReleased: d.InputsReleased}
+	return batch.Completion{Outcome: batch.OutcomeCanceled, InputsReleased: d.InputsReleased}
 }
 
 // Outlooks tells what new jobs have to expect, of the services that have some here.
@@ -190,17 +190,17 @@
 	defer o.lock.Unlock()
 	outlooks := []*wire.Outlook{}
 	for service, u := range o.units {
-		if u.planner.Count() == 0 {
+		if u.planner.CountJobs() == 0 {
 			continue
 		}
-		outlooks = append(outlooks, encodeOutlook(service, u.planner.Outlook(time.Now())))
+		outlooks = append(outlooks, encodeOutlook(service, u.planner.Backlog(time.Now())))
 	}
 	return outlooks
 }
 
 // perform does what a planner wants; called under the lock.
 func (o *Owner) perform(service string, u *unit, a batch.Actions) {
-	for _, d := range a.Done {
+	for _, d := range a.Completions {
 		if waiter := u.waiting[d.JobID]; waiter != nil {
 			delete(u.waiting, d.JobID)
 			waiter <- d
@@ -212,7 +212,7 @@
 			o.options.OnCrash(c)
 		}
 	}
-	for _, f := range a.Fetched {
+	for _, f := range a.ReleaseInputs {
 		go o.runFetched(f)
 	}
 	for _, c := range a.Calls {
@@ -221,7 +221,7 @@
 }
 
 // runFetched gives up the inputs of a job whose servers have fetched them.
-func (o *Owner) runFetched(f batch.Inputs) {
+func (o *Owner) runFetched(f batch.JobInputs) {
 	o.options.Log.Info("inputs-released", zap.String("request", f.AttemptID), zap.String("service", f.Service),
 		zap.Int("handles", len(f.Handles)))
 	o.options.Discard(f.Service, f.Handles)
@@ -244,11 +244,11 @@
 	o.options.Meter.CountBatch(service, outcome, len(c.Items), took)
 	o.options.Log.Info("batch", zap.String("service", service), zap.String("server", c.Server.ID), zap.Int("items", len(c.Items)),
 		zap.String("outcome", outcome), zap.String("results", countOutcomes(made.Results)), zap.Stringer("load", made.Load),
-		zap.Int64("held-bytes", c.Held), zap.Int("waiting", c.Waiting),
+		zap.Int64("held-bytes", c.HeldBytes), zap.Int("waiting", c.QueuedItems),
 		zap.Duration("took", took), logs.Err(err))
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	o.perform(service, u, u.planner.End(time.Now(), c.ID, batch.Ended{
+	o.perform(service, u, u.planner.FinishCall(time.Now(), c.ID, batch.CallResult{
 		Results: made.Results, Load: made.Load, RoundTrip: made.RoundTrip, Failed: err != nil, Unsent: isUnsent(err),
 	}))
 }
@@ -277,7 +277,7 @@
 	for pauses.Wait(ctx, tickEvery) {
 		o.lock.Lock()
 		for service, u := range o.units {
-			if u.planner.Count() > 0 {
+			if u.planner.CountJobs() > 0 {
 				o.perform(service, u, u.planner.Tick(time.Now()))
 			}
 		}
--- a/ingress/services/pieces/release.go
+++ b/ingress/services/pieces/release.go
@@ -56,7 +56,7 @@
 	defer o.lock.Unlock()
 	for _, h := range held {
 		if u := o.units[h.service]; u != nil {
-			o.perform(h.service, u, u.planner.Released(time.Now(), []string{h.handle}))
+			o.perform(h.service, u, u.planner.MarkReleased(time.Now(), []string{h.handle}))
 		}
 	}
 }
--- a/ingress/services/pieces/walk.go
+++ b/ingress/services/pieces/walk.go
@@ -44,7 +44,7 @@
 // ended is how one stage ended.
 type ended struct {
 	stage int
-	done  batch.Done
+	done  batch.Completion
 }
 
 func (m *Maker) newWalk(c Chain, plan chain.Plan) *walk {
@@ -168,7 +168,7 @@
 func (w *walk) runStage(ctx context.Context, stage int, ends chan<- ended) {
 	n := w.count(stage)
 	if n == 0 {
-		ends <- ended{stage: stage, done: batch.Done{Outcome: batch.OutcomeMade}}
+		ends <- ended{stage: stage, done: batch.Completion{Outcome: batch.OutcomeMade}}
 		return
 	}
 	began := time.Now()
@@ -179,18 +179,18 @@
 	}
 	inputs := w.inputsOf(stage)
 	done := w.maker.produce(ctx, s.Service, batch.Job{
-		AttemptID:   w.AttemptID,
-		Request:     w.Request,
-		Stage:       stage,
-		Count:       n,
-		Key:         w.keyOf(stage),
-		Inputs:      inputs.handles,
-		ResultBytes: s.ResultBytes,
-		Target:      target,
-		Expires:     expires,
-		Rank:        w.Rank,
-		Domain:      w.domainOf(stage, inputs),
-		Residency:   w.Residency,
+		AttemptID:     w.AttemptID,
+		RequestDigest: w.Request,
+		Stage:         stage,
+		Count:         n,
+		Key:           w.keyOf(stage),
+		Inputs:        inputs.handles,
+		ResultBytes:   s.ResultBytes,
+		Target:        target,
+		Expires:       expires,
+		Rank:          w.Rank,
+		Domain:        w.domainOf(stage, inputs),
+		Residency:     w.Residency,
 
 		InputService: inputs.service,
 		InputBytes:   inputs.bytes,
--- a/share/decide/batch/batch.go
+++ b/share/decide/batch/batch.go
@@ -1,10 +1,10 @@
-// Package batch decides how the results that stages need are made: which
-// items of which requests share a call, at which backend server, and when.
+// Package batch decides how the results of stages are produced: which items of which
+// requests share a call, which backend server the call goes to, and when it is sent.
 //
-// One planner holds the whole queue of a service. Many callers that each
-// batch alone send calls that are nearly empty, and a call costs mostly its fixed
-// time; one queue fills the calls. Two planners for the same service, as after
-// a change of membership, cost calls that are refused and nothing else.
+// One planner holds the whole queue of a service. If many callers batched separately, their
+// calls would be nearly empty, and most of the cost of a call is its fixed time; a single queue
+// fills the calls. Two planners for the same service, which can exist for a while after a change
+// of membership, cost some refused calls and nothing else.
 package batch
 
 import (
@@ -17,51 +17,51 @@
 
 // Job asks for the results of one stage of one request.
 type Job struct {
-	// ID is given by the planner's caller and unique in it.
+	// ID is assigned by the caller of the planner and unique within the planner.
 	ID        uint64
 	AttemptID string
-	// Request is the same for all attempts of a request.
-	Request string
-	Stage   int
-	Count   int
-	Key     string
-	Inputs  []string
-	// ResultBytes is about the size of one result.
+	// RequestDigest is the same for all attempts of a request.
+	RequestDigest string
+	Stage         int
+	Count         int
+	Key           string
+	Inputs        []string
+	// ResultBytes is the approximate size of one result.
 	ResultBytes int64
-	// Target is when the results must be made for the request to be on time,
-	// Expires when they are of no use at all.
+	// Target is when the results must be ready for the request to be on time, Expires the
+	// time after which they are useless.
 	Target  time.Time
 	Expires time.Time
-	// Rank orders the request; the lower is the more urgent.
+	// Rank orders the requests; lower ranks are more urgent.
 	Rank site.Rank
-	// Domain is where the results will be used; empty: open.
+	// Domain is the failure domain in which the results will be used; empty if it is not known.
 	Domain string
-	// InputService made the inputs, where nothing but this job needs them: they are
-	// released once they were fetched. Empty: they are kept.
+	// InputService is the service that produced the inputs if only this job needs them: they
+	// are released once they have been fetched. If empty, the planner does not release them.
 	InputService string
-	// InputBytes is about the size of all inputs together.
+	// InputBytes is the approximate size of all inputs together.
 	InputBytes int64
-	// Residency bounds the regions of the servers that may make the results.
+	// Residency limits the regions of the servers that may produce the results.
 	Residency site.Residency
 }
 
-// Outcome says how a job ended.
+// Outcome describes how a job ended.
 type Outcome string
 
 // The outcomes.
 const (
 	OutcomeMade Outcome = "made"
-	// OutcomeBusy jobs cannot be done in time.
+	// OutcomeBusy means that the job cannot be done in time.
 	OutcomeBusy Outcome = "busy"
-	// OutcomeExpired jobs ran out of time in the queue.
+	// OutcomeExpired means that the time of the job ran out.
 	OutcomeExpired Outcome = "expired"
-	// OutcomeGone jobs miss an input, which the caller may make again.
+	// OutcomeGone means that an input no longer exists; the caller may produce it again.
 	OutcomeGone Outcome = "gone"
-	// OutcomeFailed jobs failed too often.
+	// OutcomeFailed means that the job failed too often or that the retry budget is used up.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeNoServer jobs found no backend server of the service.
+	// OutcomeNoServer means that no backend server may run the job.
 	OutcomeNoServer Outcome = "no-server"
-	// OutcomeCanceled jobs were given up by their caller.
+	// OutcomeCanceled means that the caller canceled the job.
 	OutcomeCanceled Outcome = "canceled"
 )
 
@@ -70,77 +70,82 @@
 	ID     uint64
 	Server site.Server
 	Items  []site.Item
-	// Timeout is when the call is given up.
+	// Timeout is how long to wait for the answer before the call is canceled.
 	Timeout time.Duration
-	// Held is the memory in bytes that other results took at the server, as planned;
-	// Waiting the number of items that stayed in the queue.
-	Held    int64
-	Waiting int
-	jobs    []placed
-	// shared is set once another call of this planner was at the server beside it.
+	// HeldBytes is the memory that other results take at the server, as planned; QueuedItems
+	// is the number of items that stayed in the queue.
+	HeldBytes   int64
+	QueuedItems int
+	refs        []itemRef
+	// shared is set once another call of this planner was at the server at the same time.
 	shared  bool
 	started time.Time
-	// turn is about when the server begins it.
+	// turn is the approximate time at which the server starts the call.
 	turn time.Time
-	// expected is how long the call takes at the service's stated pace.
+	// expected is the duration of the call at the speed stated by the service.
 	expected time.Duration
-	// fetchedAt is when the server has surely fetched the inputs; zero: not known, or noted.
-	fetchedAt time.Time
-	// fetched is set once that was noted.
-	fetched bool
+	// inputsFetchedAt is when the server has certainly fetched the inputs; zero if that is
+	// not known or inputsFetched is already set.
+	inputsFetchedAt time.Time
+	// inputsFetched is set once inputsFetchedAt has passed.
+	inputsFetched bool
 }
 
-// placed says which result of which job an item of a call is.
-type placed struct {
+// itemRef identifies the job and the result that an item of a call belongs to.
+type itemRef struct {
 	job   *job
 	index int
 }
 
-// Done is the end of a job. Handles of a job that was not made are to be released.
-type Done struct {
-	JobID      uint64
-	Outcome    Outcome
+// Completion reports the end of a job.
+type Completion struct {
+	JobID   uint64
+	Outcome Outcome
+	// Handles names the results of a job whose outcome is OutcomeMade.
 	Handles    []string
 	RetryAfter time.Duration
-	// Outlook is the queue that the next jobs meet.
-	Outlook delay.Backlog
-	// InputsReleased tells that the job's inputs are not held any more.
+	// Backlog is the queue that a new job would find.
+	Backlog delay.Backlog
+	// InputsReleased reports that the planner has already had the inputs of the job released.
 	InputsReleased bool
 }
 
-// Inputs are results of another service that a job has used up.
-type Inputs struct {
+// JobInputs names the inputs of a job that have been fetched and are no longer needed.
+type JobInputs struct {
 	AttemptID string
-	Service   string
-	Handles   []string
+	// Service is the service that produced the inputs.
+	Service string
+	Handles []string
 }
 
-// Actions are what the planner wants done.
+// Actions lists what the caller of the planner must do.
 type Actions struct {
-	Calls []Call
-	Done  []Done
-	// Release holds the handles to be given up.
+	Calls       []Call
+	Completions []Completion
+	// Release holds the handles of results to be released.
 	Release []string
-	// Fetched holds the inputs to be given up.
-	Fetched []Inputs
-	// Crashes are the calls that broke off with one request's items alone in them.
+	// ReleaseInputs holds the inputs to be released.
+	ReleaseInputs []JobInputs
+	// Crashes lists the calls that failed after they were sent, while the server had only the
+	// items of one job.
 	Crashes []Crash
 }
 
-// Crash is a call that broke off its server with the items of one request in it.
+// Crash describes a call with the items of a single job that failed after it was sent. The
+// request may have crashed the server.
 type Crash struct {
-	Request string
-	Server  site.Server
-	Sent    time.Time
+	RequestDigest string
+	Server        site.Server
+	SentAt        time.Time
 }
 
-// RepeatFunc asks for permission to send n calls once more.
-type RepeatFunc func(now time.Time, n int) bool
+// RetryFunc reports whether n calls may be retried, and charges them to the retry budget.
+type RetryFunc func(now time.Time, n int) bool
 
-// Planner holds the queue of one service; its caller guards it.
+// Planner holds the queue of one service. It is not safe for concurrent use.
 type Planner struct {
-	pool   site.Pool
-	repeat RepeatFunc
+	pool  site.Pool
+	retry RetryFunc
 	// regions maps failure domains to their regions.
 	regions map[string]string
 	workers map[string]*worker
@@ -149,54 +154,58 @@
 	calls   map[uint64]*Call
 	lastID  uint64
 	demand  *delay.Demand
-	// blamed are the requests that were alone in a call that broke off, and of which nothing was made since.
-	blamed map[string]bool
-	// ready are the workers by ID, so that choices do not depend on the order of a map.
+	// suspects holds the digests of requests that were alone in a call that failed and for which
+	// no result has been produced since.
+	suspects map[string]bool
+	// ready holds the workers sorted by ID, so that decisions do not depend on map order.
 	ready []*worker
 }
 
 type job struct {
 	Job
 	arrived time.Time
-	// todo holds the numbers of the items that are in no call.
-	todo    []int
-	handles []string
-	made    int
-	repeats int
-	over    bool
-	// broken counts the calls with items of the job that broke off.
-	broken int
+	// queued holds the indexes of the items that are in no call.
+	queued   []int
+	handles  []string
+	produced int
+	retries  int
+	ended    bool
+	// failedCalls counts the calls with items of the job that failed after they were sent.
+	failedCalls int
 	// fetched counts the items whose servers have fetched the inputs.
 	fetched int
-	// released is set once the inputs were given up.
-	released bool
+	// inputsReleased is set once the inputs have been handed out for release.
+	inputsReleased bool
 }
 
-// suspectAfter is how many of a job's calls break off before it shares no more of them. Most
-// servers crash by themselves, and a call with one job in it uses its server badly.
+// suspectAfter is the number of failed calls after which a job no longer shares calls. Most
+// servers crash for reasons of their own, and a call with a single job uses its server poorly.
 const suspectAfter = 2
 
-// isSuspect tells whether the items of a job may be what crashes servers.
-func (p *Planner) isSuspect(j *job) bool { return j.broken >= suspectAfter || p.blamed[j.Request] }
+// isSuspect reports whether the items of a job may be what crashes servers.
+func (p *Planner) isSuspect(j *job) bool {
+	return j.failedCalls >= suspectAfter || p.suspects[j.RequestDigest]
+}
 
-// NewPlanner returns a planner without backend servers. Regions maps failure domains to their regions.
-func NewPlanner(pool site.Pool, regions map[string]string, repeat RepeatFunc) *Planner {
+// NewPlanner returns a planner without backend servers. Regions maps failure domains to their
+// regions.
+func NewPlanner(pool site.Pool, regions map[string]string, retry RetryFunc) *Planner {
 	return &Planner{
-		pool:    pool,
-		repeat:  repeat,
-		regions: regions,
-		workers: map[string]*worker{},
-		jobs:    map[uint64]*job{},
-		calls:   map[uint64]*Call{},
-		demand:  delay.NewDemand(),
-		blamed:  map[string]bool{},
+		pool:     pool,
+		retry:    retry,
+		regions:  regions,
+		workers:  map[string]*worker{},
+		jobs:     map[uint64]*job{},
+		calls:    map[uint64]*Call{},
+		demand:   delay.NewDemand(),
+		suspects: map[string]bool{},
 	}
 }
 
-// SetPool takes the service's new description.
+// SetPool replaces the description of the service.
 func (p *Planner) SetPool(pool site.Pool) { p.pool = pool }
 
-// SetServers takes the backend servers that accept work.
+// SetServers replaces the set of backend servers that accept work.
 func (p *Planner) SetServers(now time.Time, servers []site.Server) Actions {
 	live := map[string]bool{}
 	p.ready = p.ready[:0]
@@ -219,12 +228,12 @@
 	return p.plan(now)
 }
 
-// Add takes a job. A job that cannot be done in time is refused at once, so
-// that its caller learns when to come back while it still can.
+// Add queues a job. A job that cannot be done in time is refused at once, so that its
+// caller learns when to retry while there is still time for that.
 func (p *Planner) Add(now time.Time, j Job) Actions {
 	a := Actions{}
 	if !p.hasServer(j) {
-		p.tell(&a, now, Done{JobID: j.ID, Outcome: OutcomeNoServer, RetryAfter: noServerPause})
+		p.complete(&a, now, Completion{JobID: j.ID, Outcome: OutcomeNoServer, RetryAfter: noServerRetryAfter})
 		return a
 	}
 	if p.isOnTime(now, j) {
@@ -232,47 +241,47 @@
 	}
 	wait := p.predictWait(now, j)
 	if now.Add(wait + p.pool.CallTime).After(j.Expires) {
-		p.tell(&a, now, Done{JobID: j.ID, Outcome: OutcomeBusy, RetryAfter: wait})
+		p.complete(&a, now, Completion{JobID: j.ID, Outcome: OutcomeBusy, RetryAfter: wait})
 		return a
 	}
-	queued := &job{Job: j, arrived: now, handles: make([]string, j.Count)}
+	added := &job{Job: j, arrived: now, handles: make([]string, j.Count)}
 	for i := range j.Count {
-		queued.todo = append(queued.todo, i)
+		added.queued = append(added.queued, i)
 	}
-	p.jobs[j.ID] = queued
-	p.queue = append(p.queue, queued)
+	p.jobs[j.ID] = added
+	p.queue = append(p.queue, added)
 	return p.plan(now)
 }
 
-// Cancel gives up a job; what was made of it is released.
+// Cancel ends a job and releases the results that it already has.
 func (p *Planner) Cancel(now time.Time, id uint64) Actions {
 	j := p.jobs[id]
 	if j == nil {
 		return Actions{}
 	}
 	a := Actions{}
-	p.finish(&a, now, j, Done{JobID: id, Outcome: OutcomeCanceled})
+	p.endJob(&a, now, j, Completion{JobID: id, Outcome: OutcomeCanceled})
 	a.add(p.plan(now))
 	return a
 }
 
-// Tick drops what ran out of time and sends what can be sent.
+// Tick ends expired jobs and sends the calls that can be sent.
 func (p *Planner) Tick(now time.Time) Actions { return p.plan(now) }
 
-// Count returns the number of jobs that are not over.
-func (p *Planner) Count() int { return len(p.jobs) }
+// CountJobs returns the number of jobs that have not ended.
+func (p *Planner) CountJobs() int { return len(p.jobs) }
 
-// CountItems returns how many items wait for a call.
-func (p *Planner) CountItems() int {
+// CountQueuedItems returns the number of items that are in no call.
+func (p *Planner) CountQueuedItems() int {
 	n := 0
 	for _, j := range p.queue {
-		n += len(j.todo)
+		n += len(j.queued)
 	}
 	return n
 }
 
-// Released notes that a result is not held any more.
-func (p *Planner) Released(now time.Time, handles []string) Actions {
+// MarkReleased records that servers no longer hold the given results.
+func (p *Planner) MarkReleased(now time.Time, handles []string) Actions {
 	for _, w := range p.workers {
 		for _, h := range handles {
 			w.release(h)
@@ -283,9 +292,9 @@
 
 func (a *Actions) add(b Actions) {
 	a.Calls = append(a.Calls, b.Calls...)
-	a.Done = append(a.Done, b.Done...)
+	a.Completions = append(a.Completions, b.Completions...)
 	a.Release = append(a.Release, b.Release...)
-	a.Fetched = append(a.Fetched, b.Fetched...)
+	a.ReleaseInputs = append(a.ReleaseInputs, b.ReleaseInputs...)
 	a.Crashes = append(a.Crashes, b.Crashes...)
 }
 
--- a/share/decide/batch/gather_test.go
+++ b/share/decide/batch/gather_test.go
@@ -9,9 +9,9 @@
 	"verbenaroad.example/share/decide/batch"
 )
 
-// A page of a caller sends three requests within 10 ms, as half of all requests come.
-// Begun with the first of them, a call of 200 ms and more holds one job, and the others
-// wait for the next server. All of them share the first call, 20 ms after the first came.
+// A page of a caller sends three requests within 10 ms, as half of all requests are sent. A call
+// started with the first of them would take 200 ms or more for one job while the others wait for the
+// next server. All three must share one call, sent 20 ms after the first request arrived.
 func TestRequestsSentTogetherShareACall(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -20,22 +20,22 @@
 		is.Equal(len(p.Add(now.Add(time.Duration(id)*5*time.Millisecond), newJob(now, id+1, 2)).Calls), 0)
 	}
 	is.Equal(len(p.Tick(now.Add(15*time.Millisecond)).Calls), 0)
-	calls := p.Tick(now.Add(gathered)).Calls
+	calls := p.Tick(now.Add(gatherTime)).Calls
 	is.Equal(len(calls), 1)
 	is.Equal(len(calls[0].Items), 6)
 }
 
-// Nothing is gained by a wait where the call is full, or where jobs waited already.
+// Guards against a useless wait when the call is full or its jobs have already waited.
 func TestGatheringEndsEarly(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	p := newPlanner(now, "a")
 	full := p.Add(now, newJob(now, 1, 8)).Calls
-	is.Equal(len(full), 1) // eight items are a batch
+	is.Equal(len(full), 1) // eight items are a full batch
 	p.Add(now, newJob(now, 2, 1))
 	now = now.Add(360 * time.Millisecond)
 	p.Add(now, newJob(now, 3, 1))
-	next := p.End(now, full[0].ID, batch.Ended{Results: made(full[0])}).Calls
+	next := p.FinishCall(now, full[0].ID, batch.CallResult{Results: resultsFor(full[0])}).Calls
 	is.Equal(len(next), 1)
 	is.Equal(len(next[0].Items), 2)
 }
--- a/share/decide/batch/inputs.go
+++ b/share/decide/batch/inputs.go
@@ -5,57 +5,58 @@
 )
 
 const (
-	// fetchMargin is how long a call may take to reach its server and to begin: a
+	// fetchMargin is the time allowed for a call to reach its server and to start: the
 	// connection and the request need two round trips.
 	fetchMargin = 100 * time.Millisecond
-	// fetchLinks counts the links that an input crosses: its holder's and its user's.
+	// fetchLinks is the number of links that an input crosses: that of the server that
+	// holds it and that of the server that uses it.
 	fetchLinks = 2
 )
 
-// predictFetch returns when the server of a new call has surely fetched the inputs;
-// zero where that is not known before the call has ended.
+// predictFetch returns when the server of a call has certainly fetched the inputs; zero if
+// that cannot be known before the call has ended.
 //
-// A server fetches a call's inputs when the call's turn comes and needs them no
-// longer. Held until the call has ended they take memory for nothing, and the memory of
-// the pools is what binds in a burst.
+// A server fetches the inputs of a call when it starts the call; the server that holds them can
+// release them after that. Held until the call has ended, they would take memory for nothing, and
+// in a burst the memory of the pools is the bottleneck.
 //
-// Guards against inputs that are given up too early, which costs their whole chain: a
-// call waits for its turn where another planner's call is there. Only a server whose
-// last answer told that it has nothing else to do counts, and none that lately
-// refused, failed, or missed memory, as all of them do after another planner.
+// Inputs that are released too early cost the whole chain of their request, and a call waits at
+// its server if another planner's call is there. Therefore a time is only predicted for a server
+// whose last answer reported no other work and which has not refused a call, failed or run out of
+// memory within the keep time of results. Servers do all of these after another planner's calls.
 func (p *Planner) predictFetch(w *worker, c *Call) time.Time {
-	if w.current != c || p.pool.LinkRate <= 0 || !w.isIdle || c.started.Before(w.trustedFrom) {
+	if w.current != c || p.pool.LinkRate <= 0 || !w.reportedIdle || c.started.Before(w.trustedFrom) {
 		return time.Time{}
 	}
 	bytes := int64(0)
-	for _, place := range c.jobs {
-		bytes += place.job.InputBytes
+	for _, ref := range c.refs {
+		bytes += ref.job.InputBytes
 	}
 	return c.turn.Add(fetchMargin + seconds(fetchLinks*float64(bytes)/p.pool.LinkRate))
 }
 
-// noteDue gives up the inputs that were fetched by now.
-func (p *Planner) noteDue(a *Actions, now time.Time) {
+// releaseFetchedInputs releases the inputs that have been fetched by now.
+func (p *Planner) releaseFetchedInputs(a *Actions, now time.Time) {
 	for _, c := range p.calls {
-		if c.fetchedAt.IsZero() || now.Before(c.fetchedAt) {
+		if c.inputsFetchedAt.IsZero() || now.Before(c.inputsFetchedAt) {
 			continue
 		}
-		c.fetchedAt = time.Time{}
-		c.fetched = true
-		for _, place := range c.jobs {
-			place.job.fetched++
-			place.job.releaseInputs(a)
+		c.inputsFetchedAt = time.Time{}
+		c.inputsFetched = true
+		for _, ref := range c.refs {
+			ref.job.fetched++
+			ref.job.releaseInputs(a)
 		}
 	}
 }
 
-// releaseInputs gives up the inputs once every item has them.
+// releaseInputs releases the inputs of a job once they have been fetched for every item.
 func (j *job) releaseInputs(a *Actions) {
-	if j.released || j.over || j.InputService == "" || j.fetched < j.Count {
+	if j.inputsReleased || j.ended || j.InputService == "" || j.fetched < j.Count {
 		return
 	}
-	j.released = true
-	a.Fetched = append(a.Fetched, Inputs{AttemptID: j.AttemptID, Service: j.InputService, Handles: j.Inputs})
+	j.inputsReleased = true
+	a.ReleaseInputs = append(a.ReleaseInputs, JobInputs{AttemptID: j.AttemptID, Service: j.InputService, Handles: j.Inputs})
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/share/decide/batch/load_test.go
+++ b/share/decide/batch/load_test.go
@@ -12,54 +12,54 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// outcome counts how the jobs of a load ended.
-type outcome struct {
-	asked, onTime, late, refused, calls int
-	// byRank counts what was asked for and what was on time.
-	byRank map[site.Rank]ranked
+// loadResult counts how the jobs of a load ended.
+type loadResult struct {
+	offered, onTime, late, refused, calls int
+	// byRank counts the jobs that were offered and those on time by rank.
+	byRank map[site.Rank]rankCount
 }
 
-type ranked struct{ asked, onTime int }
+// rankCount counts the jobs of one rank.
+type rankCount struct{ offered, onTime int }
 
-func (o *outcome) count(rank site.Rank, asked, onTime int) {
+func (o *loadResult) count(rank site.Rank, offered, onTime int) {
 	r := o.byRank[rank]
-	o.byRank[rank] = ranked{asked: r.asked + asked, onTime: r.onTime + onTime}
+	o.byRank[rank] = rankCount{offered: r.offered + offered, onTime: r.onTime + onTime}
 }
 
-// newMixed draws jobs of one to three results that may take a second.
-func newMixed(source *rand.Rand, now time.Time, id uint64) batch.Job {
+// newMixedJob returns a job of one to three results with a target one second from now.
+func newMixedJob(source *rand.Rand, now time.Time, id uint64) batch.Job {
 	job := newJob(now, id, 1+source.IntN(3))
 	job.Target = now.Add(time.Second)
 	job.Expires = now.Add(4 * time.Second)
 	return job
 }
 
-// event is the end of a call at a server.
-type event struct {
+// callEnd is the end of a call at a server.
+type callEnd struct {
 	at      time.Time
 	planner int
 	call    batch.Call
 	refused bool
 }
 
-// play offers a load to planners that share five servers, each of which works on
-// one call at a time, lets two wait and refuses the rest, as the users' pools do.
-// Each job's results are released 300 ms after they were made.
-func play(planners int, rate func(time.Duration) float64, length time.Duration, draw func(*rand.Rand, time.Time, uint64) batch.Job) outcome {
+// simulate offers a load to planners that share five servers. Like the pools of the users, each
+// server works on one call at a time, lets two more wait and refuses the rest.
+func simulate(planners int, rate func(time.Duration) float64, length time.Duration, draw func(*rand.Rand, time.Time, uint64) batch.Job) loadResult {
 	source := rand.New(rand.NewPCG(3, 4)) //nolint:gosec // a fixed load
 	start := time.Unix(0, 0)
 	now := start
-	o := outcome{byRank: map[site.Rank]ranked{}}
+	o := loadResult{byRank: map[site.Rank]rankCount{}}
 	ps := []*batch.Planner{}
 	for range planners {
 		ps = append(ps, newPlanner(start, "a", "a", "a", "a", "a"))
 	}
-	free := map[string]time.Time{}
+	idleAt := map[string]time.Time{}
 	waiting := map[string][]time.Time{}
-	events := []event{}
+	events := []callEnd{}
 	jobs := map[uint64]batch.Job{}
-	perform := func(i int, a batch.Actions) {
-		for _, d := range a.Done {
+	apply := func(i int, a batch.Actions) {
+		for _, d := range a.Completions {
 			switch {
 			case d.Outcome != batch.OutcomeMade:
 				o.refused++
@@ -79,18 +79,18 @@
 			}
 			if len(ends) >= 3 {
 				waiting[id] = ends
-				events = append(events, event{at: now.Add(2 * time.Millisecond), planner: i, call: c, refused: true})
+				events = append(events, callEnd{at: now.Add(2 * time.Millisecond), planner: i, call: c, refused: true})
 				continue
 			}
-			begins := free[id]
-			if begins.Before(now) {
-				begins = now
+			begin := idleAt[id]
+			if begin.Before(now) {
+				begin = now
 			}
 			pool := newPool()
-			at := begins.Add(pool.CallTime + time.Duration(len(c.Items))*pool.ItemTime)
-			free[id] = at
+			at := begin.Add(pool.CallTime + time.Duration(len(c.Items))*pool.ItemTime)
+			idleAt[id] = at
 			waiting[id] = append(ends, at)
-			events = append(events, event{at: at, planner: i, call: c})
+			events = append(events, callEnd{at: at, planner: i, call: c})
 		}
 		sort.SliceStable(events, func(a, b int) bool { return events[a].at.Before(events[b].at) })
 	}
@@ -104,13 +104,13 @@
 			e := events[0]
 			events = events[1:]
 			now = e.at
-			results := made(e.call)
+			results := resultsFor(e.call)
 			if e.refused {
 				for i := range results {
 					results[i] = site.ItemResult{Outcome: site.ItemRefused}
 				}
 			}
-			perform(e.planner, ps[e.planner].End(now, e.call.ID, batch.Ended{Results: results}))
+			apply(e.planner, ps[e.planner].FinishCall(now, e.call.ID, batch.CallResult{Results: results}))
 			continue
 		}
 		now = step
@@ -119,37 +119,36 @@
 			job := draw(source, now, id)
 			jobs[id] = job
 			id++
-			o.asked++
+			o.offered++
 			o.count(job.Rank, 1, 0)
-			perform(i, ps[i].Add(now, job))
+			apply(i, ps[i].Add(now, job))
 			next = now.Add(time.Duration(source.ExpFloat64() / rate(now.Sub(start)) * float64(time.Second)))
 			continue
 		}
 		for i, p := range ps {
-			perform(i, p.Tick(now))
+			apply(i, p.Tick(now))
 		}
 	}
 	return o
 }
 
-// Five servers make 8 results a call in 360 ms, 111 a second in all. At 45 jobs of
-// two results a second, calls of one ingress's jobs alone would need more servers
-// than there are: 200 ms of each call are lost whatever it holds. One planner for all
-// fills the calls. This is an ordinary load of both deployments.
-func TestOnePlannerCarriesWhatSixCannot(t *testing.T) {
+// Five servers produce 8 results per call of 360 ms, 111 per second in all. At 45 jobs per second
+// of two results each, an ordinary load of both deployments, separate calls for each of six ingresses
+// would need more servers, as each call has a fixed cost of 200 ms. A single planner fills the calls.
+func TestOnePlannerHandlesLoadThatSixCannot(t *testing.T) {
 	is := is.New(t)
 	steady := func(time.Duration) float64 { return 45 }
-	one := play(1, steady, 20*time.Second, newMixed)
-	six := play(6, steady, 20*time.Second, newMixed)
+	one := simulate(1, steady, 20*time.Second, newMixedJob)
+	six := simulate(6, steady, 20*time.Second, newMixedJob)
 	t.Logf("one planner: %+v; six: %+v", one, six)
-	is.True(one.onTime*100 >= one.asked*97)
+	is.True(one.onTime*100 >= one.offered*97)
 	is.True(six.onTime < one.onTime)
 	is.True(one.calls < six.calls)
 }
 
-// The rate doubles for six seconds, beyond what the servers can do. Most that is
-// served must be on time, instead of everybody late, and it must be calm at once
-// when the burst is over.
+// The rate doubles for six seconds, beyond the capacity of the servers. Guards against a queue in
+// which every job is served late: most jobs must be on time, and the queue must recover as soon as
+// the burst is over.
 func TestBurstLeavesMostOnTime(t *testing.T) {
 	is := is.New(t)
 	burst := func(at time.Duration) float64 {
@@ -158,17 +157,16 @@
 		}
 		return 35
 	}
-	o := play(1, burst, 20*time.Second, newMixed)
+	o := simulate(1, burst, 20*time.Second, newMixedJob)
 	t.Logf("%+v", o)
-	is.True(o.onTime*100 >= o.asked*70)
-	is.True(o.onTime+o.late+o.refused == o.asked)
+	is.True(o.onTime*100 >= o.offered*70)
+	is.True(o.onTime+o.late+o.refused == o.offered)
 }
 
-// Reviews burst for six seconds beyond what the servers can do, beside notes that the
-// operators rank first and that have two more stages to go, so that each may wait here
-// for little more than a call. By arrival both share the queue and some of the notes
-// are late; by rank the notes pass, and the reviews, which are too many, pay.
-func TestBurstOfTheLessUrgentSparesTheUrgent(t *testing.T) {
+// A burst of reviews exceeds the capacity for six seconds. Notes have a more urgent rank and, with
+// two more stages to go, time for little more than one call. Served by arrival, some notes would be
+// late; served by rank, they must be on time, and the overload affects only the reviews causing it.
+func TestBurstOfLessUrgentJobsDoesNotDelayUrgentOnes(t *testing.T) {
 	is := is.New(t)
 	const note, review = site.Rank(0), site.Rank(1)
 	burst := func(at time.Duration) float64 {
@@ -177,8 +175,8 @@
 		}
 		return 35
 	}
-	o := play(1, burst, 20*time.Second, func(source *rand.Rand, now time.Time, id uint64) batch.Job {
-		job := newMixed(source, now, id)
+	o := simulate(1, burst, 20*time.Second, func(source *rand.Rand, now time.Time, id uint64) batch.Job {
+		job := newMixedJob(source, now, id)
 		job.Rank = review
 		if source.IntN(3) == 0 {
 			job.Rank = note
@@ -187,34 +185,34 @@
 		return job
 	})
 	t.Logf("%+v", o)
-	is.True(o.byRank[note].onTime*100 >= o.byRank[note].asked*99)
-	is.True(o.byRank[review].onTime*2 >= o.byRank[review].asked) // and they are not starved
+	is.True(o.byRank[note].onTime*100 >= o.byRank[note].offered*99)
+	is.True(o.byRank[review].onTime*2 >= o.byRank[review].offered) // reviews must not starve
 }
 
-// A burst of reviews is twice what the servers make. Those that cannot be on time go
-// behind the others, which never end; none of them would have its turn, and each would
-// learn so after 4 s only. They are told while they still can come back.
-func TestHopelessJobsInTheQueueAreToldSoon(t *testing.T) {
+// A burst is twice the capacity of the servers. Late jobs are queued behind jobs that can be on
+// time, which keep arriving, so that late jobs would never be served and their callers would learn
+// that only after 4 s. They must be refused while their callers still have time to retry.
+func TestQueuedJobsThatWouldExpireAreRefusedEarly(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	p := newPlanner(now, "a")
 	source := rand.New(rand.NewPCG(7, 8)) //nolint:gosec // a fixed load
-	came := map[uint64]time.Time{}
+	arrivals := map[uint64]time.Time{}
 	slowest := time.Duration(0)
 	refused := 0
-	events := []event{}
-	perform := func(a batch.Actions) {
-		for _, d := range a.Done {
+	events := []callEnd{}
+	apply := func(a batch.Actions) {
+		for _, d := range a.Completions {
 			if d.Outcome == batch.OutcomeMade {
 				continue
 			}
 			refused++
-			slowest = max(slowest, now.Sub(came[d.JobID]))
+			slowest = max(slowest, now.Sub(arrivals[d.JobID]))
 			is.True(d.RetryAfter > 0)
 		}
 		for _, c := range a.Calls {
 			pool := newPool()
-			events = append(events, event{at: now.Add(pool.CallTime + time.Duration(len(c.Items))*pool.ItemTime), call: c})
+			events = append(events, callEnd{at: now.Add(pool.CallTime + time.Duration(len(c.Items))*pool.ItemTime), call: c})
 		}
 	}
 	next := now
@@ -223,28 +221,28 @@
 		for len(events) > 0 && !events[0].at.After(now) {
 			e := events[0]
 			events = events[1:]
-			perform(p.End(now, e.call.ID, batch.Ended{Results: made(e.call)}))
+			apply(p.FinishCall(now, e.call.ID, batch.CallResult{Results: resultsFor(e.call)}))
 		}
 		for !next.After(now) {
-			came[id] = now
-			perform(p.Add(now, newMixed(source, now, id)))
+			arrivals[id] = now
+			apply(p.Add(now, newMixedJob(source, now, id)))
 			id++
 			next = next.Add(time.Duration(source.ExpFloat64() / 22 * float64(time.Second)))
 		}
-		perform(p.Tick(now))
+		apply(p.Tick(now))
 	}
-	t.Logf("refused %d of %d, the slowest after %v", refused, len(came), slowest)
-	is.True(refused*3 >= len(came))
+	t.Logf("refused %d of %d, the slowest after %v", refused, len(arrivals), slowest)
+	is.True(refused*3 >= len(arrivals))
 	is.True(slowest <= 2*time.Second)
 }
 
-// At twice the load that the servers carry as many must be on time as at that load, but
-// for a tenth: no state in which all are late.
+// Guards against a state in which all jobs are late. At twice the capacity of the servers, at least
+// nine tenths as many jobs must be on time as at their capacity.
 func TestOverloadKeepsItsThroughput(t *testing.T) {
 	is := is.New(t)
-	const capacity = 55 // jobs a second: 5 servers make 8 results in 360 ms, a job needs two
-	full := play(1, func(time.Duration) float64 { return capacity }, 20*time.Second, newMixed)
-	double := play(1, func(time.Duration) float64 { return 2 * capacity }, 20*time.Second, newMixed)
+	const capacity = 55 // jobs per second: 5 servers produce 8 results each in 360 ms, and a job needs two
+	full := simulate(1, func(time.Duration) float64 { return capacity }, 20*time.Second, newMixedJob)
+	double := simulate(1, func(time.Duration) float64 { return 2 * capacity }, 20*time.Second, newMixedJob)
 	t.Logf("at capacity %+v; at twice %+v", full, double)
 	is.True(double.onTime*10 >= full.onTime*9)
 }
--- a/share/decide/batch/plan.go
+++ b/share/decide/batch/plan.go
@@ -8,48 +8,52 @@
 )
 
 const (
-	// maxRepeats bounds how often an item is sent again: a restarted server, a refusal and one more.
-	maxRepeats = 3
-	// noServerPause is what a caller is told to wait for while no backend server is registered:
-	// a registration shows about a heartbeat after a start.
-	noServerPause = time.Second
-	// roomPart is the part of a server's memory that is planned for; sizes are approximate.
-	roomPart = 0.95
-	// maxPaceRatio is how much slower than the fastest a server may be and still be given
-	// work while the queue fits into the calls of the others.
-	maxPaceRatio = 2.5
+	// maxRetries bounds the retries of a job, per item on average: one for a restarted
+	// server, one for a refusal, and one to spare.
+	maxRetries = 3
+	// noServerRetryAfter is the time after which a caller may retry if no backend server is
+	// registered: a registration becomes visible about one heartbeat after a server starts.
+	noServerRetryAfter = time.Second
+	// plannedMemoryShare is the share of a server's memory that is planned for; result
+	// sizes are approximate.
+	plannedMemoryShare = 0.95
+	// maxSlowdownRatio is how much slower than the fastest server another one may be and
+	// still get work while the queue fits into the calls of the others.
+	maxSlowdownRatio = 2.5
 )
 
-// plan expires, orders and sends.
+// plan drops what has expired, sorts the queue and sends the calls that can be sent.
 func (p *Planner) plan(now time.Time) Actions {
 	a := Actions{}
 	p.expire(&a, now)
-	p.noteDue(&a, now)
+	p.releaseFetchedInputs(&a, now)
 	if len(p.queue) == 0 {
 		return a
 	}
-	p.order(now)
+	p.sortQueue(now)
 	p.shed(&a, now)
-	passed := map[*worker]bool{}
+	skipped := map[*worker]bool{}
 	for len(p.queue) > 0 {
-		w := p.chooseWorker(now, passed)
+		w := p.chooseWorker(now, skipped)
 		if w == nil {
 			return a
 		}
-		if !p.fill(&a, now, w) {
-			passed[w] = true // it has no memory, or nothing is for its domain yet
+		if !p.fillCall(&a, now, w) {
+			skipped[w] = true // no memory is free, or no job may or should go there yet
 		}
 	}
 	return a
 }
 
+// expire ends jobs that have run out of time or for which no server is left, and drops results
+// whose keep time has passed.
 func (p *Planner) expire(a *Actions, now time.Time) {
 	for _, j := range slices.Clone(p.queue) {
 		switch {
 		case !now.Add(p.pool.CallTime).Before(j.Expires):
-			p.finish(a, now, j, Done{JobID: j.ID, Outcome: OutcomeExpired})
+			p.endJob(a, now, j, Completion{JobID: j.ID, Outcome: OutcomeExpired})
 		case len(p.ready) > 0 && !p.hasServer(j.Job):
-			p.finish(a, now, j, Done{JobID: j.ID, Outcome: OutcomeNoServer, RetryAfter: noServerPause})
+			p.endJob(a, now, j, Completion{JobID: j.ID, Outcome: OutcomeNoServer, RetryAfter: noServerRetryAfter})
 		}
 	}
 	for _, w := range p.workers {
@@ -57,29 +61,28 @@
 	}
 }
 
-// order puts first what can still be on time, by rank and then by arrival; what is
-// late anyway gets what is left, in the same order. Ordering by deadline alone
-// spends an overload on requests that are about to be late.
+// sortQueue puts jobs that can still be on time first, by rank and then by arrival. Late jobs
+// get the remaining capacity, in the same order. Ordering by deadline alone would spend the
+// capacity in an overload on requests that are about to be late.
 //
-// Rank goes before arrival. Guards against a burst in which requests with one stage
-// push out those with three, whatever the operators ranked first: each of the three
-// queues by arrival, and one lost turn is enough to be late.
+// Rank precedes arrival. Otherwise, in a burst, requests with one stage push out requests with
+// three, whatever ranks the operators gave them: each of the three stages queues by arrival, and
+// a single missed turn is enough to be late.
 //
-// Before all of them go jobs of which some results are made or being made. Guards
-// against a memory that fills with parts of jobs: where few results fit, jobs are
-// split over calls, and what was made of one takes memory until the rest is, behind
-// whatever came since.
-func (p *Planner) order(now time.Time) {
+// Jobs of which some results exist or are being produced precede all others. Otherwise memory
+// fills with parts of jobs: where few results fit, jobs are split over calls, and the results of
+// one part take memory until the rest is produced, behind all jobs that arrived in the meantime.
+func (p *Planner) sortQueue(now time.Time) {
 	slices.SortStableFunc(p.queue, func(a, b *job) int {
-		if a.isBegun() != b.isBegun() {
-			if a.isBegun() {
+		if a.isStarted() != b.isStarted() {
+			if a.isStarted() {
 				return -1
 			}
 			return 1
 		}
-		aOn, bOn := p.isOnTime(now, a.Job), p.isOnTime(now, b.Job)
-		if aOn != bOn {
-			if aOn {
+		aOnTime, bOnTime := p.isOnTime(now, a.Job), p.isOnTime(now, b.Job)
+		if aOnTime != bOnTime {
+			if aOnTime {
 				return -1
 			}
 			return 1
@@ -91,189 +94,190 @@
 	})
 }
 
-// shed gives up late jobs that will not have their turn before they are of no use:
-// those that can be on time go on coming and pass them. Their callers learn it now, and
-// when there will be room, in place of seconds later. What was begun, here or in an
-// earlier stage, is not given up.
+// shed refuses late jobs that would not be sent before they expire, because jobs that can be on
+// time keep arriving and overtake them. Their callers learn at once, instead of seconds later,
+// when there will be capacity. Jobs that have been started, here or in an earlier stage, are kept.
 func (p *Planner) shed(a *Actions, now time.Time) {
-	o := p.Outlook(now)
-	if o.Rate == 0 {
+	b := p.Backlog(now)
+	if b.Rate == 0 {
 		return
 	}
-	before := o.OnTime.Sum()
+	queuedAhead := b.OnTime.Sum()
 	for _, j := range slices.Clone(p.queue) {
 		if p.isOnTime(now, j.Job) {
 			continue
 		}
-		wait := o.ProcessingTime(before+float64(len(j.todo)), o.Demand.Sum())
-		if !j.isBegun() && len(j.Inputs) == 0 && now.Add(wait+p.pool.CallTime).After(j.Expires) {
-			p.finish(a, now, j, Done{JobID: j.ID, Outcome: OutcomeBusy, RetryAfter: wait})
+		wait := b.ProcessingTime(queuedAhead+float64(len(j.queued)), b.Demand.Sum())
+		if !j.isStarted() && len(j.Inputs) == 0 && now.Add(wait+p.pool.CallTime).After(j.Expires) {
+			p.endJob(a, now, j, Completion{JobID: j.ID, Outcome: OutcomeBusy, RetryAfter: wait})
 			continue
 		}
-		before += float64(len(j.todo))
+		queuedAhead += float64(len(j.queued))
 	}
 }
 
-// isOnTime tells whether a job that is in a call now is done before its target. Where
-// it matters, under load, calls are full.
+// isOnTime reports whether a job meets its target if it is sent now. It assumes a full call:
+// the answer only matters under load, and calls are full then.
 func (p *Planner) isOnTime(now time.Time, j Job) bool {
-	return now.Add(p.fullCall()).Before(j.Target)
+	return now.Add(p.fullCallTime()).Before(j.Target)
 }
 
-// fullCall is how long a call with a full batch takes.
-func (p *Planner) fullCall() time.Duration {
+// fullCallTime returns the duration of a call with a full batch.
+func (p *Planner) fullCallTime() time.Duration {
 	return p.pool.CallTime + time.Duration(p.pool.Batch)*p.pool.ItemTime
 }
 
-// isBegun tells whether some results of the job are made or being made.
-func (j *job) isBegun() bool { return len(j.todo) < j.Count }
+// isStarted reports whether some results of the job exist or are being produced.
+func (j *job) isStarted() bool { return len(j.queued) < j.Count }
 
-// chooseWorker returns the fastest idle server, or nil where waiting for a busy one is better.
-func (p *Planner) chooseWorker(now time.Time, passed map[*worker]bool) *worker {
-	idle, soon := []*worker{}, []*worker{}
+// chooseWorker returns the fastest idle server, or else the fastest that is about to be idle. It
+// returns nil if there is none, or if it is better to wait for a faster server that is busy.
+func (p *Planner) chooseWorker(now time.Time, skipped map[*worker]bool) *worker {
+	idle, soonIdle := []*worker{}, []*worker{}
 	fastest := math.Inf(1)
 	healthy := 0
 	for _, w := range p.ready {
-		if now.Before(w.suspectUntil) {
+		if now.Before(w.backoffUntil) {
 			continue
 		}
 		healthy++
-		fastest = min(fastest, w.pace)
-		if w.calls == 0 && !passed[w] {
+		fastest = min(fastest, w.slowdown)
+		if w.inFlight == 0 && !skipped[w] {
 			idle = append(idle, w)
 		}
-		if p.pool.Queue > 0 && w.isSoonFree(now) && !passed[w] && !p.isSuspect(w.current.jobs[0].job) {
-			soon = append(soon, w)
+		if p.pool.Queue > 0 && w.isSoonIdle(now) && !skipped[w] && !p.isSuspect(w.current.refs[0].job) {
+			soonIdle = append(soonIdle, w)
 		}
 	}
 	if healthy == 0 {
-		return p.probeWorker(passed)
+		return p.probeWorker(skipped)
 	}
-	items := p.CountItems()
+	items := p.CountQueuedItems()
 	if len(idle) == 0 {
-		idle = soon
+		idle = soonIdle
 	}
 	idle = slices.DeleteFunc(idle, func(w *worker) bool {
-		return w.pace > maxPaceRatio*fastest && items <= (healthy-1)*p.pool.Batch
+		return w.slowdown > maxSlowdownRatio*fastest && items <= (healthy-1)*p.pool.Batch
 	})
 	if len(idle) == 0 {
 		return nil
 	}
 	return slices.MinFunc(idle, func(a, b *worker) int {
-		if c := cmp.Compare(math.Round(a.pace*paceSteps), math.Round(b.pace*paceSteps)); c != 0 {
+		if c := cmp.Compare(math.Round(a.slowdown*slowdownSteps), math.Round(b.slowdown*slowdownSteps)); c != 0 {
 			return c
 		}
-		return cmp.Compare(a.used, b.used)
+		return cmp.Compare(a.usedBytes, b.usedBytes)
 	})
 }
 
-// paceSteps rounds paces to quarters, so that small differences do not gather all work at one server.
-const paceSteps = 4
+// slowdownSteps rounds slowdowns to quarters for the comparison of servers, so that small
+// differences do not concentrate all work on one server.
+const slowdownSteps = 4
 
-// probeWorker returns the server whose failure is the oldest: with all of them
-// in doubt, refusing everything would leave none to be tried again.
-func (p *Planner) probeWorker(passed map[*worker]bool) *worker {
+// probeWorker returns the idle server whose backoff ends first. It is used when all servers are in
+// backoff: if none got work, none would be probed.
+func (p *Planner) probeWorker(skipped map[*worker]bool) *worker {
 	var best *worker
 	for _, w := range p.ready {
-		if w.calls > 0 || passed[w] {
+		if w.inFlight > 0 || skipped[w] {
 			continue
 		}
-		if best == nil || w.suspectUntil.Before(best.suspectUntil) {
+		if best == nil || w.backoffUntil.Before(best.backoffUntil) {
 			best = w
 		}
 	}
 	return best
 }
 
-// sortFor returns the jobs that may go to a server: first those that are begun,
-// wherever it stands, then those whose results are used in its failure domain, then
-// those that do not wait for a server of their own domain any more.
-func (p *Planner) sortFor(now time.Time, w *worker) []*job {
-	begun, near, far := []*job{}, []*job{}, []*job{}
+// candidates returns the jobs that may go to a server, in this order: jobs that have been started,
+// whatever its failure domain; jobs whose results are used in its failure domain, or whose own
+// domain is not known or has no server; and jobs that no longer wait for a server in their domain.
+func (p *Planner) candidates(now time.Time, w *worker) []*job {
+	started, local, remote := []*job{}, []*job{}, []*job{}
 	for _, j := range p.queue {
 		switch {
 		case !p.allows(j.Job, w):
-		case j.isBegun():
-			begun = append(begun, j)
-		case j.Domain == "" || j.Domain == w.server.Domain || !p.serves(j.Domain):
-			near = append(near, j)
-		case p.goesFar(now, j):
-			far = append(far, j)
+		case j.isStarted():
+			started = append(started, j)
+		case j.Domain == "" || j.Domain == w.server.Domain || !p.hasServerIn(j.Domain):
+			local = append(local, j)
+		case p.acceptsRemote(now, j):
+			remote = append(remote, j)
 		}
 	}
-	return slices.Concat(begun, near, far)
+	return slices.Concat(started, local, remote)
 }
 
 const (
-	// waitPerByte is how long a job waits for a server of its own failure domain for each
-	// byte that would cross between domains.
-	waitPerByte = 240 * time.Nanosecond
-	// slackPart is the part of the time to spare that a job may spend on that.
-	slackPart = 0.9
+	// localWaitPerByte is how long a job waits for a server in its own failure domain for
+	// each byte that would otherwise cross between domains.
+	localWaitPerByte = 240 * time.Nanosecond
+	// maxSlackShare is the share of a job's slack that it may spend on that wait.
+	maxSlackShare = 0.9
 )
 
-// patience is how long a job waits for a server of its own failure domain. Bytes that
-// cross between domains are charged for, and time that a request has is free; so it
-// waits by what would cross, and for most of what it can spare at the most.
+// localWait returns how long after its arrival a job waits for a server in its own failure domain.
+// Traffic between failure domains is charged for, while the slack of a request costs nothing.
+// Therefore the wait grows with the bytes that would cross, up to most of the slack.
 //
-// A fixed wait costs each stage the same, whatever it saves, and servers idle while small
-// results wait.
-func (p *Planner) patience(now time.Time, j *job) time.Duration {
-	crossing := int64(len(j.todo)) * max(j.ResultBytes, j.InputBytes)
-	spare := max(j.Target.Sub(now)-p.fullCall(), 0)
-	return min(time.Duration(crossing)*waitPerByte, time.Duration(slackPart*float64(spare)))
+// A fixed wait would cost every stage the same time whatever it saves, and servers would be idle
+// while jobs with small results wait.
+func (p *Planner) localWait(now time.Time, j *job) time.Duration {
+	crossing := int64(len(j.queued)) * max(j.ResultBytes, j.InputBytes)
+	slack := max(j.Target.Sub(now)-p.fullCallTime(), 0)
+	return min(time.Duration(crossing)*localWaitPerByte, time.Duration(maxSlackShare*float64(slack)))
 }
 
-// goesFar tells whether a job takes a server of another failure domain: where none of
-// its own is free before its patience ends.
-func (p *Planner) goesFar(now time.Time, j *job) bool {
-	ends := j.arrived.Add(p.patience(now, j))
+// acceptsRemote reports whether a job accepts a server in another failure domain: its local wait
+// is over, or no healthy server in its own domain will be idle before the wait is over.
+func (p *Planner) acceptsRemote(now time.Time, j *job) bool {
+	ends := j.arrived.Add(p.localWait(now, j))
 	if !now.Before(ends) {
 		return true
 	}
 	for _, w := range p.ready {
-		if w.server.Domain == j.Domain && !now.Before(w.suspectUntil) && !w.freeAt().After(ends) {
+		if w.server.Domain == j.Domain && !now.Before(w.backoffUntil) && !w.idleAt().After(ends) {
 			return false
 		}
 	}
 	return true
 }
 
-// allows tells whether a job's results may be made at a server.
+// allows reports whether the results of a job may be produced at a server.
 func (p *Planner) allows(j Job, w *worker) bool {
 	return j.Residency.Allows(p.regions[w.server.Domain])
 }
 
-// hasServer tells whether there is a server that may make a job's results.
+// hasServer reports whether there is a server that may produce the results of a job.
 func (p *Planner) hasServer(j Job) bool {
 	return slices.ContainsFunc(p.ready, func(w *worker) bool { return p.allows(j, w) })
 }
 
-// serves tells whether a server stands in the failure domain.
-func (p *Planner) serves(domain string) bool {
+// hasServerIn reports whether there is a server in the failure domain.
+func (p *Planner) hasServerIn(domain string) bool {
 	return slices.ContainsFunc(p.ready, func(w *worker) bool { return w.server.Domain == domain })
 }
 
-// predictWait estimates how long a new job waits until its last item is in a call:
-// behind what goes before it, and behind all that can be on time if it cannot.
+// predictWait estimates how long a new job waits until its last item is in a call: behind all
+// jobs that are served first, which include all on-time jobs if it cannot be on time itself.
 func (p *Planner) predictWait(now time.Time, j Job) time.Duration {
-	o := p.Outlook(now)
+	b := p.Backlog(now)
 	if p.isOnTime(now, j) {
-		o.OnTime[j.Rank] += float64(j.Count)
-		return o.Wait(j.Rank)
+		b.OnTime[j.Rank] += float64(j.Count)
+		return b.Wait(j.Rank)
 	}
-	o.Late[j.Rank] += float64(j.Count)
-	return o.LateWait(j.Rank)
+	b.Late[j.Rank] += float64(j.Count)
+	return b.LateWait(j.Rank)
 }
 
-// rate returns the items a second that the servers make in full calls.
+// rate returns how many items per second the servers that are not in backoff process in full calls.
 func (p *Planner) rate(now time.Time) float64 {
 	rate := 0.0
 	for _, w := range p.ready {
-		if now.Before(w.suspectUntil) {
+		if now.Before(w.backoffUntil) {
 			continue
 		}
-		rate += float64(p.pool.Batch) / (p.fullCall().Seconds() * w.pace)
+		rate += float64(p.pool.Batch) / (p.fullCallTime().Seconds() * w.slowdown)
 	}
 	return rate
 }
--- a/share/decide/batch/residency_test.go
+++ b/share/decide/batch/residency_test.go
@@ -10,32 +10,31 @@
 	"verbenaroad.example/share/models/site"
 )
 
-func newTwoRegions(now time.Time, domains ...string) *batch.Planner {
-	p := batch.NewPlanner(newPool(), map[string]string{"a1": "a", "b1": "b"}, always)
+func newTwoRegionPlanner(now time.Time, domains ...string) *batch.Planner {
+	p := batch.NewPlanner(newPool(), map[string]string{"a1": "a", "b1": "b"}, alwaysRetry)
 	p.SetServers(now, newServers(domains...))
 	return p
 }
 
-func onlyIn(j batch.Job, region string) batch.Job {
+func restrictTo(j batch.Job, region string) batch.Job {
 	j.Residency = site.NewResidency([]string{region})
 	return j
 }
 
-// A third of the jobs must stay in one region; the calls of the other region's server are
-// filled with the rest.
-//
-// Guards against results that are made outside the regions of their request.
+// Guards against results that are produced outside the regions allowed for their request. A third
+// of the jobs must stay in one region; the other jobs may share calls with them there and also fill
+// the call to the server in the other region.
 func TestJobsStayInTheirRegions(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	p := newTwoRegions(now, "a1", "b1")
+	p := newTwoRegionPlanner(now, "a1", "b1")
 	calls := []batch.Call{}
 	for i := range 9 {
 		j := newJob(now, uint64(i+1), 1)
 		if i%3 == 0 {
-			j = onlyIn(j, "b")
+			j = restrictTo(j, "b")
 		}
-		calls = append(calls, p.Add(now.Add(-gathered), j).Calls...)
+		calls = append(calls, p.Add(now.Add(-gatherTime), j).Calls...)
 	}
 	calls = append(calls, p.Tick(now).Calls...)
 	is.Equal(len(calls), 2)
@@ -50,19 +49,19 @@
 	is.Equal(items, 9)
 }
 
-// Guards against a job that waits until its deadline for a server that there is not.
-func TestJobWithoutServerInItsRegionsIsToldAtOnce(t *testing.T) {
+// Guards against a job that waits until its deadline although no server is in its regions.
+func TestJobWithoutServerInItsRegionsEndsAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	p := newTwoRegions(now, "a1")
-	a := p.Add(now, onlyIn(newJob(now, 1, 1), "b"))
-	is.Equal(len(a.Done), 1)
-	is.Equal(a.Done[0].Outcome, batch.OutcomeNoServer)
-	is.True(a.Done[0].RetryAfter > 0)
+	p := newTwoRegionPlanner(now, "a1")
+	a := p.Add(now, restrictTo(newJob(now, 1, 1), "b"))
+	is.Equal(len(a.Completions), 1)
+	is.Equal(a.Completions[0].Outcome, batch.OutcomeNoServer)
+	is.True(a.Completions[0].RetryAfter > 0)
 
-	p = newTwoRegions(now, "a1", "b1")
-	p.Add(now, onlyIn(newJob(now, 2, 1), "b"))
-	a = p.SetServers(now, newServers("a1")) // the last one there left
-	is.Equal(len(a.Done), 1)
-	is.Equal(a.Done[0].Outcome, batch.OutcomeNoServer)
+	p = newTwoRegionPlanner(now, "a1", "b1")
+	p.Add(now, restrictTo(newJob(now, 2, 1), "b"))
+	a = p.SetServers(now, newServers("a1")) // the last server in region b is gone
+	is.Equal(len(a.Completions), 1)
+	is.Equal(a.Completions[0].Outcome, batch.OutcomeNoServer)
 }
--- a/share/decide/batch/split_test.go
+++ b/share/decide/batch/split_test.go
@@ -9,20 +9,19 @@
 	"verbenaroad.example/share/decide/batch"
 )
 
-// In a burst a note's six passages wait for half a second. Two places are left in the next
-// call: with two of them there, the note is done with the call after it all the same, and
-// what was made lies in a memory that others wait for. They go together, and a job
-// that fits takes the places.
-func TestJobsAreTakenWhole(t *testing.T) {
+// In a burst a job of six items waits for half a second, and the next call has room for two more.
+// Taking two of the six would not end the job any earlier, and their results would take memory that
+// others need. The six must stay together, and a smaller job that fits takes the room.
+func TestJobsAreNotSplit(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	p := newPlanner(now, "a")
-	busy := add(p, now, newJob(now, 1, 8)).Calls[0]
+	busy := addGathered(p, now, newJob(now, 1, 8)).Calls[0]
 	p.Add(now, newJob(now, 2, 6))
 	p.Add(now, newJob(now, 3, 6))
 	p.Add(now, newJob(now, 4, 2))
 	now = now.Add(600 * time.Millisecond)
-	next := p.End(now, busy.ID, batch.Ended{Results: made(busy)}).Calls
+	next := p.FinishCall(now, busy.ID, batch.CallResult{Results: resultsFor(busy)}).Calls
 	is.Equal(len(next), 1)
 	ids := map[string]int{}
 	for _, i := range next[0].Items {
@@ -31,31 +30,31 @@
 	is.Equal(ids, map[string]int{"2": 6, "4": 2})
 }
 
-// Smaller jobs pass a large one again and again, since there is never room for it whole.
-// Its caller would wait in vain; after two seconds it is taken in parts.
-func TestJobThatIsPassedForLongIsSplit(t *testing.T) {
+// Guards against starvation of a large job that smaller jobs overtake again and again because no
+// call has room for all of its items. After two seconds it may be split.
+func TestJobThatIsOvertakenForLongIsSplit(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	p := newPlanner(now, "a")
-	busy := add(p, now, newJob(now, 1, 8)).Calls[0]
+	busy := addGathered(p, now, newJob(now, 1, 8)).Calls[0]
 	large := newJob(now, 2, 7)
-	large.Target = now // late already: what can be on time goes first
+	large.Target = now // already late, so jobs that can be on time go first
 	p.Add(now, large)
 	p.Add(now.Add(2*time.Second), newJob(now.Add(2*time.Second), 3, 3))
 	now = now.Add(2100 * time.Millisecond)
-	next := p.End(now, busy.ID, batch.Ended{Results: made(busy)}).Calls
-	is.Equal(len(next[0].Items), 8) // the small one and five of the large one
+	next := p.FinishCall(now, busy.ID, batch.CallResult{Results: resultsFor(busy)}).Calls
+	is.Equal(len(next[0].Items), 8) // the small job and five items of the large one
 }
 
-// A job has more results than any call holds. It is split, as it could else never be done.
+// A job that has more items than any call can hold must be split, or it could never be done.
 func TestJobLargerThanACallIsSplit(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	p := newPlanner(now, "a")
-	first := add(p, now, newJob(now, 1, 11)).Calls[0]
+	first := addGathered(p, now, newJob(now, 1, 11)).Calls[0]
 	is.Equal(len(first.Items), 8)
 	now = now.Add(360 * time.Millisecond)
-	rest := p.End(now, first.ID, batch.Ended{Results: made(first)}).Calls
+	rest := p.FinishCall(now, first.ID, batch.CallResult{Results: resultsFor(first)}).Calls
 	is.Equal(len(rest), 1)
 	is.Equal(len(rest[0].Items), 3)
 }
--- a/share/decide/batch/worker.go
+++ b/share/decide/batch/worker.go
@@ -7,207 +7,213 @@
 )
 
 const (
-	// paceShare is the weight of a new call in a server's pace.
-	paceShare = 0.4
-	// timeoutRatio is how much longer than expected a call may take before it is given up:
-	// servers that turn slow take four to five times as long, dark ones forever.
+	// slowdownWeight is the weight of a new call in the moving average of a server's slowdown.
+	slowdownWeight = 0.4
+	// timeoutRatio is the timeout of a call as a multiple of its expected duration: servers
+	// that become slow take four to five times as long, and unresponsive ones never answer.
 	timeoutRatio = 4
-	// minTimeout leaves room for fetching inputs over a busy link.
+	// minTimeout leaves time for fetching inputs over a busy link.
 	minTimeout = 900 * time.Millisecond
-	// firstPause is how long a server that failed is left alone; it doubles up to maxPause.
-	firstPause = 250 * time.Millisecond
-	maxPause   = 4 * time.Second
+	// initialBackoff is how long a server gets no work after a failure; it doubles with each
+	// further failure in a row, up to maxBackoff.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = 4 * time.Second
 )
 
-// worker is what the planner knows of one backend server.
+// worker is the state that the planner keeps for one backend server.
 type worker struct {
 	server site.Server
-	// calls counts the calls under way.
-	calls int
-	// current is the call that the server works on; nil while there is none.
+	// inFlight is the number of calls in flight.
+	inFlight int
+	// current is the call that the server is working on; nil if there is none.
 	current *Call
-	// roundTrip is how long a message to the server and back takes; 0: not known.
+	// roundTrip is the round-trip time to the server; 0 if not known.
 	roundTrip time.Duration
-	// pace is how long calls take against what the service states; 1 at the start.
-	pace float64
-	// used is about the memory that results take, planned ones included.
-	used int64
-	// planned is the memory of each call under way.
-	planned map[uint64]int64
-	// held has the size and the end of each result.
-	held map[string]holding
-	// foreign is memory that something else takes, as seen at foreignOf: results that
-	// another planner had made before this one took over, or larger ones than stated.
-	foreign   int64
-	foreignOf time.Time
-	// waitingSince is when the server began to wait for memory; zero while it does not.
-	waitingSince time.Time
-	// isIdle is set while the last answer told that the server has nothing else to do;
-	// trustedFrom is when that begins to count.
-	isIdle      bool
-	trustedFrom time.Time
-	// failures counts failed calls in a row; suspectUntil is when the server is tried again.
+	// slowdown is the duration of recent calls relative to that stated by the service. It
+	// starts at 1.
+	slowdown float64
+	// usedBytes is the approximate memory that results take, including planned ones.
+	usedBytes int64
+	// plannedBytes holds the memory planned for each call in flight.
+	plannedBytes map[uint64]int64
+	// held holds the results at the server by handle.
+	held map[string]heldResult
+	// foreignBytes is memory that this planner did not plan, estimated at foreignNoted:
+	// results that another planner had produced before this one took over, or results larger
+	// than stated.
+	foreignBytes int64
+	foreignNoted time.Time
+	// memoryWaitSince is when the server began to wait for free memory; zero if it does not.
+	memoryWaitSince time.Time
+	// reportedIdle is set if the last answer reported that the server has no work besides the
+	// calls of this planner. It does not count for calls sent before trustedFrom.
+	reportedIdle bool
+	trustedFrom  time.Time
+	// failures counts failed calls in a row; backoffUntil is when the server gets work again.
 	failures     int
-	suspectUntil time.Time
+	backoffUntil time.Time
 }
 
-type holding struct {
+// heldResult is a result at a server, with the end of its keep time.
+type heldResult struct {
 	bytes int64
 	until time.Time
 }
 
 func newWorker(s site.Server) *worker {
-	return &worker{server: s, pace: 1, planned: map[uint64]int64{}, held: map[string]holding{}}
+	return &worker{server: s, slowdown: 1, plannedBytes: map[uint64]int64{}, held: map[string]heldResult{}}
 }
 
 func (w *worker) start(call *Call, bytes int64) {
-	w.calls++
-	if w.calls > 1 {
+	w.inFlight++
+	if w.inFlight > 1 {
 		call.shared = true
 	}
 	if w.current != nil {
 		w.current.shared = true
 	}
-	w.used += bytes
-	w.planned[call.ID] = bytes
+	w.usedBytes += bytes
+	w.plannedBytes[call.ID] = bytes
 	if w.current == nil {
 		w.current = call
 	}
 }
 
-// leadTrips is how many round trips pass between the end of a call at its server and
-// the begin of the next one: half of one for the answer, one for a new connection, and
-// half for the call.
-const leadTrips = 2
+// leadRoundTrips is the number of round trips between the end of a call at its server and
+// the start of the next one if that is sent when the answer arrives: half of one for the
+// answer, one for a new connection, and half of one for the next call.
+const leadRoundTrips = 2
 
-// lead is how long a call is under way until its server can begin it.
-func (w *worker) lead() time.Duration { return leadTrips * w.roundTrip }
+// leadTime returns how long a call is on its way before its server can start it.
+func (w *worker) leadTime() time.Duration { return leadRoundTrips * w.roundTrip }
 
-// isSoonFree tells whether a call that is sent now arrives when the server ends its
-// current one.
-func (w *worker) isSoonFree(now time.Time) bool {
-	if w.calls != 1 || w.current == nil || w.roundTrip == 0 {
+// isSoonIdle reports whether a call that is sent now arrives about when the server ends its
+// current call.
+func (w *worker) isSoonIdle(now time.Time) bool {
+	if w.inFlight != 1 || w.current == nil || w.roundTrip == 0 {
 		return false
 	}
-	return !now.Before(w.freeAt().Add(-w.lead()))
+	return !now.Before(w.idleAt().Add(-w.leadTime()))
 }
 
-// freeAt is when the server has probably ended its current call; zero while it is idle.
-func (w *worker) freeAt() time.Time {
+// idleAt returns the estimated end of the server's current call; zero if the server is idle.
+func (w *worker) idleAt() time.Time {
 	if w.current == nil {
 		return time.Time{}
 	}
-	return w.current.turn.Add(time.Duration(w.pace * float64(w.current.expected)))
+	return w.current.turn.Add(time.Duration(w.slowdown * float64(w.current.expected)))
 }
 
-// timeout is generous to a server that is known to be slow.
+// timeout returns the timeout of a call, which is longer for a server that is known to be slow.
 func (w *worker) timeout(expected time.Duration) time.Duration {
-	return max(minTimeout, time.Duration(timeoutRatio*max(w.pace, 1)*float64(expected)))
+	return max(minTimeout, time.Duration(timeoutRatio*max(w.slowdown, 1)*float64(expected)))
 }
 
-func (w *worker) end(now time.Time, call *Call, e Ended, pool site.Pool) {
-	results, failed := e.Results, e.Failed
-	planned, known := w.planned[call.ID]
+func (w *worker) finish(now time.Time, call *Call, r CallResult, pool site.Pool) {
+	results, failed := r.Results, r.Failed
+	planned, known := w.plannedBytes[call.ID]
 	if !known {
-		return // the server started anew meanwhile
+		return // the server has restarted since the call was sent
 	}
-	w.calls--
-	w.used -= planned
-	delete(w.planned, call.ID)
-	w.isIdle = e.Load != nil && e.Load.Running+e.Load.Waiting <= w.calls
+	w.inFlight--
+	w.usedBytes -= planned
+	delete(w.plannedBytes, call.ID)
+	w.reportedIdle = r.Load != nil && r.Load.Running+r.Load.Waiting <= w.inFlight
 	if w.current == call {
 		w.current = nil
 	}
-	if e.RoundTrip > 0 {
-		w.roundTrip = e.RoundTrip
+	if r.RoundTrip > 0 {
+		w.roundTrip = r.RoundTrip
 	}
 	if failed {
 		w.trustedFrom = now.Add(pool.KeepTime)
-		w.fail(now)
+		w.backOff(now)
 		return
 	}
 	if isRefused(results) {
-		// Another planner's call is there; ours waits for about one call.
-		w.suspectUntil = now.Add(call.expected / refusedPart)
+		// Calls of another planner fill the server. Back off for a part of a call.
+		w.backoffUntil = now.Add(call.expected / refusedDivisor)
 		w.trustedFrom = now.Add(pool.KeepTime)
 		return
 	}
 	w.failures = 0
-	w.suspectUntil = time.Time{}
-	took := max(float64(now.Sub(call.turn)), 0) / float64(call.expected)
-	w.pace += paceShare * (took - w.pace)
-	for i, r := range results {
-		if r.Outcome == site.ItemMade {
-			w.hold(r.Handle, call.jobs[i].job.ResultBytes, now.Add(pool.KeepTime))
+	w.backoffUntil = time.Time{}
+	slowdown := max(float64(now.Sub(call.turn)), 0) / float64(call.expected)
+	w.slowdown += slowdownWeight * (slowdown - w.slowdown)
+	for i, result := range results {
+		if result.Outcome == site.ItemMade {
+			w.hold(result.Handle, call.refs[i].job.ResultBytes, now.Add(pool.KeepTime))
 		}
 	}
-	w.noteRoom(now, call, results, pool)
+	w.noteForeignBytes(now, call, results, pool)
 }
 
-// noteRoom learns from results that found no memory though the plan had some for them.
+// noteForeignBytes raises the estimate of foreign memory if items found no memory although
+// the planner had counted on it.
 //
-// Guards against items that are sent again and again to a full server after
-// another planner's batches: this planner does not know what those hold there.
-func (w *worker) noteRoom(now time.Time, call *Call, results []site.ItemResult, pool site.Pool) {
-	missed := int64(0)
-	for i, r := range results {
-		if r.Outcome == site.ItemNoRoom {
-			missed += call.jobs[i].job.ResultBytes
+// Otherwise, after another planner has batched for the service, items would be sent again and
+// again to a full server, because this planner does not know the results held there.
+func (w *worker) noteForeignBytes(now time.Time, call *Call, results []site.ItemResult, pool site.Pool) {
+	missing := int64(0)
+	for i, result := range results {
+		if result.Outcome == site.ItemNoRoom {
+			missing += call.refs[i].job.ResultBytes
 		}
 	}
-	if missed == 0 {
+	if missing == 0 {
 		return
 	}
-	w.foreign = min(w.foreignAt(now, pool.KeepTime)+missedWeight*missed, pool.RoomBytes)
-	w.foreignOf = now
+	w.foreignBytes = min(w.foreignBytesAt(now, pool.KeepTime)+missingWeight*missing, pool.RoomBytes)
+	w.foreignNoted = now
 	w.trustedFrom = now.Add(pool.KeepTime)
 }
 
-// missedWeight is how much memory is taken to be foreign for each byte that was
-// missed: some caution, and not the whole server, since one result that
-// is larger than stated misses it too.
-const missedWeight = 2
+// missingWeight is how many bytes are assumed to be foreign for each byte that was missing. It
+// is more than 1 out of caution, but the server is not assumed to be full, since a single
+// result that is larger than stated also finds no memory.
+const missingWeight = 2
 
-// foreignAt returns what is left of the foreign memory. Its results end within
-// the time that a server keeps them, most of them much sooner.
-func (w *worker) foreignAt(now time.Time, keep time.Duration) int64 {
-	if w.foreign == 0 || keep <= 0 {
+// foreignBytesAt returns what is left of the foreign memory. Its results end within the time
+// that a server keeps them, most of them much sooner.
+func (w *worker) foreignBytesAt(now time.Time, keep time.Duration) int64 {
+	if w.foreignBytes == 0 || keep <= 0 {
 		return 0
 	}
-	left := 1 - float64(now.Sub(w.foreignOf))/float64(keep/foreignPace)
-	return int64(max(left, 0) * float64(w.foreign))
+	left := 1 - float64(now.Sub(w.foreignNoted))/float64(keep/foreignKeepDivisor)
+	return int64(max(left, 0) * float64(w.foreignBytes))
 }
 
-// foreignPace divides the time that results are kept into how soon those of others are taken to be gone.
-const foreignPace = 3
+// foreignKeepDivisor divides the keep time of results into the time after which foreign
+// results are assumed to be gone.
+const foreignKeepDivisor = 3
 
-// refusedPart divides a call's time into the pause after a refusal.
-const refusedPart = 2
+// refusedDivisor divides the expected duration of a refused call into the backoff after it.
+const refusedDivisor = 2
 
 func (w *worker) hold(handle string, bytes int64, until time.Time) {
-	w.used += bytes
-	w.held[handle] = holding{bytes: bytes, until: until}
+	w.usedBytes += bytes
+	w.held[handle] = heldResult{bytes: bytes, until: until}
 }
 
 func (w *worker) release(handle string) {
-	h, known := w.held[handle]
+	r, known := w.held[handle]
 	if !known {
 		return
 	}
-	w.used -= h.bytes
+	w.usedBytes -= r.bytes
 	delete(w.held, handle)
 }
 
 func (w *worker) expire(now time.Time) {
-	for handle, h := range w.held {
-		if now.After(h.until) {
+	for handle, r := range w.held {
+		if now.After(r.until) {
 			w.release(handle)
 		}
 	}
 }
 
-func (w *worker) fail(now time.Time) {
-	pause := firstPause << min(w.failures, 4)
+func (w *worker) backOff(now time.Time) {
+	backoff := initialBackoff << min(w.failures, 4)
 	w.failures++
-	w.suspectUntil = now.Add(min(pause, maxPause))
+	w.backoffUntil = now.Add(min(backoff, maxBackoff))
 }
