--- a/ingress/services/pieces/maker.go
+++ b/ingress/services/pieces/maker.go
@@ -193,7 +193,7 @@
 		// there, and must not be answered as one that left.
 		if err == nil && done.Outcome == batch.OutcomeCanceled && ctx.Err() == nil {
 			if done.InputsReleased {
-				return batch.Completion{Outcome: batch.OutcomeGone, InputsReleased: true}
+				return batch.Completion{Outcome: batch.OutcomeInputGone, InputsReleased: true}
 			}
 			err = errGivenUp
 		}
--- a/ingress/services/pieces/walk.go
+++ b/ingress/services/pieces/walk.go
@@ -97,7 +97,7 @@
 		if e.done.Outcome != batch.OutcomeMade {
 			if failed == nil {
 				failed = w.describe(e)
-				w.isGone = e.done.Outcome == batch.OutcomeGone
+				w.isGone = e.done.Outcome == batch.OutcomeInputGone
 			}
 			continue
 		}
--- a/share/decide/batch/batch.go
+++ b/share/decide/batch/batch.go
@@ -55,8 +55,8 @@
 	OutcomeBusy Outcome = "busy"
 	// OutcomeExpired means that the time of the job ran out.
 	OutcomeExpired Outcome = "expired"
-	// OutcomeGone means that an input no longer exists; the caller may produce it again.
-	OutcomeGone Outcome = "gone"
+	// OutcomeInputGone means that an input no longer exists; the caller may produce it again.
+	OutcomeInputGone Outcome = "gone"
 	// OutcomeFailed means that the job failed too often or that the retry budget is used up.
 	OutcomeFailed Outcome = "failed"
 	// OutcomeNoServer means that no backend server may run the job.
--- a/share/decide/batch/batch_test.go
+++ b/share/decide/batch/batch_test.go
@@ -158,7 +158,7 @@
 	results := resultsFor(call)
 	results[1] = site.ItemResult{Outcome: site.ItemGone}
 	a := p.FinishCall(now, call.ID, batch.CallResult{Results: results})
-	is.Equal(a.Completions[0].Outcome, batch.OutcomeGone)
+	is.Equal(a.Completions[0].Outcome, batch.OutcomeInputGone)
 	is.Equal(len(a.Release), 1)
 }
 
--- a/share/decide/batch/finish.go
+++ b/share/decide/batch/finish.go
@@ -56,7 +56,7 @@
 	return a
 }
 
-// maxSuspects bounds Planner.suspects; an arbitrary entry is removed to make room.
+// maxSuspects limits the size of Planner.suspects; an arbitrary entry is removed to make room.
 const maxSuspects = 256
 
 // noteFailedCall records a call that failed after it was sent. It counts against each job in the
@@ -126,7 +126,7 @@
 			p.endJob(a, now, j, Completion{JobID: j.ID, Outcome: OutcomeMade})
 		}
 	case site.ItemGone:
-		p.endJob(a, now, j, Completion{JobID: j.ID, Outcome: OutcomeGone})
+		p.endJob(a, now, j, Completion{JobID: j.ID, Outcome: OutcomeInputGone})
 	case site.ItemLate:
 		p.endJob(a, now, j, Completion{JobID: j.ID, Outcome: OutcomeExpired})
 	default:
@@ -142,7 +142,7 @@
 	j := ref.job
 	j.retries++
 	if j.inputsReleased {
-		p.endJob(a, now, j, Completion{JobID: j.ID, Outcome: OutcomeGone})
+		p.endJob(a, now, j, Completion{JobID: j.ID, Outcome: OutcomeInputGone})
 		return
 	}
 	if !mayRetry || j.retries > maxRetries*j.Count {
--- a/share/decide/batch/inputs_test.go
+++ b/share/decide/batch/inputs_test.go
@@ -82,7 +82,7 @@
 	now = now.Add(150 * time.Millisecond)
 	is.Equal(len(p.Tick(now).ReleaseInputs), 1)
 	done := p.FinishCall(now, second.ID, batch.CallResult{Failed: true}).Completions[0]
-	is.Equal(done.Outcome, batch.OutcomeGone)
+	is.Equal(done.Outcome, batch.OutcomeInputGone)
 	is.True(done.InputsReleased)
 }
 
--- a/share/decide/batch/plan.go
+++ b/share/decide/batch/plan.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxRetries bounds the retries of a job, per item on average: one for a restarted
+	// maxRetries limits the retries of a job, per item on average: one for a restarted
 	// server, one for a refusal, and one to spare.
 	maxRetries = 3
 	// noServerRetryAfter is the time after which a caller may retry if no backend server is
--- a/share/decide/delay/delay.go
+++ b/share/decide/delay/delay.go
@@ -83,6 +83,6 @@
 	return time.Duration(results / rate * float64(time.Second))
 }
 
-// maxDemandShare bounds the share of a service's rate that ProcessingTime assigns to later
+// maxDemandShare limits the share of a service's rate that ProcessingTime assigns to later
 // arrivals: bursts end, and the demand is only known for about one second.
 const maxDemandShare = 0.8
