--- a/ingress/services/pieces/maker.go
+++ b/ingress/services/pieces/maker.go
@@ -11,9 +11,9 @@
 
 	"verbenaroad.example/ingress/modules/encode"
 	"verbenaroad.example/ingress/services/state"
-	"verbenaroad.example/share/decide/ahead"
 	"verbenaroad.example/share/decide/batch"
 	"verbenaroad.example/share/decide/chain"
+	"verbenaroad.example/share/decide/delay"
 	"verbenaroad.example/share/decide/shard"
 	"verbenaroad.example/share/models/site"
 	"verbenaroad.example/share/modules/logs"
@@ -48,9 +48,9 @@
 	domains map[netip.AddrPort]string
 	// pools and waits are by queue.
 	pools map[string]*site.Pool
-	waits map[string]chain.Wait
+	waits map[string]chain.Report
 	// pending counts the results that chains of this ingress still need, by queue.
-	pending map[string]ahead.Counts
+	pending map[string]delay.Counts
 	// ingresses counts them by region, all of them under the empty one.
 	ingresses map[string]int
 	// lateTurn is when the last held request began.
@@ -59,7 +59,7 @@
 
 // NewMaker returns a maker; owner holds the queues that fall to this ingress.
 func NewMaker(peers Peers, owner *Owner, log *zap.Logger) *Maker {
-	return &Maker{peers: peers, owner: owner, log: log, regions: owner.options.Regions, region: owner.options.Region, waits: map[string]chain.Wait{}, pending: map[string]ahead.Counts{}}
+	return &Maker{peers: peers, owner: owner, log: log, regions: owner.options.Regions, region: owner.options.Region, waits: map[string]chain.Report{}, pending: map[string]delay.Counts{}}
 }
 
 // TakeView takes the services of a new view.
@@ -98,11 +98,11 @@
 func (m *Maker) newPlan(c *Chain) chain.Plan {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	pending := map[string]ahead.Counts{}
+	pending := map[string]delay.Counts{}
 	for _, s := range c.Stages {
 		pending[s.Service] = m.countPending(s.Service)
 	}
-	known := chain.Known{Pools: m.pools, Waits: m.waits, Ahead: pending}
+	known := chain.Snapshot{Pools: m.pools, Reports: m.waits, Pending: pending}
 	return chain.NewPlan(time.Now(), c.Rank, c.Stages, c.Items, known)
 }
 
@@ -145,10 +145,10 @@
 	m.noteOutlook(told.GetService(), decodeOutlook(told))
 }
 
-func (m *Maker) noteOutlook(service string, o ahead.Outlook) {
+func (m *Maker) noteOutlook(service string, o delay.Backlog) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.waits[service] = chain.Wait{Outlook: o, At: time.Now()}
+	m.waits[service] = chain.Report{Backlog: o, At: time.Now()}
 }
 
 // addPending notes results that chains of this ingress still need and that no queue holds yet.
@@ -157,7 +157,7 @@
 	defer m.lock.Unlock()
 	counts := m.pending[service]
 	if counts == nil {
-		counts = ahead.Counts{}
+		counts = delay.Counts{}
 		m.pending[service] = counts
 	}
 	counts[rank] += float64(n)
@@ -174,15 +174,15 @@
 
 // produce has a job done. Where the ingress that batches is lost the next one
 // takes the job; results of the lost one end by themselves.
-func (m *Maker) produce(ctx context.Context, service string, j batch.Job) batch.Done {
+func (m *Maker) produce(ctx context.Context, service string, j batch.Job) batch.Completion {
 	done := m.produceAnywhere(ctx, service, j)
-	if done.Outlook.IsTold() {
-		m.noteOutlook(service, done.Outlook)
+	if done.Backlog.IsKnown() {
+		m.noteOutlook(service, done.Backlog)
 	}
 	return done
 }
 
-func (m *Maker) produceAnywhere(ctx context.Context, service string, j batch.Job) batch.Done {
+func (m *Maker) produceAnywhere(ctx context.Context, service string, j batch.Job) batch.Completion {
 	for range maxOwners {
 		ranked := m.rank(service)
 		if len(ranked) == 0 || ranked[0] == m.peers.Self() {
@@ -193,7 +193,7 @@
 		// there, and must not be answered as one that left.
 		if err == nil && done.Outcome == batch.OutcomeCanceled && ctx.Err() == nil {
 			if done.InputsReleased {
-				return batch.Done{Outcome: batch.OutcomeGone, InputsReleased: true}
+				return batch.Completion{Outcome: batch.OutcomeInputGone, InputsReleased: true}
 			}
 			err = errGivenUp
 		}
@@ -201,7 +201,7 @@
 			return done
 		}
 		if ctx.Err() != nil {
-			return batch.Done{Outcome: batch.OutcomeCanceled}
+			return batch.Completion{Outcome: batch.OutcomeCanceled}
 		}
 		m.log.Warn("batcher-lost", zap.String("service", service), zap.String("ingress", ranked[0]),
 			zap.String("request", j.AttemptID), logs.Err(err))
@@ -209,7 +209,7 @@
 	return m.owner.Produce(ctx, service, j)
 }
 
-func (m *Maker) produceAt(ctx context.Context, name, service string, j batch.Job) (batch.Done, error) {
+func (m *Maker) produceAt(ctx context.Context, name, service string, j batch.Job) (batch.Completion, error) {
 	now := time.Now()
 	got, err := m.peers.Produce(ctx, name, &wire.Produce{
 		Service:        service,
@@ -226,16 +226,16 @@
 		InputService:   j.InputService,
 		InputBytes:     j.InputBytes,
 		Residency:      encode.Residency(j.Residency),
-		Request:        j.Request,
+		Request:        j.RequestDigest,
 	})
 	if err != nil {
-		return batch.Done{}, err
+		return batch.Completion{}, err
 	}
-	return batch.Done{
+	return batch.Completion{
 		Outcome:    batch.Outcome(got.GetOutcome()),
 		Handles:    got.GetHandles(),
 		RetryAfter: time.Duration(got.GetRetryAfterNanos()),
-		Outlook:    decodeOutlook(got.GetOutlook()),
+		Backlog:    decodeOutlook(got.GetOutlook()),
 
 		InputsReleased: got.GetInputsReleased(),
 	}, nil
@@ -261,18 +261,18 @@
 func (m *Maker) ServeProduce(ctx context.Context, p *wire.Produce) *wire.Produced {
 	now := time.Now()
 	done := m.owner.Produce(ctx, p.GetService(), batch.Job{
-		AttemptID:   p.GetAttemptId(),
-		Request:     p.GetRequest(),
-		Stage:       int(p.GetStage()),
-		Count:       int(p.GetCount()),
-		Key:         p.GetKey(),
-		Inputs:      p.GetInputs(),
-		ResultBytes: p.GetResultBytes(),
-		Target:      now.Add(time.Duration(p.GetTargetNanos())),
-		Expires:     now.Add(time.Duration(p.GetRemainingNanos())),
-		Rank:        site.Rank(p.GetRank()),
-		Domain:      p.GetDomain(),
-		Residency:   encode.ReadResidency(p.GetResidency()),
+		AttemptID:     p.GetAttemptId(),
+		RequestDigest: p.GetRequest(),
+		Stage:         int(p.GetStage()),
+		Count:         int(p.GetCount()),
+		Key:           p.GetKey(),
+		Inputs:        p.GetInputs(),
+		ResultBytes:   p.GetResultBytes(),
+		Target:        now.Add(time.Duration(p.GetTargetNanos())),
+		Expires:       now.Add(time.Duration(p.GetRemainingNanos())),
+		Rank:          site.Rank(p.GetRank()),
+		Domain:        p.GetDomain(),
+		Residency:     encode.ReadResidency(p.GetResidency()),
 
 		InputService: p.GetInputService(),
 		InputBytes:   p.GetInputBytes(),
@@ -280,7 +280,7 @@
 	return &wire.Produced{
 		Outcome: string(done.Outcome), Handles: done.Handles,
 		RetryAfterNanos: int64(done.RetryAfter), InputsReleased: done.InputsReleased,
-		Outlook: encodeOutlook(p.GetService(), done.Outlook),
+		Outlook: encodeOutlook(p.GetService(), done.Backlog),
 	}
 }
 
--- a/ingress/services/pieces/walk.go
+++ b/ingress/services/pieces/walk.go
@@ -44,7 +44,7 @@
 // ended is how one stage ended.
 type ended struct {
 	stage int
-	done  batch.Done
+	done  batch.Completion
 }
 
 func (m *Maker) newWalk(c Chain, plan chain.Plan) *walk {
@@ -97,7 +97,7 @@
 		if e.done.Outcome != batch.OutcomeMade {
 			if failed == nil {
 				failed = w.describe(e)
-				w.isGone = e.done.Outcome == batch.OutcomeGone
+				w.isGone = e.done.Outcome == batch.OutcomeInputGone
 			}
 			continue
 		}
@@ -133,7 +133,7 @@
 	deepest := 0
 	for stage, s := range states {
 		if s != stageEnded && w.count(stage) > 0 {
-			deepest = max(deepest, w.plan.Level[stage])
+			deepest = max(deepest, w.plan.StagesLeft[stage])
 		}
 	}
 	started := 0
@@ -141,7 +141,7 @@
 		if states[stage] != "" || !w.hasInputs(stage, states) {
 			continue
 		}
-		if w.count(stage) > 0 && !w.plan.Begin(stage, deepest) {
+		if w.count(stage) > 0 && !w.plan.ShouldStart(stage, deepest) {
 			continue
 		}
 		states[stage] = stageRunning
@@ -168,29 +168,29 @@
 func (w *walk) runStage(ctx context.Context, stage int, ends chan<- ended) {
 	n := w.count(stage)
 	if n == 0 {
-		ends <- ended{stage: stage, done: batch.Done{Outcome: batch.OutcomeMade}}
+		ends <- ended{stage: stage, done: batch.Completion{Outcome: batch.OutcomeMade}}
 		return
 	}
 	began := time.Now()
 	s := w.Stages[stage]
-	target, expires := w.plan.Limits(stage, w.Target, w.Ends)
+	target, expires := w.plan.Deadlines(stage, w.Target, w.Ends)
 	if until, bound := w.inputsUntil(stage); bound && until.Before(expires) {
 		expires = until
 	}
 	inputs := w.inputsOf(stage)
 	done := w.maker.produce(ctx, s.Service, batch.Job{
-		AttemptID:   w.AttemptID,
-		Request:     w.Request,
-		Stage:       stage,
-		Count:       n,
-		Key:         w.keyOf(stage),
-		Inputs:      inputs.handles,
-		ResultBytes: s.ResultBytes,
-		Target:      target,
-		Expires:     expires,
-		Rank:        w.Rank,
-		Domain:      w.domainOf(stage, inputs),
-		Residency:   w.Residency,
+		AttemptID:     w.AttemptID,
+		RequestDigest: w.Request,
+		Stage:         stage,
+		Count:         n,
+		Key:           w.keyOf(stage),
+		Inputs:        inputs.handles,
+		ResultBytes:   s.ResultBytes,
+		Target:        target,
+		Expires:       expires,
+		Rank:          w.Rank,
+		Domain:        w.domainOf(stage, inputs),
+		Residency:     w.Residency,
 
 		InputService: inputs.service,
 		InputBytes:   inputs.bytes,
