--- a/entry/routers/caller/world_test.go
+++ b/entry/routers/caller/world_test.go
@@ -179,7 +179,7 @@
 	return fleet.Attempt{Choice: route.Choice{Name: "agent-1", Incarnation: "i1"}, Session: w.session}, nil
 }
 
-func (w *world) EndAttempt(time.Time, string, route.Ended) {}
+func (w *world) EndAttempt(time.Time, string, route.CallResult) {}
 
 func (w *world) PredictWait(time.Time, fleet.ChooseOptions) (wait, run time.Duration, refusal *codes.Result) {
 	return 0, time.Millisecond, nil
--- a/entry/services/calls/attempt.go
+++ b/entry/services/calls/attempt.go
@@ -268,20 +268,20 @@
 }
 
 // ended tells the router how the attempt went.
-func (e *exchange) ended(result *codes.Result) route.Ended {
-	ended := route.Ended{
-		Name:     e.chosen.Choice.Name,
-		Code:     codes.OK,
-		Prefixes: e.run.call.Prefixes,
-		Expected: e.chosen.Choice.ExpectedTokens,
-		Cached:   e.tail.cachedTokens(),
+func (e *exchange) ended(result *codes.Result) route.CallResult {
+	ended := route.CallResult{
+		Name:           e.chosen.Choice.Name,
+		Code:           codes.OK,
+		Prefixes:       e.run.call.Prefixes,
+		ExpectedTokens: e.chosen.Choice.ExpectedTokens,
+		CachedTokens:   e.tail.cachedTokens(),
 	}
 	if result != nil {
 		ended.Code = result.Code
 		if codes.Code(e.end.GetCode()) == codes.NoBackend {
 			ended.Code = codes.NoBackend
 		}
-		ended.Silent = e.end == nil && e.bytes == 0 && result.Code == codes.DeadlineExceeded
+		ended.NoResponse = e.end == nil && e.bytes == 0 && result.Code == codes.DeadlineExceeded
 	}
 	if e.end != nil {
 		ended.Report = fleet.LoadOf(e.end.GetLoad())
--- a/entry/services/calls/calls.go
+++ b/entry/services/calls/calls.go
@@ -34,7 +34,7 @@
 // Fleet chooses agents; *fleet.Fleet is one.
 type Fleet interface {
 	ChooseAgent(now time.Time, options fleet.ChooseOptions) (fleet.Attempt, *codes.Result)
-	EndAttempt(now time.Time, service string, ended route.Ended)
+	EndAttempt(now time.Time, service string, ended route.CallResult)
 }
 
 // Configuration gives the snapshot to decide under; *follow.Follower is one.
@@ -228,5 +228,5 @@
 
 // Release gives back an agent that was chosen and not used.
 func (r *Runner) Release(service string, chosen *fleet.Attempt) {
-	r.fleet.EndAttempt(time.Now(), service, route.Ended{Name: chosen.Choice.Name, Code: codes.Canceled, Cached: -1})
+	r.fleet.EndAttempt(time.Now(), service, route.CallResult{Name: chosen.Choice.Name, Code: codes.Canceled, CachedTokens: -1})
 }
--- a/entry/services/calls/calls_test.go
+++ b/entry/services/calls/calls_test.go
@@ -87,14 +87,14 @@
 	session *link.Session
 
 	lock  sync.Mutex
-	ended []route.Ended
+	ended []route.CallResult
 }
 
 func (f *oneAgent) ChooseAgent(time.Time, fleet.ChooseOptions) (fleet.Attempt, *codes.Result) {
 	return fleet.Attempt{Choice: route.Choice{Name: "llm-1", Incarnation: incarnation}, Session: f.session}, nil
 }
 
-func (f *oneAgent) EndAttempt(_ time.Time, _ string, ended route.Ended) {
+func (f *oneAgent) EndAttempt(_ time.Time, _ string, ended route.CallResult) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.ended = append(f.ended, ended)
@@ -170,7 +170,7 @@
 			got, result := runner.Run(t.Context(), newCall())
 			is.Equal(result, nil)
 			is.Equal(string(got.Body), tc.data)
-			is.Equal(f.ended[0].Cached, tc.cached)
+			is.Equal(f.ended[0].CachedTokens, tc.cached)
 		})
 	}
 }
--- a/entry/services/explan/explan.go
+++ b/entry/services/explan/explan.go
@@ -25,7 +25,7 @@
 
 // Fleet explains the choice among a service's agents.
 type Fleet interface {
-	Explain(now time.Time, options fleet.ChooseOptions) ([]route.Term, error)
+	Explain(now time.Time, options fleet.ChooseOptions) ([]route.Explanation, error)
 }
 
 // Instances are those that the entry knows.
@@ -172,7 +172,7 @@
 	return verdicts, nil
 }
 
-func newServer(t *route.Term, rules []admapi.RuleVerdict) admapi.ServerExplanation {
+func newServer(t *route.Explanation, rules []admapi.RuleVerdict) admapi.ServerExplanation {
 	return admapi.ServerExplanation{
 		Instance:   t.Name,
 		Region:     t.Region,
@@ -180,7 +180,7 @@
 		Reason:     string(t.Reason),
 		Score:      round(t.Score),
 		Wait:       round(t.Wait),
-		Slow:       round(t.Slow),
+		Slow:       round(t.SlowStartPenalty),
 		Affinity:   round(t.Affinity),
 		Preference: round(t.Preference),
 		Rules:      rules,
--- a/entry/services/explan/explan_test.go
+++ b/entry/services/explan/explan_test.go
@@ -29,7 +29,7 @@
 func (w *world) FindInstances() []member.Instance { return w.instances }
 
 // Explain is the fleet's, over a router of the real policy.
-func (w *world) Explain(_ time.Time, o fleet.ChooseOptions) ([]route.Term, error) {
+func (w *world) Explain(_ time.Time, o fleet.ChooseOptions) ([]route.Explanation, error) {
 	rules, err := match.Compile(o.Snapshot.Set.Rules)
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 			Name: place[0], Role: member.RoleAgent, Service: "llm", Region: place[1], Domain: place[1] + "-1", Labels: config.Labels{"tier": place[2]},
 		})
 	}
-	w.router.OnList(w.now, w.instances)
+	w.router.OnMembers(w.now, w.instances)
 	for _, i := range w.instances {
 		w.router.OnSession(w.now, i.Name, route.SessionUp, "i")
 	}
--- a/entry/services/fleet/fleet.go
+++ b/entry/services/fleet/fleet.go
@@ -131,9 +131,9 @@
 	if err := s.adoptRules(options.Snapshot); err != nil {
 		return Attempt{}, codes.NewResult(codes.Internal, err.Error()).WithOutcome(codes.OutcomeNotRun)
 	}
-	before := s.router.Version()
+	before := s.router.SubsetVersion()
 	choice, err := s.router.Choose(now, s.request(options), s.random)
-	if s.router.Version() != before {
+	if s.router.SubsetVersion() != before {
 		f.wakeLoop()
 	}
 	if err != nil {
@@ -161,7 +161,7 @@
 	if err != nil {
 		return 0, 0, codes.NewResult(codes.NoBackend, err.Error())
 	}
-	return waitOf(options.Priority, choice), choice.Service, nil
+	return waitOf(options.Priority, choice), choice.ServiceTime, nil
 }
 
 // waitOf returns the queue delay that admission counts for a class. What the
@@ -173,7 +173,7 @@
 	case config.PriorityUrgent:
 		return 0
 	case config.PriorityNormal:
-		return min(choice.Wait, choice.Reported)
+		return min(choice.Wait, choice.ReportedWait)
 	default:
 		return choice.Wait
 	}
@@ -190,19 +190,19 @@
 }
 
 // EndAttempt tells the router how an attempt ended; each chosen attempt is ended once.
-func (f *Fleet) EndAttempt(now time.Time, service string, ended route.Ended) {
+func (f *Fleet) EndAttempt(now time.Time, service string, ended route.CallResult) {
 	s := f.getService(service)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	before := s.router.Version()
+	before := s.router.SubsetVersion()
 	s.router.OnEnded(now, ended)
-	if s.router.Version() != before {
+	if s.router.SubsetVersion() != before {
 		f.wakeLoop()
 	}
 }
 
 // Explain returns why each agent of a service would or would not be chosen.
-func (f *Fleet) Explain(now time.Time, options ChooseOptions) ([]route.Term, error) {
+func (f *Fleet) Explain(now time.Time, options ChooseOptions) ([]route.Explanation, error) {
 	s := f.getService(options.Service)
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/entry/services/fleet/peers.go
+++ b/entry/services/fleet/peers.go
@@ -71,7 +71,7 @@
 	now := time.Now()
 	for _, s := range f.listServices(agents) {
 		s.lock.Lock()
-		s.router.OnList(now, agents)
+		s.router.OnMembers(now, agents)
 		s.lock.Unlock()
 	}
 }
@@ -114,7 +114,7 @@
 	wanted := map[string]bool{}
 	for _, s := range f.listServices(nil) {
 		s.lock.Lock()
-		for _, name := range s.router.Wanted() {
+		for _, name := range s.router.WantedAgents() {
 			wanted[name] = true
 		}
 		s.lock.Unlock()
@@ -246,11 +246,11 @@
 		return nil
 	}
 	return &route.Load{
-		Running: int(l.GetRunning()),
-		Queued:  int(l.GetQueued()),
-		Slots:   int(l.GetSlots()),
-		Wait:    time.Duration(l.GetWaitNanos()),
-		Service: time.Duration(l.GetServiceNanos()),
+		Running:     int(l.GetRunning()),
+		Queued:      int(l.GetQueued()),
+		Slots:       int(l.GetSlots()),
+		Wait:        time.Duration(l.GetWaitNanos()),
+		ServiceTime: time.Duration(l.GetServiceNanos()),
 	}
 }
 
--- a/share/decide/route/affin.go
+++ b/share/decide/route/affin.go
@@ -2,44 +2,49 @@
 
 import "time"
 
-// hitSmoothing is the weight of one report in an agent's hit rate.
+// hitSmoothing is the weight of one call's result in an agent's smoothed hit rate.
 const hitSmoothing = 0.2
 
-// Prefix is a leading part of a prompt.
+// Prefix is a leading part of a prompt, identified by its digest.
 type Prefix struct {
 	Digest uint64
 	Tokens int
 }
 
-// affinity remembers which agent last computed a prefix.
-type affinity struct {
-	entries map[uint64]affine
-	// ring holds the digests in the order of arrival, so that the oldest makes room.
+// affinityTable maps each remembered prefix to the agent that computed it last.
+type affinityTable struct {
+	entries map[uint64]affinityEntry
+	// ring holds the digests in insertion order, so that the oldest is evicted first. next is the
+	// position of the oldest digest in a full ring.
 	ring []uint64
 	next int
 }
 
-type affine struct {
-	name   string
-	tokens int
-	at     time.Time
+// affinityEntry is the agent that computed a prefix last. The zero value stands for an agent that lost
+// its cache.
+type affinityEntry struct {
+	agentName  string
+	tokens     int
+	recordedAt time.Time
 }
 
-func newAffinity(limit int) *affinity {
-	return &affinity{entries: make(map[uint64]affine), ring: make([]uint64, 0, max(limit, 0))}
+func newAffinityTable(limit int) *affinityTable {
+	return &affinityTable{entries: make(map[uint64]affinityEntry), ring: make([]uint64, 0, max(limit, 0))}
 }
 
-// learn notes that the agent has the prefixes from now on.
-func (t *affinity) learn(now time.Time, name string, prefixes []Prefix) {
+// record stores that the agent has the prefixes cached as of now.
+func (t *affinityTable) record(now time.Time, name string, prefixes []Prefix) {
 	for _, p := range prefixes {
-		if _, ok := t.entries[p.Digest]; !ok && !t.makeRoom(p.Digest) {
+		if _, ok := t.entries[p.Digest]; !ok && !t.addDigest(p.Digest) {
 			return
 		}
-		t.entries[p.Digest] = affine{name: name, tokens: p.Tokens, at: now}
+		t.entries[p.Digest] = affinityEntry{agentName: name, tokens: p.Tokens, recordedAt: now}
 	}
 }
 
-func (t *affinity) makeRoom(digest uint64) bool {
+// addDigest adds a digest to the ring and evicts the oldest one if the ring is full. It returns false
+// if affinity is turned off.
+func (t *affinityTable) addDigest(digest uint64) bool {
 	if cap(t.ring) == 0 {
 		return false
 	}
@@ -53,39 +58,40 @@
 	return true
 }
 
-// find returns the agent that holds the first known prefix; the longest comes first.
-func (t *affinity) find(prefixes []Prefix) (affine, bool) {
+// find returns the entry of the first prefix in the list that is known.
+func (t *affinityTable) find(prefixes []Prefix) (affinityEntry, bool) {
 	for _, p := range prefixes {
 		if e, ok := t.entries[p.Digest]; ok {
 			return e, true
 		}
 	}
-	return affine{}, false
+	return affinityEntry{}, false
 }
 
-// forget drops what was learnt of an agent whose cache is gone.
-func (t *affinity) forget(name string) {
+// forget clears the entries of an agent whose cache is lost. They are not deleted, so that a digest
+// recorded again does not appear twice in the ring.
+func (t *affinityTable) forget(name string) {
 	for digest, e := range t.entries {
-		if e.name == name {
-			t.entries[digest] = affine{}
+		if e.agentName == name {
+			t.entries[digest] = affinityEntry{}
 		}
 	}
 }
 
-// bonus is the time that the cached prefix saves, faded by the age of the
-// knowledge and by the agent's hit rate. Load needs no factor of its own: the
-// bonus is set against the wait that the agent has above the others', and
-// where all of them wait, a hit saves work that everyone waits for.
-func (s *Settings) bonus(now time.Time, e affine, a *agent) time.Duration {
-	if e.name == "" || e.name != a.instance.Name {
+// affinityBonus returns the time that the cached prefix saves, discounted by the age of the entry and
+// the agent's hit rate. Load needs no separate factor: the score already weighs the bonus against the
+// agent's longer wait, and when all agents are busy a hit saves work that all queued calls wait for.
+func (s *Settings) affinityBonus(now time.Time, e affinityEntry, a *agent) time.Duration {
+	if e.agentName == "" || e.agentName != a.instance.Name {
 		return 0
 	}
-	saved := float64(e.tokens) * float64(s.TokenTime)
-	return time.Duration(saved * halved(now.Sub(e.at), s.AffinityHalfLife) * a.hitRate)
+	saved := float64(e.tokens) * float64(s.PrefillTimePerToken)
+	return time.Duration(saved * decay(now.Sub(e.recordedAt), s.AffinityHalfLife) * a.hitRate)
 }
 
-// setHits compares the cached tokens reported with those expected.
-func (a *agent) setHits(expected, cached int) {
+// recordHitRate updates the smoothed hit rate with the share of the expected cached tokens that the
+// engine reported as cached.
+func (a *agent) recordHitRate(expected, cached int) {
 	if expected <= 0 {
 		return
 	}
--- a/share/decide/route/agent.go
+++ b/share/decide/route/agent.go
@@ -8,8 +8,8 @@
 	"verbenaroad.example/share/models/member"
 )
 
-// minSlowShare is the share of its slots with which an agent starts.
-const minSlowShare = 0.1
+// minSlowStartShare is the share of its slots that an agent has at the beginning of its slow start.
+const minSlowStartShare = 0.1
 
 // Session is the state of the session to an agent.
 type Session string
@@ -18,47 +18,51 @@
 const (
 	SessionDown Session = "down"
 	SessionUp   Session = "up"
-	// SessionSilent is open, but nothing came over it for longer than heartbeats allow.
+	// SessionSilent means that the session is open, but nothing was received for longer than the
+	// heartbeat timeout.
 	SessionSilent Session = "silent"
 )
 
-// Load is an agent's report on its queue and backend server.
+// Load is an agent's report of the load on its queue and its backend server.
 type Load struct {
 	Running int
 	Queued  int
-	// Slots is the number of calls that the backend server takes at once.
+	// Slots is the number of calls that the backend server runs concurrently.
 	Slots int
 	// Wait is the agent's own estimate of a new call's queue delay.
 	Wait time.Duration
-	// Service is the smoothed service time; 0: not known.
-	Service time.Duration
+	// ServiceTime is the smoothed service time of a call; 0 means unknown.
+	ServiceTime time.Duration
 }
 
-// agent is what the entry knows of one agent.
+// agent is the entry's view of one agent.
 type agent struct {
-	instance member.Instance
-	server   match.Server
-	rank     int
-	// listed is false once the list no longer names it.
+	instance   member.Instance
+	server     match.Server
+	regionRank int
+	// listed is set while the list of members contains the agent.
 	listed bool
-	// leaving is set by the agent's own word and cleared only by a new incarnation.
+	// leaving is set by OnLeaving and cleared only by a new incarnation.
 	leaving     bool
 	incarnation string
 	session     Session
-	// outstanding counts calls sent and not ended; never negative.
+	// outstanding is the number of this entry's calls that were sent and have not ended; it is never
+	// negative.
 	outstanding int
 	report      Load
 	reportAt    time.Time
-	// others is the part of the report that was not this entry's work.
-	others    int
-	slowSince time.Time
-	health    health
-	// hitRate smooths how much of the cached tokens expected here was reported as cached.
+	// otherLoad is the number of running and queued calls in the last report that were not this
+	// entry's.
+	otherLoad int
+	// slowStartAt is when the agent's slow start begins, or zero if it has none.
+	slowStartAt time.Time
+	health      health
+	// hitRate is the smoothed share of the expected cached tokens that the engine reported as cached.
 	hitRate float64
 }
 
-// state says why an agent may or may not be chosen; empty: it may.
-func (a *agent) state(now time.Time) Reason {
+// unavailableReason returns why the agent cannot take any request, or ReasonNone if it can.
+func (a *agent) unavailableReason(now time.Time) Reason {
 	switch {
 	case a.leaving || a.instance.Leaving:
 		return ReasonLeaving
@@ -71,62 +75,67 @@
 	}
 }
 
-// mayReturn is true for an agent that says that it leaves while the list does not.
+// mayRejoin reports whether the agent announced that it is leaving while the list of members does not
+// mark it so.
 //
-// Guards against agents that are restarted under their names and never used
-// again: only the hello of a session shows the new incarnation, so the session
-// is kept and dialled again until it does. No work goes to it meanwhile.
-func (a *agent) mayReturn() bool {
+// Such an agent may restart under the same name, and only the hello message of a new session shows
+// its new incarnation. Without a session it would never be used again. So its session is kept, and
+// dialed again, until the new incarnation shows; no work is sent to the agent meanwhile.
+func (a *agent) mayRejoin() bool {
 	return a.leaving && a.listed && !a.instance.Leaving
 }
 
+// setReport stores a load report and derives from it the load caused by other entries.
 func (a *agent) setReport(now time.Time, l Load) {
 	a.report = l
 	a.reportAt = now
-	a.others = max(0, l.Running+l.Queued-a.outstanding)
+	a.otherLoad = max(0, l.Running+l.Queued-a.outstanding)
 }
 
-// trust falls from 1 to 0 with the age of the report.
-func (a *agent) trust(now time.Time, halfLife time.Duration) float64 {
+// reportWeight returns the weight of the last report: 1 when it is new, falling to 0 with its age, and
+// 0 when there is none.
+func (a *agent) reportWeight(now time.Time, halfLife time.Duration) float64 {
 	if a.reportAt.IsZero() {
 		return 0
 	}
-	return halved(now.Sub(a.reportAt), halfLife)
+	return decay(now.Sub(a.reportAt), halfLife)
 }
 
-// service is the predicted service time.
-func (a *agent) service(s *Settings) time.Duration {
-	if a.report.Service > 0 {
-		return a.report.Service
+// serviceTime returns the predicted service time of a call.
+func (a *agent) serviceTime(s *Settings) time.Duration {
+	if a.report.ServiceTime > 0 {
+		return a.report.ServiceTime
 	}
-	return s.ServiceGuess
+	return s.DefaultServiceTime
 }
 
-// wait predicts the queue delay of a new call when only share of the slots may be used:
-// the own outstanding calls are known, the others' fade with the age of the report.
+// wait predicts the queue delay of a new call if only the given share of the slots may be used. This
+// entry's outstanding calls count in full, since they are known; the load of other entries is
+// discounted by the age of the report.
 func (a *agent) wait(now time.Time, s *Settings, share float64) time.Duration {
-	trust := a.trust(now, s.ReportHalfLife)
-	ahead := float64(a.outstanding) + trust*float64(a.others)
+	weight := a.reportWeight(now, s.ReportHalfLife)
+	backlog := float64(a.outstanding) + weight*float64(a.otherLoad)
 	slots := float64(max(a.report.Slots, 1)) * share
-	service := float64(a.service(s))
-	counted := service * max(0, ahead+1-slots) / slots
+	service := float64(a.serviceTime(s))
+	delay := service * max(0, backlog+1-slots) / slots
 	if a.report.Queued > 0 {
-		counted = max(counted, trust*float64(a.report.Wait))
+		delay = max(delay, weight*float64(a.report.Wait))
 	}
-	return time.Duration(counted)
+	return time.Duration(delay)
 }
 
-// slowShare grows to 1 over the time of slow start.
-func (a *agent) slowShare(now time.Time, s *Settings) float64 {
-	if a.slowSince.IsZero() || s.SlowStart <= 0 {
+// slowStartShare returns the share of its slots that the agent may use. It grows to 1 during
+// SlowStart.
+func (a *agent) slowStartShare(now time.Time, s *Settings) float64 {
+	if a.slowStartAt.IsZero() || s.SlowStart <= 0 {
 		return 1
 	}
-	share := float64(now.Sub(a.slowSince)) / float64(s.SlowStart)
-	return min(1, max(minSlowShare, share))
+	share := float64(now.Sub(a.slowStartAt)) / float64(s.SlowStart)
+	return min(1, max(minSlowStartShare, share))
 }
 
-// halved returns 2 to the power of -age/halfLife.
-func halved(age, halfLife time.Duration) float64 {
+// decay returns 2 to the power of -age/halfLife.
+func decay(age, halfLife time.Duration) float64 {
 	if age <= 0 || halfLife <= 0 {
 		return 1
 	}
--- a/share/decide/route/choose.go
+++ b/share/decide/route/choose.go
@@ -9,100 +9,104 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Filter says which backend servers may run the work; *match.Selection is one.
+// Filter decides which backend servers may run the request and how much each is preferred.
+// *match.Selection implements it.
 type Filter interface {
 	Allow(server match.Server) (preference int, allowed bool)
 }
 
-// Random is the source of randomness; *rand.Rand of math/rand/v2 is one.
+// Random is the source of randomness. *rand.Rand of math/rand/v2 implements it.
 type Random interface {
 	IntN(n int) int
 }
 
-// Request is what a choice depends on.
+// Request describes the call for which an agent is chosen.
 type Request struct {
-	// Filter holds the rules; nil allows every server.
+	// Filter applies the rules; nil allows every server.
 	Filter Filter
-	// Budget is the time left for this stage, from now to its answer; 0: none set.
+	// Budget is the time left for this stage, from now until its answer; 0 means no limit.
 	Budget time.Duration
-	// Prefixes of the prompt, longest first.
+	// Prefixes are the leading parts of the prompt that may be cached, longest first.
 	Prefixes []Prefix
-	// Exclude names agents that refused or failed this stage already.
+	// Exclude lists the names of agents that already refused or failed this stage.
 	Exclude []string
 }
 
-// Choice is the agent to send to.
+// Choice is the agent that was chosen for a request, with the predictions for it.
 type Choice struct {
 	Name        string
 	Incarnation string
 	Region      string
-	// CrossRegion is set when the call leaves the entry's region.
+	// CrossRegion is set when the agent is outside the entry's region.
 	CrossRegion bool
-	// Wait and Service are the predicted queue delay and service time.
-	Wait    time.Duration
-	Service time.Duration
-	// Reported is the agent's own estimate of a normal call's queue delay, discounted by its age.
-	Reported time.Duration
-	// Fits is false when the prediction breaks the budget; admission may refuse then.
-	Fits bool
-	// ExpectedTokens of the prompt are believed to be cached there.
+	// Wait and ServiceTime are the predicted queue delay and service time.
+	Wait        time.Duration
+	ServiceTime time.Duration
+	// ReportedWait is the agent's own estimate of the queue delay of a call with normal priority,
+	// discounted by the age of the report.
+	ReportedWait time.Duration
+	// WithinBudget is false when the predicted time exceeds Request.Budget, so that the caller can
+	// refuse the request.
+	WithinBudget bool
+	// ExpectedTokens is the number of prompt tokens that the agent is expected to have cached.
 	ExpectedTokens int
 }
 
-// scored is an agent that may be chosen, with the terms of its score.
-type scored struct {
-	agent      *agent
-	preference int
-	wait       time.Duration
-	service    time.Duration
-	bonus      time.Duration
-	slow       time.Duration
-	trip       time.Duration
-	score      time.Duration
+// candidate is an agent with the terms of its score. A lower score is better.
+type candidate struct {
+	agent            *agent
+	preference       int
+	wait             time.Duration
+	serviceTime      time.Duration
+	affinityBonus    time.Duration
+	slowStartPenalty time.Duration
+	roundTrip        time.Duration
+	score            time.Duration
 }
 
-// Choose returns the agent to send to, or a *codes.Result with codes.NoBackend.
+// Choose returns the agent to send the request to, or a *codes.Result with codes.NoBackend.
 func (r *Router) Choose(now time.Time, q Request, random Random) (Choice, error) {
 	hint, _ := r.affinity.find(q.Prefixes)
 	r.collect(now, q, hint)
-	if len(r.scratch) == 0 {
+	if len(r.candidates) == 0 {
 		r.widen(now)
 		return Choice{}, r.noBackend(now, q)
 	}
-	var c *scored
+	var c *candidate
 	switch r.settings.Policy {
 	case PolicyRandom:
-		c = &r.scratch[random.IntN(len(r.scratch))]
+		c = &r.candidates[random.IntN(len(r.candidates))]
 	case PolicyRoundRobin:
-		r.turn++
-		c = &r.scratch[r.turn%len(r.scratch)]
+		r.roundRobin++
+		c = &r.candidates[r.roundRobin%len(r.candidates)]
 	case PolicyLeastOutstanding:
 		c = r.leastOutstanding(random)
 	case PolicyTwoChoices:
-		c = two(r.scratch, random)
+		c = twoChoices(r.candidates, random)
 	default:
-		c = r.near(q, hint, random)
+		c = r.chooseByDeadline(q, hint, random)
 	}
-	choice := r.choice(c, q, hint)
-	choice.Reported = time.Duration(c.agent.trust(now, r.settings.ReportHalfLife) * float64(c.agent.report.Wait))
-	r.resize(now, r.bestNear())
+	choice := r.newChoice(c, q, hint)
+	choice.ReportedWait = time.Duration(c.agent.reportWeight(now, r.settings.ReportHalfLife) * float64(c.agent.report.Wait))
+	r.resize(now, r.nearestRegionWait())
 	return choice, nil
 }
 
-// collect fills scratch with the agents of the subset that may be chosen, in its order.
-func (r *Router) collect(now time.Time, q Request, hint affine) {
-	r.scratch = r.scratch[:0]
+// collect fills r.candidates with the agents that may be chosen, in the order of the subset.
+func (r *Router) collect(now time.Time, q Request, hint affinityEntry) {
+	r.candidates = r.candidates[:0]
 	for _, a := range r.subset.agents {
-		reason, preference := r.bar(now, a, q)
+		reason, preference := r.eligibility(now, a, q)
 		if reason == ReasonNone {
-			r.scratch = append(r.scratch, r.score(now, a, preference, hint))
+			r.candidates = append(r.candidates, r.score(now, a, preference, hint))
 		}
 	}
 }
 
-// bar says why the agent may not be chosen for this request.
-func (r *Router) bar(now time.Time, a *agent, q Request) (Reason, int) {
-	if reason := a.state(now); reason != ReasonNone {
+// eligibility returns why the agent may not be chosen for this request, or ReasonNone and the rules'
+// preference for it.
+func (r *Router) eligibility(now time.Time, a *agent, q Request) (Reason, int) {
+	if reason := a.unavailableReason(now); reason != ReasonNone {
 		return reason, 0
 	}
 	if slices.Contains(q.Exclude, a.instance.Name) {
@@ -118,88 +122,91 @@
 	return ReasonNone, preference
 }
 
-func (r *Router) score(now time.Time, a *agent, preference int, hint affine) scored {
+func (r *Router) score(now time.Time, a *agent, preference int, hint affinityEntry) candidate {
 	s := &r.settings
-	c := scored{agent: a, preference: preference, service: a.service(s)}
+	c := candidate{agent: a, preference: preference, serviceTime: a.serviceTime(s)}
 	c.wait = a.wait(now, s, 1)
-	c.slow = a.wait(now, s, a.slowShare(now, s)) - c.wait
-	if a.rank > 0 {
-		c.trip = s.RegionRoundTrip
+	c.slowStartPenalty = a.wait(now, s, a.slowStartShare(now, s)) - c.wait
+	if a.regionRank > 0 {
+		c.roundTrip = s.RegionRoundTrip
 	}
-	c.score = c.wait + c.slow
+	c.score = c.wait + c.slowStartPenalty
 	if s.Policy != PolicyDeadline {
 		return c
 	}
-	c.bonus = s.bonus(now, hint, a)
-	c.score -= c.bonus + time.Duration(preference)*s.PreferenceStep
+	c.affinityBonus = s.affinityBonus(now, hint, a)
+	c.score -= c.affinityBonus + time.Duration(preference)*s.PreferenceStep
 	return c
 }
 
-// fits reports whether the predicted time, with its queue delay taken margin times, is within the budget.
-func (c *scored) fits(budget time.Duration, margin float64) bool {
+// withinBudget reports whether the predicted time, with the queue delay multiplied by margin, is
+// within the budget.
+func (c *candidate) withinBudget(budget time.Duration, margin float64) bool {
 	if budget <= 0 {
 		return true
 	}
 	wait := time.Duration(margin * float64(c.wait))
-	return wait+c.trip+c.service-c.bonus <= budget
+	return wait+c.roundTrip+c.serviceTime-c.affinityBonus <= budget
 }
 
-// near goes through the regions from near to far and leaves one only when
-// the predicted time in it breaks the budget: first with the margin, since
-// predictions are means and the slower half would be late, then without it.
-// Where no region fits it stays near: the answer would be late all the same,
-// and the bytes cost more.
-func (r *Router) near(q Request, hint affine, random Random) *scored {
-	if c := r.nearest(q, hint, random, r.settings.Margin); c != nil {
+// chooseByDeadline goes through the regions from nearest to farthest and leaves a region only if the
+// predicted time in it exceeds the budget. The first pass applies WaitMargin to the queue delay,
+// since predictions are means and about half of the calls take longer; the second pass does not. If
+// no region meets the budget, the nearest one is used: the answer would be late in any region, and
+// traffic between regions costs more.
+func (r *Router) chooseByDeadline(q Request, hint affinityEntry, random Random) *candidate {
+	if c := r.nearestFitting(q, hint, random, r.settings.WaitMargin); c != nil {
 		return c
 	}
-	if c := r.nearest(q, hint, random, 1); c != nil {
+	if c := r.nearestFitting(q, hint, random, 1); c != nil {
 		return c
 	}
-	return best(sameRank(r.scratch), hint, random)
+	return bestOf(leadingRegion(r.candidates), hint, random)
 }
 
-// nearest returns the choice of the nearest region in which one fits with the margin, or nil.
-func (r *Router) nearest(q Request, hint affine, random Random, margin float64) *scored {
-	for rest := r.scratch; len(rest) > 0; {
-		group := sameRank(rest)
+// nearestFitting returns a candidate that meets the budget with the margin, from the nearest region
+// that has one, or nil if no region does.
+func (r *Router) nearestFitting(q Request, hint affinityEntry, random Random, margin float64) *candidate {
+	for rest := r.candidates; len(rest) > 0; {
+		group := leadingRegion(rest)
 		rest = rest[len(group):]
-		c := best(group, hint, random)
-		if c.fits(q.Budget, margin) {
+		c := bestOf(group, hint, random)
+		if c.withinBudget(q.Budget, margin) {
 			return c
 		}
-		if c = leastFitting(group, q.Budget, margin); c != nil {
+		if c = lowestFitting(group, q.Budget, margin); c != nil {
 			return c
 		}
 	}
 	return nil
 }
 
-// sameRank returns the leading agents of one region rank.
-func sameRank(list []scored) []scored {
+// leadingRegion returns the candidates at the head of the list that have the same region rank.
+func leadingRegion(list []candidate) []candidate {
 	n := 1
-	for n < len(list) && list[n].agent.rank == list[0].agent.rank {
+	for n < len(list) && list[n].agent.regionRank == list[0].agent.regionRank {
 		n++
 	}
 	return list[:n]
 }
 
-// best compares two random agents, two random ones of the highest preference, and the one with the prefix.
-func best(group []scored, hint affine, random Random) *scored {
-	c := two(group, random)
+// bestOf returns the candidate with the lowest score among two random ones, two random ones of the
+// highest preference, and the one that has the prefix cached.
+func bestOf(group []candidate, hint affinityEntry, random Random) *candidate {
+	c := twoChoices(group, random)
 	if top := preferred(group, random); top != nil && top.score < c.score {
 		c = top
 	}
 	for i := range group {
-		if group[i].agent.instance.Name == hint.name && group[i].score < c.score {
+		if group[i].agent.instance.Name == hint.agentName && group[i].score < c.score {
 			c = &group[i]
 		}
 	}
 	return c
 }
 
-// two returns the one with the lower score of two random agents.
-func two(list []scored, random Random) *scored {
+// twoChoices returns the candidate with the lower score of two random ones.
+func twoChoices(list []candidate, random Random) *candidate {
 	i := random.IntN(len(list))
 	if len(list) == 1 {
 		return &list[i]
@@ -214,8 +221,9 @@
 	return &list[i]
 }
 
-// preferred returns the better of two random agents with the highest preference, or nil when all have the same.
-func preferred(group []scored, random Random) *scored {
+// preferred returns the better of two random candidates with the highest preference, or nil if all
+// have the same preference.
+func preferred(group []candidate, random Random) *candidate {
 	lowest, highest := group[0].preference, group[0].preference
 	count := 0
 	for i := range group {
@@ -239,8 +247,8 @@
 	return a
 }
 
-// nth returns the n-th agent of that preference.
-func nth(group []scored, preference, n int) *scored {
+// nth returns the n-th candidate with the given preference, counted from 0.
+func nth(group []candidate, preference, n int) *candidate {
 	for i := range group {
 		if group[i].preference != preference {
 			continue
@@ -253,23 +261,24 @@
 	return &group[0]
 }
 
-// leastFitting returns the lowest score of those that fit, or nil.
-func leastFitting(group []scored, budget time.Duration, margin float64) *scored {
-	var c *scored
+// lowestFitting returns the candidate with the lowest score among those that meet the budget, or nil.
+func lowestFitting(group []candidate, budget time.Duration, margin float64) *candidate {
+	var c *candidate
 	for i := range group {
-		if group[i].fits(budget, margin) && (c == nil || group[i].score < c.score) {
+		if group[i].withinBudget(budget, margin) && (c == nil || group[i].score < c.score) {
 			c = &group[i]
 		}
 	}
 	return c
 }
 
-// leastOutstanding starts at a random place, so that ties do not favour the first.
-func (r *Router) leastOutstanding(random Random) *scored {
-	offset := random.IntN(len(r.scratch))
-	c := &r.scratch[offset]
-	for i := range r.scratch {
-		o := &r.scratch[(offset+i)%len(r.scratch)]
+// leastOutstanding returns the candidate with the fewest outstanding calls. It starts at a random
+// position so that ties do not favor the first candidates.
+func (r *Router) leastOutstanding(random Random) *candidate {
+	offset := random.IntN(len(r.candidates))
+	c := &r.candidates[offset]
+	for i := range r.candidates {
+		o := &r.candidates[(offset+i)%len(r.candidates)]
 		if o.agent.outstanding < c.agent.outstanding {
 			c = o
 		}
@@ -277,25 +286,25 @@
 	return c
 }
 
-func (r *Router) choice(c *scored, q Request, hint affine) Choice {
+func (r *Router) newChoice(c *candidate, q Request, hint affinityEntry) Choice {
 	choice := Choice{
-		Name:        c.agent.instance.Name,
-		Incarnation: c.agent.incarnation,
-		Region:      c.agent.instance.Region,
-		CrossRegion: c.agent.rank > 0,
-		Wait:        c.wait,
-		Service:     c.service,
-		Fits:        c.fits(q.Budget, 1),
+		Name:         c.agent.instance.Name,
+		Incarnation:  c.agent.incarnation,
+		Region:       c.agent.instance.Region,
+		CrossRegion:  c.agent.regionRank > 0,
+		Wait:         c.wait,
+		ServiceTime:  c.serviceTime,
+		WithinBudget: c.withinBudget(q.Budget, 1),
 	}
-	if hint.name == choice.Name {
+	if hint.agentName == choice.Name {
 		choice.ExpectedTokens = hint.tokens
 	}
 	return choice
 }
 
-// bestNear is the lowest predicted wait in the nearest region that has agents.
-func (r *Router) bestNear() time.Duration {
-	group := sameRank(r.scratch)
+// nearestRegionWait returns the lowest predicted wait in the nearest region that has candidates.
+func (r *Router) nearestRegionWait() time.Duration {
+	group := leadingRegion(r.candidates)
 	lowest := group[0].wait
 	for i := range group {
 		lowest = min(lowest, group[i].wait)
@@ -306,7 +315,7 @@
 func (r *Router) noBackend(now time.Time, q Request) error {
 	counts := make(map[Reason]int)
 	for _, a := range r.subset.agents {
-		reason, _ := r.bar(now, a, q)
+		reason, _ := r.eligibility(now, a, q)
 		counts[reason]++
 	}
 	detail := fmt.Sprintf("service %s: %d agents in the subset: %d without session, %d ejected, %d forbidden by rules, %d tried",
--- a/share/decide/route/explain.go
+++ b/share/decide/route/explain.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Reason says why an agent may not be chosen.
+// Reason is why an agent may not be chosen.
 type Reason string
 
-// The reasons; ReasonNone means that it may.
+// The reasons. ReasonNone means that the agent may be chosen.
 const (
 	ReasonNone        Reason = ""
 	ReasonLeaving     Reason = "leaving"
@@ -16,64 +16,67 @@
 	ReasonNotInSubset Reason = "not-in-subset"
 )
 
-// Term is one agent's part in a choice: Score = Wait + Slow - Affinity - Preference.
-type Term struct {
+// Explanation says why an agent may or may not be chosen, with the terms of its score. With
+// PolicyDeadline, Score = Wait + SlowStartPenalty - Affinity - Preference; the other policies leave
+// out Affinity and Preference.
+type Explanation struct {
 	Name   string
 	Region string
 	Domain string
-	// Rank is 0 for the entry's own region.
-	Rank   int
-	Reason Reason
-	// Outstanding is the entry's own work; Others the reported rest, Trust what its age leaves of it.
-	Outstanding int
-	Others      int
-	Trust       float64
-	Wait        time.Duration
-	Slow        time.Duration
-	Affinity    time.Duration
-	Preference  time.Duration
-	Score       time.Duration
-	Fits        bool
-	// EjectedUntil is in the past for an agent that is not ejected.
+	// RegionRank is 0 for the entry's own region.
+	RegionRank int
+	Reason     Reason
+	// Outstanding is the number of this entry's calls at the agent. OtherLoad is the reported number
+	// of calls of other entries, and ReportWeight the factor by which it is discounted for its age.
+	Outstanding      int
+	OtherLoad        int
+	ReportWeight     float64
+	Wait             time.Duration
+	SlowStartPenalty time.Duration
+	Affinity         time.Duration
+	Preference       time.Duration
+	Score            time.Duration
+	WithinBudget     bool
+	// EjectedUntil is not in the future for an agent that is not ejected.
 	EjectedUntil time.Time
 }
 
-// Explain returns the terms of every known agent by name; it changes nothing.
-func (r *Router) Explain(now time.Time, q Request) []Term {
+// Explain returns an Explanation for every known agent, sorted by name. It does not change the router.
+func (r *Router) Explain(now time.Time, q Request) []Explanation {
 	hint, _ := r.affinity.find(q.Prefixes)
-	inside := make(map[*agent]bool, len(r.subset.agents))
+	inSubset := make(map[*agent]bool, len(r.subset.agents))
 	for _, a := range r.subset.agents {
-		inside[a] = true
+		inSubset[a] = true
 	}
-	terms := make([]Term, 0, len(r.agents))
-	for _, a := range r.sorted() {
-		reason, preference := r.bar(now, a, q)
-		if reason == ReasonNone && !inside[a] {
+	explanations := make([]Explanation, 0, len(r.agents))
+	for _, a := range r.sortedAgents() {
+		reason, preference := r.eligibility(now, a, q)
+		if reason == ReasonNone && !inSubset[a] {
 			reason = ReasonNotInSubset
 		}
 		c := r.score(now, a, preference, hint)
-		terms = append(terms, r.term(now, &c, reason, q))
+		explanations = append(explanations, r.explanation(now, &c, reason, q))
 	}
-	return terms
+	return explanations
 }
 
-func (r *Router) term(now time.Time, c *scored, reason Reason, q Request) Term {
+func (r *Router) explanation(now time.Time, c *candidate, reason Reason, q Request) Explanation {
 	a := c.agent
-	return Term{
-		Name:         a.instance.Name,
-		Region:       a.instance.Region,
-		Domain:       a.instance.Domain,
-		Rank:         a.rank,
-		Reason:       reason,
-		Outstanding:  a.outstanding,
-		Others:       a.others,
-		Trust:        a.trust(now, r.settings.ReportHalfLife),
-		Wait:         c.wait,
-		Slow:         c.slow,
-		Affinity:     c.bonus,
-		Preference:   time.Duration(c.preference) * r.settings.PreferenceStep,
-		Score:        c.score,
-		Fits:         c.fits(q.Budget, 1),
-		EjectedUntil: a.health.ejectedUntil,
+	return Explanation{
+		Name:             a.instance.Name,
+		Region:           a.instance.Region,
+		Domain:           a.instance.Domain,
+		RegionRank:       a.regionRank,
+		Reason:           reason,
+		Outstanding:      a.outstanding,
+		OtherLoad:        a.otherLoad,
+		ReportWeight:     a.reportWeight(now, r.settings.ReportHalfLife),
+		Wait:             c.wait,
+		SlowStartPenalty: c.slowStartPenalty,
+		Affinity:         c.affinityBonus,
+		Preference:       time.Duration(c.preference) * r.settings.PreferenceStep,
+		Score:            c.score,
+		WithinBudget:     c.withinBudget(q.Budget, 1),
+		EjectedUntil:     a.health.ejectedUntil,
 	}
 }
--- a/share/decide/route/health.go
+++ b/share/decide/route/health.go
@@ -3,63 +3,67 @@
 import "time"
 
 const (
-	// faultHalfLife halves the weight of past results in the share of faults.
-	faultHalfLife = 10 * time.Second
-	// minResults is the weight of results needed before the share of faults counts.
+	// resultHalfLife is the age at which a result counts half in the share of faults.
+	resultHalfLife = 10 * time.Second
+	// minResults is the total weight of recent results below which the share of faults does not eject.
 	minResults = 10
-	// maxDoublings keeps the shift of the ejection time in range; EjectMax bounds it far earlier.
+	// maxDoublings keeps the shift in ejectionTime from overflowing; MaxEjectionTime takes effect at
+	// far fewer doublings.
 	maxDoublings = 20
 )
 
-// health holds an agent's recent faults and its ejections.
+// health tracks an agent's recent results and its ejections.
 type health struct {
-	row     int
-	good    float64
-	bad     float64
-	faultAt time.Time
-	// ejections counts the ones not yet made good by as long a time in service.
-	ejections    int
+	consecutiveFaults int
+	// successes and faults are the weights of past results as of decayedAt.
+	successes float64
+	faults    float64
+	decayedAt time.Time
+	// ejections counts the agent's ejections, less those that reduceEjections took back.
+	ejections int
+	// ejectedUntil is the end of the last ejection, or the time of the last reduction if that is later.
 	ejectedUntil time.Time
 }
 
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// add counts a result and reports whether it calls for an ejection.
-func (h *health) add(now time.Time, fault bool, s *Settings) bool {
-	fade := halved(now.Sub(h.faultAt), faultHalfLife)
-	h.faultAt = now
-	h.good *= fade
-	h.bad *= fade
+// record counts a result and reports whether the agent should be ejected.
+func (h *health) record(now time.Time, fault bool, s *Settings) bool {
+	weight := decay(now.Sub(h.decayedAt), resultHalfLife)
+	h.decayedAt = now
+	h.successes *= weight
+	h.faults *= weight
 	if !fault {
-		h.good++
-		h.row = 0
-		h.forgive(now, s)
+		h.successes++
+		h.consecutiveFaults = 0
+		h.reduceEjections(now, s)
 		return false
 	}
-	h.bad++
-	h.row++
-	total := h.good + h.bad
-	return h.row >= s.EjectFaults || total >= minResults && h.bad >= s.EjectRate*total
+	h.faults++
+	h.consecutiveFaults++
+	total := h.successes + h.faults
+	return h.consecutiveFaults >= s.EjectConsecutiveFaults || total >= minResults && h.faults >= s.EjectFaultRate*total
 }
 
-// forgive takes one ejection back once the agent served as long as that ejection lasted.
-func (h *health) forgive(now time.Time, s *Settings) {
-	if h.ejections == 0 || now.Sub(h.ejectedUntil) < ejection(h.ejections, s) {
+// reduceEjections takes back one ejection on a success, once the agent has been in service for as long
+// as that ejection lasted.
+func (h *health) reduceEjections(now time.Time, s *Settings) {
+	if h.ejections == 0 || now.Sub(h.ejectedUntil) < ejectionTime(h.ejections, s) {
 		return
 	}
 	h.ejections--
 	h.ejectedUntil = now
 }
 
-// eject takes the agent out, each time for twice as long.
+// eject ejects the agent, each time for twice as long, up to MaxEjectionTime.
 func (h *health) eject(now time.Time, s *Settings) {
 	h.ejections = min(h.ejections+1, maxDoublings)
-	h.ejectedUntil = now.Add(ejection(h.ejections, s))
-	h.row = 0
-	h.good = 0
-	h.bad = 0
+	h.ejectedUntil = now.Add(ejectionTime(h.ejections, s))
+	h.consecutiveFaults = 0
+	h.successes = 0
+	h.faults = 0
 }
 
-func ejection(count int, s *Settings) time.Duration {
-	return min(s.EjectBase<<(count-1), s.EjectMax)
+func ejectionTime(count int, s *Settings) time.Duration {
+	return min(s.BaseEjectionTime<<(count-1), s.MaxEjectionTime)
 }
--- a/share/decide/route/router.go
+++ b/share/decide/route/router.go
@@ -9,90 +9,94 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Router chooses among the agents of one service.
+// Router chooses among the agents of one service. It is not safe for concurrent use.
 type Router struct {
 	settings Settings
 	agents   map[string]*agent
 	subset   subset
-	affinity *affinity
-	// turn is the position of round robin.
-	turn int
-	// filled is set by the first list: the agents in it are not new, only unknown so far.
-	filled  bool
-	scratch []scored
+	affinity *affinityTable
+	// roundRobin is the position of PolicyRoundRobin in the candidates.
+	roundRobin int
+	// populated is set by the first list with agents of the service. Only agents that appear after
+	// that are new and get a slow start.
+	populated bool
+	// candidates is reused between choices to save allocations.
+	candidates []candidate
 }
 
-// New returns a router that knows no agent yet.
+// New returns a router without agents; OnMembers adds them.
 func New(s Settings) *Router {
-	return &Router{settings: s, agents: make(map[string]*agent), affinity: newAffinity(s.AffinityLimit)}
+	return &Router{settings: s, agents: make(map[string]*agent), affinity: newAffinityTable(s.AffinityLimit)}
 }
 
-// Ended tells how a call to an agent ended.
-type Ended struct {
+// CallResult is how a call to an agent ended.
+type CallResult struct {
 	Name string
 	Code codes.Code
-	// Silent is set when nothing came back from the agent for the whole of the call.
-	Silent bool
-	// Report is the load that came with the answer, or nil.
+	// NoResponse is set when nothing was received from the agent during the whole call.
+	NoResponse bool
+	// Report is the load report that came with the answer, or nil.
 	Report *Load
-	// Prefixes are those of the request, longest first.
+	// Prefixes are the prompt prefixes of the request, longest first.
 	Prefixes []Prefix
-	// Expected is Choice.ExpectedTokens of the call; Cached what the engine reported, -1 when it did not.
-	Expected int
-	Cached   int
+	// ExpectedTokens is Choice.ExpectedTokens of the call; CachedTokens is the number of cached
+	// prompt tokens that the engine reported, or -1 when it reported none.
+	ExpectedTokens int
+	CachedTokens   int
 }
 
-// OnList takes the lagging list of members; those of other services or roles are passed over.
-func (r *Router) OnList(now time.Time, members []member.Instance) {
+// OnMembers updates the agents from the platform's list of members, which may be out of date.
+// Members of other services or roles are ignored.
+func (r *Router) OnMembers(now time.Time, members []member.Instance) {
 	for _, a := range r.agents {
 		a.listed = false
 	}
 	for _, m := range members {
 		if m.Role == member.RoleAgent && m.Service == r.settings.Service {
-			r.list(now, m)
+			r.updateMember(now, m)
 		}
 	}
 	for name, a := range r.agents {
-		// The list lags: an agent whose session lives is kept though it is not listed.
+		// The list may be out of date, so an unlisted agent is kept while its session is up.
 		if !a.listed && a.session != SessionUp && a.outstanding == 0 {
 			delete(r.agents, name)
 		}
 	}
-	r.filled = r.filled || len(r.agents) > 0
+	r.populated = r.populated || len(r.agents) > 0
 	r.rebuild()
 }
 
-func (r *Router) list(now time.Time, m member.Instance) {
+func (r *Router) updateMember(now time.Time, m member.Instance) {
 	a, ok := r.agents[m.Name]
 	if !ok {
 		a = &agent{session: SessionDown, hitRate: 1}
-		if r.filled {
-			a.slowSince = now
+		if r.populated {
+			a.slowStartAt = now
 		}
 		r.agents[m.Name] = a
 	}
 	a.instance = m
 	a.server = match.NewServer(m)
-	a.rank = r.settings.rank(m.Region)
+	a.regionRank = r.settings.regionRank(m.Region)
 	a.listed = true
 }
 
-// OnReport takes a load report.
+// OnReport records a load report of the agent.
 func (r *Router) OnReport(now time.Time, name string, l Load) {
 	if a, ok := r.agents[name]; ok {
 		a.setReport(now, l)
 	}
 }
 
-// OnSent notes that a call was sent to the agent.
+// OnSent records that a call was sent to the agent.
 func (r *Router) OnSent(now time.Time, name string) {
 	if a, ok := r.agents[name]; ok {
 		a.outstanding++
 	}
 }
 
-// OnEnded notes the end of a call; each OnSent is followed by exactly one.
-func (r *Router) OnEnded(now time.Time, e Ended) {
+// OnEnded records the end of a call. Each OnSent must be followed by exactly one OnEnded.
+func (r *Router) OnEnded(now time.Time, e CallResult) {
 	a, ok := r.agents[e.Name]
 	if !ok {
 		return
@@ -106,23 +110,23 @@
 		return
 	}
 	if e.Code == codes.NoBackend {
-		r.ejectGone(now, a)
+		r.ejectWithoutBackend(now, a)
 		return
 	}
-	fault := e.Silent || IsFault(e.Code)
+	fault := e.NoResponse || IsFault(e.Code)
 	if fault || e.Code == codes.OK {
-		r.judge(now, a, fault)
+		r.recordResult(now, a, fault)
 	}
 	if e.Code != codes.OK {
 		return
 	}
-	r.affinity.learn(now, e.Name, e.Prefixes)
-	if e.Cached >= 0 {
-		a.setHits(e.Expected, e.Cached)
+	r.affinity.record(now, e.Name, e.Prefixes)
+	if e.CachedTokens >= 0 {
+		a.recordHitRate(e.ExpectedTokens, e.CachedTokens)
 	}
 }
 
-// IsFault reports whether a result speaks against the agent that gave it.
+// IsFault reports whether a result counts as a fault of the agent that returned it.
 func IsFault(c codes.Code) bool {
 	switch c {
 	case codes.BackendFailed, codes.BackendLost, codes.AnswerIncomplete, codes.OutcomeNotKnown, codes.Internal:
@@ -132,36 +136,36 @@
 	}
 }
 
-func (r *Router) judge(now time.Time, a *agent, fault bool) {
-	if a.health.add(now, fault, &r.settings) {
+func (r *Router) recordResult(now time.Time, a *agent, fault bool) {
+	if a.health.record(now, fault, &r.settings) {
 		r.eject(now, a)
 	}
 }
 
-// eject takes an agent out unless too many are out already. The bound guards
-// against a fault that all agents share, such as a bad model version: it shows
-// as faults everywhere, and ejecting everyone would turn it into an outage.
+// eject ejects an agent unless too many are ejected already. The limit guards against a fault that
+// all agents share, for example a bad model version: ejecting every agent that reports faults would
+// turn it into an outage.
 func (r *Router) eject(now time.Time, a *agent) {
-	if a.health.ejected(now) || r.ejected(now)+1 > r.ejectLimit() {
+	if a.health.ejected(now) || r.ejectedCount(now)+1 > r.ejectionLimit() {
 		return
 	}
 	a.health.eject(now, &r.settings)
-	a.slowSince = a.health.ejectedUntil
+	a.slowStartAt = a.health.ejectedUntil
 }
 
-// ejectGone takes out an agent that said that its backend server is gone. It
-// refuses at once and looks idle, so that it would be chosen again and again
-// until enough faults in a row had come together. No bound applies: this is
-// what the agent knows, not what the entry infers.
-func (r *Router) ejectGone(now time.Time, a *agent) {
+// ejectWithoutBackend ejects an agent that reported that it has no backend server. Such an agent
+// refuses calls at once and looks idle, so without the ejection it would be chosen again and again
+// until it had enough consecutive faults. The ejection limit does not apply, since the agent knows
+// that its backend server is gone while the entry only infers faults.
+func (r *Router) ejectWithoutBackend(now time.Time, a *agent) {
 	if a.health.ejected(now) {
 		return
 	}
 	a.health.eject(now, &r.settings)
-	a.slowSince = a.health.ejectedUntil
+	a.slowStartAt = a.health.ejectedUntil
 }
 
-func (r *Router) ejected(now time.Time) int {
+func (r *Router) ejectedCount(now time.Time) int {
 	count := 0
 	for _, a := range r.agents {
 		if a.health.ejected(now) {
@@ -171,23 +175,23 @@
 	return count
 }
 
-func (r *Router) ejectLimit() int {
+func (r *Router) ejectionLimit() int {
 	if len(r.agents) < 2 {
 		return 0
 	}
-	return max(1, int(r.settings.EjectShare*float64(len(r.agents))))
+	return max(1, int(r.settings.MaxEjectedShare*float64(len(r.agents))))
 }
 
-// OnSession notes the state of the session to an agent. The caller tries a
-// fresh connection before it reports SessionSilent, since an open connection
-// may go silent while new ones work.
+// OnSession records the state of the session to an agent. The caller must try a new connection
+// before it reports SessionSilent, since an open connection may stop delivering data while new
+// connections work.
 func (r *Router) OnSession(now time.Time, name string, state Session, incarnation string) {
 	a, ok := r.agents[name]
 	if !ok {
 		return
 	}
 	if state == SessionUp {
-		r.up(now, a, incarnation)
+		r.sessionUp(now, a, incarnation)
 		return
 	}
 	if state == SessionSilent && a.session == SessionUp {
@@ -196,17 +200,17 @@
 	a.session = state
 }
 
-func (r *Router) up(now time.Time, a *agent, incarnation string) {
+func (r *Router) sessionUp(now time.Time, a *agent, incarnation string) {
 	restarted := a.incarnation != "" && a.incarnation != incarnation
-	if a.incarnation == "" && !a.slowSince.IsZero() {
-		a.slowSince = now
+	if a.incarnation == "" && !a.slowStartAt.IsZero() {
+		a.slowStartAt = now
 	}
 	if restarted {
 		a.leaving = false
-		a.slowSince = now
+		a.slowStartAt = now
 		a.report = Load{}
 		a.reportAt = time.Time{}
-		a.others = 0
+		a.otherLoad = 0
 		a.hitRate = 1
 		r.affinity.forget(a.instance.Name)
 	}
@@ -217,7 +221,8 @@
 	}
 }
 
-// OnLeaving notes that the agent takes no new work, whoever said so first.
+// OnLeaving records that the agent takes no new work. The agent reports it in a heartbeat, or by
+// refusing a call with codes.Draining.
 func (r *Router) OnLeaving(_ time.Time, name string) {
 	a, ok := r.agents[name]
 	if !ok || a.leaving {
@@ -227,12 +232,12 @@
 	r.rebuild()
 }
 
-// sorted returns every agent by name.
-func (r *Router) sorted() []*agent {
-	all := make([]*agent, 0, len(r.agents))
+// sortedAgents returns all agents, sorted by name.
+func (r *Router) sortedAgents() []*agent {
+	agents := make([]*agent, 0, len(r.agents))
 	for _, a := range r.agents {
-		all = append(all, a)
+		agents = append(agents, a)
 	}
-	slices.SortFunc(all, compareNames)
-	return all
+	slices.SortFunc(agents, compareNames)
+	return agents
 }
--- a/share/decide/route/settings.go
+++ b/share/decide/route/settings.go
@@ -1,31 +1,32 @@
 // Package route chooses the agent that runs a stage.
 //
-// A Router holds what one entry knows of one service's agents: its own
-// outstanding calls, their last load reports, sessions, faults and cached
-// prefixes. It takes events with their time and keeps no clock. A Router
-// belongs to one goroutine or is guarded by its caller; nothing in it locks.
+// A Router holds one entry's view of one service's agents: the calls that the entry has outstanding
+// at them, their last load reports, sessions, faults and cached prefixes. Every event is passed in
+// with its time; a Router does not read the clock. A Router is not safe for concurrent use: it
+// belongs to one goroutine, or its caller guards it with a lock.
 package route
 
 import "time"
 
-// Policy names a way to choose; all but PolicyDeadline are baselines for experiments.
+// Policy is the way in which an agent is chosen. All but PolicyDeadline are baselines for experiments.
 type Policy string
 
 // The policies.
 const (
-	// PolicyRandom takes any agent.
+	// PolicyRandom chooses a random agent.
 	PolicyRandom Policy = "random"
-	// PolicyRoundRobin takes the agents in turns.
+	// PolicyRoundRobin chooses the agents in turn.
 	PolicyRoundRobin Policy = "round-robin"
-	// PolicyLeastOutstanding takes the agent with the fewest calls of this entry.
+	// PolicyLeastOutstanding chooses the agent with the fewest outstanding calls of this entry.
 	PolicyLeastOutstanding Policy = "least-outstanding"
-	// PolicyTwoChoices takes the less loaded of two random agents, by own calls and reports.
+	// PolicyTwoChoices chooses the less loaded of two random agents, by this entry's outstanding
+	// calls and the agents' load reports.
 	PolicyTwoChoices Policy = "two-choices"
-	// PolicyDeadline weighs predicted wait, deadline, region, rules and cached prefixes.
+	// PolicyDeadline chooses by predicted wait, deadline, region, rules and cached prefixes.
 	PolicyDeadline Policy = "deadline"
 )
 
-// Policies returns every policy, the baselines first.
+// Policies returns all policies, the baselines first.
 func Policies() []Policy {
 	return []Policy{PolicyRandom, PolicyRoundRobin, PolicyLeastOutstanding, PolicyTwoChoices, PolicyDeadline}
 }
@@ -33,83 +34,93 @@
 // Settings are fixed for the life of a Router.
 type Settings struct {
 	Policy Policy
-	// Name is the entry's own; it decides which agents are in its subset.
+	// Name is the entry's name. It determines which agents are in the entry's subset.
 	Name string
-	// Service is the one whose agents are routed to.
+	// Service is the service whose agents are chosen from.
 	Service string
-	// Region is the entry's own.
+	// Region is the entry's region.
 	Region string
-	// RegionOrder lists the other regions from near to far; a missing one is the farthest.
+	// RegionOrder lists the other regions from nearest to farthest. Regions that are not listed
+	// rank behind all listed ones.
 	RegionOrder []string
 	// RegionRoundTrip is added to the predicted time of a call to another region.
 	RegionRoundTrip time.Duration
-	// Margin is how many times the predicted queue delay must fit into the budget
-	// for a call to stay in a region while another has room; at least 1.
-	Margin float64
-	// SubsetSize is the number of agents that the entry keeps sessions to, SubsetMax when widened.
+	// WaitMargin is at least 1. The predicted queue delay is multiplied by it when the router looks
+	// for the nearest region that meets the budget; when no region does, the router looks again
+	// without it.
+	WaitMargin float64
+	// SubsetSize is the number of agents that the entry keeps sessions to. The subset may widen to
+	// SubsetMax.
 	SubsetSize int
 	SubsetMax  int
-	// FarKeep is how many of them stand in other regions, for the loss of the own one.
-	FarKeep int
-	// WidenWait is the predicted wait at the best near agent above which the subset doubles.
+	// RemoteReserve is the number of places in the subset that are reserved for agents of other
+	// regions, in case the entry's own region fails.
+	RemoteReserve int
+	// The subset doubles when the lowest predicted wait in the nearest region exceeds WidenWait.
 	WidenWait time.Duration
-	// NarrowAfter is how long the wait must stay below WidenWait before it halves.
+	// NarrowAfter is how long that wait must stay within WidenWait before the subset halves.
 	NarrowAfter time.Duration
-	// ReportHalfLife halves the trust in a load report.
+	// ReportHalfLife is the age at which a load report counts half.
 	ReportHalfLife time.Duration
-	// ServiceGuess stands for the service time until a report tells it.
-	ServiceGuess time.Duration
-	// SlowStart is how long a returned agent takes to reach its full share.
+	// DefaultServiceTime is the service time assumed for an agent until it reports one.
+	DefaultServiceTime time.Duration
+	// SlowStart is the time over which a new, restarted or previously ejected agent reaches its full
+	// share of the calls.
 	SlowStart time.Duration
-	// EjectFaults is the number of faults in a row that ejects; EjectRate the share of faults that does.
-	EjectFaults int
-	EjectRate   float64
-	// EjectBase is the first ejection's length; each further one doubles it up to EjectMax.
-	EjectBase time.Duration
-	EjectMax  time.Duration
-	// EjectShare bounds the agents ejected at once; one of two or more may always be.
-	EjectShare float64
-	// PreferenceStep is the wait that one point of rule preference outweighs.
+	// EjectConsecutiveFaults is the number of consecutive faults that ejects an agent, and
+	// EjectFaultRate the share of faults among its recent results that does.
+	EjectConsecutiveFaults int
+	EjectFaultRate         float64
+	// BaseEjectionTime is the length of an agent's first ejection. It doubles with each further one
+	// up to MaxEjectionTime.
+	BaseEjectionTime time.Duration
+	MaxEjectionTime  time.Duration
+	// MaxEjectedShare is the largest share of the agents that may be ejected at once; if there are
+	// two or more agents, one may always be ejected.
+	MaxEjectedShare float64
+	// PreferenceStep is the wait that one point of rule preference makes up for.
 	PreferenceStep time.Duration
-	// AffinityLimit bounds the table of prefixes; 0 turns prefix affinity off.
+	// AffinityLimit is the maximum number of prefixes remembered; 0 turns prefix affinity off.
 	AffinityLimit int
-	// AffinityHalfLife halves the trust that a prefix is still cached.
+	// AffinityHalfLife is the age at which a remembered prefix counts half, since it may have been
+	// evicted from the agent's cache.
 	AffinityHalfLife time.Duration
-	// TokenTime is the time that one cached prompt token saves.
-	TokenTime time.Duration
+	// PrefillTimePerToken is the time that each cached prompt token saves.
+	PrefillTimePerToken time.Duration
 }
 
-// DefaultSettings returns the settings of the programs; name, service and regions are left to the caller.
+// DefaultSettings returns the default settings. The caller sets Name, Service, Region and RegionOrder.
 func DefaultSettings() Settings {
 	return Settings{
-		Policy:           PolicyDeadline,
-		RegionRoundTrip:  24 * time.Millisecond,
-		Margin:           5,
-		SubsetSize:       12,
-		SubsetMax:        48,
-		FarKeep:          4,
-		WidenWait:        50 * time.Millisecond,
-		NarrowAfter:      time.Minute,
-		ReportHalfLife:   2 * time.Second,
-		ServiceGuess:     50 * time.Millisecond,
-		SlowStart:        10 * time.Second,
-		EjectFaults:      5,
-		EjectRate:        0.5,
-		EjectBase:        2 * time.Second,
-		EjectMax:         2 * time.Minute,
-		EjectShare:       0.34,
-		PreferenceStep:   time.Millisecond,
-		AffinityLimit:    4096,
-		AffinityHalfLife: time.Minute,
-		TokenTime:        100 * time.Microsecond,
+		Policy:                 PolicyDeadline,
+		RegionRoundTrip:        24 * time.Millisecond,
+		WaitMargin:             5,
+		SubsetSize:             12,
+		SubsetMax:              48,
+		RemoteReserve:          4,
+		WidenWait:              50 * time.Millisecond,
+		NarrowAfter:            time.Minute,
+		ReportHalfLife:         2 * time.Second,
+		DefaultServiceTime:     50 * time.Millisecond,
+		SlowStart:              10 * time.Second,
+		EjectConsecutiveFaults: 5,
+		EjectFaultRate:         0.5,
+		BaseEjectionTime:       2 * time.Second,
+		MaxEjectionTime:        2 * time.Minute,
+		MaxEjectedShare:        0.34,
+		PreferenceStep:         time.Millisecond,
+		AffinityLimit:          4096,
+		AffinityHalfLife:       time.Minute,
+		PrefillTimePerToken:    100 * time.Microsecond,
 	}
 }
 
-// usesRegions is false for the baselines, which treat all regions alike.
+// usesRegions reports whether the policy takes regions into account; the baselines treat all regions
+// alike.
 func (s *Settings) usesRegions() bool { return s.Policy == PolicyDeadline }
 
-// rank is 0 for the own region and grows with the distance.
-func (s *Settings) rank(region string) int {
+// regionRank returns 0 for the entry's own region and a higher rank for more distant regions.
+func (s *Settings) regionRank(region string) int {
 	if region == s.Region {
 		return 0
 	}
--- a/share/decide/route/subset.go
+++ b/share/decide/route/subset.go
@@ -10,36 +10,39 @@
 
 // subset is the bounded set of agents that the entry keeps sessions to.
 type subset struct {
-	// agents are sorted by region rank, then by hash order spread over failure domains.
+	// agents are sorted by region rank. Within a rank they alternate between the failure domains, in
+	// hash order.
 	agents []*agent
-	// doublings is how many times the subset was widened.
+	// doublings is the number of times that the subset is doubled; narrowing takes one back.
 	doublings int
 	version   uint64
-	// changed is when it was last widened or narrowed; busyAt when it was last saturated.
-	changed time.Time
-	busyAt  time.Time
+	// changedAt is when the subset was last widened or narrowed. busyAt is when the predicted wait
+	// last exceeded WidenWait.
+	changedAt time.Time
+	busyAt    time.Time
 }
 
-// widenPause lets new sessions come up and reports arrive before the next widening.
-const widenPause = time.Second
+// widenInterval is the minimum time from a change of the subset's size to the next widening, so that
+// new sessions come up and their load reports arrive first.
+const widenInterval = time.Second
 
-// Wanted returns the names of the agents to keep a session to: those of the
-// subset, near ones first, and those whose return from a stop has to be seen.
-func (r *Router) Wanted() []string {
+// WantedAgents returns the names of the agents to keep a session to: those of the subset, nearest
+// regions first, and those that are leaving but may restart under the same name.
+func (r *Router) WantedAgents() []string {
 	names := make([]string, 0, len(r.subset.agents))
 	for _, a := range r.subset.agents {
 		names = append(names, a.instance.Name)
 	}
-	for _, a := range r.sorted() {
-		if a.mayReturn() {
+	for _, a := range r.sortedAgents() {
+		if a.mayRejoin() {
 			names = append(names, a.instance.Name)
 		}
 	}
 	return names
 }
 
-// Version changes whenever Wanted does.
-func (r *Router) Version() uint64 { return r.subset.version }
+// SubsetVersion returns a number that changes whenever the subset does.
+func (r *Router) SubsetVersion() uint64 { return r.subset.version }
 
 func (r *Router) subsetSize() int {
 	if !r.settings.usesRegions() {
@@ -48,27 +51,28 @@
 	return min(r.settings.SubsetSize<<r.subset.doublings, r.settings.SubsetMax)
 }
 
-// rebuild chooses the subset anew from the agents that are not leaving.
+// rebuild recomputes the subset from the agents that are not leaving.
 func (r *Router) rebuild() {
-	near, far := r.split()
+	local, remote := r.splitByRegion()
 	size := r.subsetSize()
-	keep := min(r.settings.FarKeep, len(far), size)
-	chosen := slices.Clone(near[:min(len(near), size-keep)])
-	chosen = append(chosen, far[:min(len(far), size-len(chosen))]...)
+	reserved := min(r.settings.RemoteReserve, len(remote), size)
+	chosen := slices.Clone(local[:min(len(local), size-reserved)])
+	chosen = append(chosen, remote[:min(len(remote), size-len(chosen))]...)
 	if !slices.Equal(chosen, r.subset.agents) {
 		r.subset.agents = chosen
 		r.subset.version++
 	}
 }
 
-// split orders the agents of the own region and those of the others, near regions first.
-func (r *Router) split() (near, far []*agent) {
+// splitByRegion returns the agents of the entry's own region and those of the other regions, nearest
+// regions first.
+func (r *Router) splitByRegion() (local, remote []*agent) {
 	ranks := make(map[int][]*agent)
 	for _, a := range r.agents {
 		if a.leaving || a.instance.Leaving {
 			continue
 		}
-		ranks[a.rank] = append(ranks[a.rank], a)
+		ranks[a.regionRank] = append(ranks[a.regionRank], a)
 	}
 	order := make([]int, 0, len(ranks))
 	for rank := range ranks {
@@ -76,32 +80,33 @@
 	}
 	slices.Sort(order)
 	for _, rank := range order {
-		spread := r.spread(ranks[rank])
+		spread := r.spreadOverDomains(ranks[rank])
 		if rank == 0 {
-			near = spread
+			local = spread
 			continue
 		}
-		far = append(far, spread...)
+		remote = append(remote, spread...)
 	}
-	return near, far
+	return local, remote
 }
 
-// spread takes the failure domains in turns, within each the highest hash scores first.
-func (r *Router) spread(agents []*agent) []*agent {
+// spreadOverDomains orders the agents so that they alternate between the failure domains. Within a
+// domain, agents with higher hash scores come first.
+func (r *Router) spreadOverDomains(agents []*agent) []*agent {
 	domains := make(map[string][]string)
 	for _, a := range agents {
 		domains[a.instance.Domain] = append(domains[a.instance.Domain], a.instance.Name)
 	}
 	key := r.settings.Name + "/" + r.settings.Service
-	turns := make([]string, 0, len(domains))
+	domainOrder := make([]string, 0, len(domains))
 	for domain, names := range domains {
 		domains[domain] = rhash.Pick(key, names, len(names))
-		turns = append(turns, domain)
+		domainOrder = append(domainOrder, domain)
 	}
-	turns = rhash.Pick(key, turns, len(turns))
+	domainOrder = rhash.Pick(key, domainOrder, len(domainOrder))
 	spread := make([]*agent, 0, len(agents))
 	for i := 0; len(spread) < len(agents); i++ {
-		for _, domain := range turns {
+		for _, domain := range domainOrder {
 			if i < len(domains[domain]) {
 				spread = append(spread, r.agents[domains[domain][i]])
 			}
@@ -110,35 +115,37 @@
 	return spread
 }
 
-// resize widens the subset when its best near agent is busy, and narrows it after a calm time.
-func (r *Router) resize(now time.Time, best time.Duration) {
+// resize widens the subset when the lowest predicted wait in the nearest region exceeds WidenWait, and
+// narrows it when the wait has stayed within WidenWait for NarrowAfter.
+func (r *Router) resize(now time.Time, wait time.Duration) {
 	if !r.settings.usesRegions() {
 		return
 	}
-	if best > r.settings.WidenWait {
+	if wait > r.settings.WidenWait {
 		r.subset.busyAt = now
 		r.widen(now)
 		return
 	}
-	calm := now.Sub(max2(r.subset.busyAt, r.subset.changed)) >= r.settings.NarrowAfter
+	calm := now.Sub(later(r.subset.busyAt, r.subset.changedAt)) >= r.settings.NarrowAfter
 	if calm && r.subset.doublings > 0 {
 		r.subset.doublings--
-		r.subset.changed = now
+		r.subset.changedAt = now
 		r.rebuild()
 	}
 }
 
+// widen doubles the subset unless it changed within widenInterval or is already as large as possible.
 func (r *Router) widen(now time.Time) {
-	pause := now.Sub(r.subset.changed) < widenPause
-	if pause || r.subsetSize() >= min(r.settings.SubsetMax, len(r.agents)) {
+	tooSoon := now.Sub(r.subset.changedAt) < widenInterval
+	if tooSoon || r.subsetSize() >= min(r.settings.SubsetMax, len(r.agents)) {
 		return
 	}
 	r.subset.doublings++
-	r.subset.changed = now
+	r.subset.changedAt = now
 	r.rebuild()
 }
 
-func max2(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/share/decide/route/subset_test.go
+++ b/share/decide/route/subset_test.go
@@ -39,18 +39,18 @@
 	return members
 }
 
-// byRouter is the subset of an entry as the router keeps it.
-func byRouter(entry string, members []member.Instance) []string {
+// subsetOfRouter returns the subset that the router of an entry chooses.
+func subsetOfRouter(entry string, members []member.Instance) []string {
 	s := route.DefaultSettings()
 	s.Name, s.Service, s.Region = entry, "llm", "north"
-	s.SubsetSize, s.FarKeep = subsetSize, 0
+	s.SubsetSize, s.RemoteReserve = subsetSize, 0
 	r := route.New(s)
-	r.OnList(time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), members)
-	return r.Wanted()
+	r.OnMembers(time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), members)
+	return r.WantedAgents()
 }
 
-// byShuffle is the subset that a shuffle seeded with the entry's name gives.
-func byShuffle(entry string, members []member.Instance) []string {
+// subsetOfShuffle returns the subset that results from a shuffle seeded with the entry's name.
+func subsetOfShuffle(entry string, members []member.Instance) []string {
 	names := make([]string, 0, len(members))
 	for _, m := range members {
 		names = append(names, m.Name)
@@ -60,45 +60,45 @@
 	return names[:subsetSize]
 }
 
-// movedSessions is the share of all entries' sessions that a change of the list replaces.
-func movedSessions(subset func(string, []member.Instance) []string, before, after []member.Instance) float64 {
-	moved := 0
+// replacedSessionShare returns the share of all entries' sessions that a change of the list replaces.
+func replacedSessionShare(subset func(string, []member.Instance) []string, before, after []member.Instance) float64 {
+	replaced := 0
 	for n := range manyEntries {
 		entry := fmt.Sprintf("entry-%d", n)
 		old := subset(entry, before)
 		for _, name := range subset(entry, after) {
 			if !slices.Contains(old, name) {
-				moved++
+				replaced++
 			}
 		}
 	}
-	return float64(moved) / (manyEntries * subsetSize)
+	return float64(replaced) / (manyEntries * subsetSize)
 }
 
-// Callers see slow answers each time an instance comes or goes: every entry
-// takes other agents, opens new sessions and knows nothing of their load or
-// caches. The cause is a rule for subsets by position in the list.
-func TestSubsetStaysWhenOneAgentChanges(t *testing.T) {
+// Guards against subsets that depend on the position in the member list. Each time an instance joined
+// or left, every entry would choose other agents, open new sessions and know nothing of their load
+// or caches, and callers would see slow answers.
+func TestSubsetIsStableWhenOneAgentChanges(t *testing.T) {
 	is := is.New(t)
 	all := manyMembers()
 	const step = 20
-	changes, ours, shuffle := 0, 0.0, 0.0
-	for gone := 0; gone < manyAgents; gone += step {
-		less := slices.Delete(slices.Clone(all), gone, gone+1)
-		ours += movedSessions(byRouter, all, less) + movedSessions(byRouter, less, all)
-		shuffle += movedSessions(byShuffle, all, less) + movedSessions(byShuffle, less, all)
+	changes, rendezvous, shuffle := 0, 0.0, 0.0
+	for removed := 0; removed < manyAgents; removed += step {
+		remaining := slices.Delete(slices.Clone(all), removed, removed+1)
+		rendezvous += replacedSessionShare(subsetOfRouter, all, remaining) + replacedSessionShare(subsetOfRouter, remaining, all)
+		shuffle += replacedSessionShare(subsetOfShuffle, all, remaining) + replacedSessionShare(subsetOfShuffle, remaining, all)
 		changes += 2
 	}
-	ours, shuffle = ours/float64(changes), shuffle/float64(changes)
+	rendezvous, shuffle = rendezvous/float64(changes), shuffle/float64(changes)
 	t.Logf("one agent of %d leaves or joins, mean of %d changes: rendezvous hashing replaces %.3f %% of the sessions, a seeded shuffle %.1f %%",
-		manyAgents, changes, 100*ours, 100*shuffle)
-	is.True(ours < 2.0/manyAgents)
+		manyAgents, changes, 100*rendezvous, 100*shuffle)
+	is.True(rendezvous < 2.0/manyAgents)
 	is.True(shuffle > 0.5)
 }
 
-// One agent answers late while others idle: a large team's work always goes to
-// the agent that the hash of its name names, and buckets of it to a few.
-func TestHashingATeamToAgentsConcentratesItsLoad(t *testing.T) {
+// Shows why teams are not hashed to agents: all requests of a large team would go to one agent, or
+// with buckets to a few, which would answer late while the others are idle.
+func TestHashingTeamToAgentsConcentratesLoad(t *testing.T) {
 	is := is.New(t)
 	names := make([]string, 0, 20)
 	for n := range 20 {
@@ -122,7 +122,7 @@
 			most = max(most, count)
 		}
 		share := float64(most) / requests
-		t.Logf("%d bucket(s) of a team with 90 %% of the requests over 20 agents: the most loaded gets %.1f %%, an even share is 5 %%", c.buckets, 100*share)
+		t.Logf("%d bucket(s) for a team with 90 %% of the requests over 20 agents: the most loaded agent gets %.1f %%, an even share is 5 %%", c.buckets, 100*share)
 		is.True(share > c.least)
 	}
 }
