--- a/entry/services/calls/calls.go
+++ b/entry/services/calls/calls.go
@@ -212,7 +212,7 @@
 	case retry.ActionRetry:
 		s.retries++
 		r.counts.retries.Add(1)
-		return pauses.Wait(ctx, decision.After)
+		return pauses.Wait(ctx, decision.Backoff)
 	default:
 		return false
 	}
--- a/entry/services/policy/policy.go
+++ b/entry/services/policy/policy.go
@@ -100,7 +100,7 @@
 func (p *Policy) DepositFirst(service *config.Service) {
 	p.budgetLock.Lock()
 	defer p.budgetLock.Unlock()
-	p.budget(service).OnFirst()
+	p.budget(service).OnFirstAttempt()
 }
 
 // DecideRetry says what follows an attempt that brought no answer.
--- a/share/decide/retry/class.go
+++ b/share/decide/retry/class.go
@@ -2,17 +2,19 @@
 
 import "verbenaroad.example/share/modules/codes"
 
-// class groups results by what may follow them.
+// class groups results by what may follow the attempt.
 type class string
 
 const (
-	// classFinal is followed by nothing.
+	// classFinal is not followed by another attempt.
 	classFinal class = "final"
-	// classMoved did not run for a reason that another agent does not share.
-	classMoved class = "moved"
-	// classLoaded did not run because of load.
+	// classRefused did not run for a reason that applies only to the agent that refused it. A resend is
+	// not charged to the budget.
+	classRefused class = "moved"
+	// classLoaded did not run because of overload, preemption or a failing backend server. A resend is
+	// charged to the budget.
 	classLoaded class = "loaded"
-	// classRan ran or may have run, without an answer.
+	// classRan ran or may have run, but produced no answer. A retry is charged to the budget.
 	classRan class = "ran"
 )
 
@@ -31,7 +33,7 @@
 func classifyNotRun(c codes.Code) class {
 	switch c {
 	case codes.Draining, codes.NewerRevision, codes.OtherIncarnation, codes.NotReady, codes.StaleConfig:
-		return classMoved
+		return classRefused
 	case codes.Overloaded, codes.DeadlineUnmeetable, codes.Preempted, codes.BackendFailed, codes.BackendLost:
 		return classLoaded
 	default:
--- a/share/decide/retry/retry.go
+++ b/share/decide/retry/retry.go
@@ -1,7 +1,7 @@
-// Package retry decides whether a call of a stage is sent once more.
+// Package retry decides whether a failed call of a stage is sent to another agent.
 //
-// A Budget belongs to one service at one entry and to one goroutine, or is
-// guarded by its caller; nothing in it locks.
+// A Budget belongs to one service at one entry. It is not safe for concurrent use: it belongs to one
+// goroutine, or its caller guards it with a lock.
 package retry
 
 import (
@@ -10,23 +10,24 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Action is what to do after an attempt that brought no answer.
+// Action is what to do after an attempt that produced no answer.
 type Action string
 
 // The actions.
 const (
-	// ActionStop answers the caller with the result.
+	// ActionStop returns the result to the caller.
 	ActionStop Action = "stop"
-	// ActionResend sends to another agent at once: this attempt did not run.
+	// ActionResend sends the call to another agent at once, since this attempt did not run.
 	ActionResend Action = "resend"
-	// ActionRetry sends to another agent after a pause: this attempt ran or may have run.
+	// ActionRetry sends the call to another agent after a backoff, since this attempt ran or may have
+	// run.
 	ActionRetry Action = "retry"
 )
 
-// Reason says why an attempt is the last.
+// Reason is why no other attempt follows.
 type Reason string
 
-// The reasons; ReasonNone comes with an action other than ActionStop.
+// The reasons. ReasonNone goes with any action other than ActionStop.
 const (
 	ReasonNone          Reason = ""
 	ReasonFinal         Reason = "final"
@@ -37,111 +38,118 @@
 	ReasonDeadline      Reason = "deadline"
 )
 
-// halves divides a budget into what is open and what is kept for faults.
-const halves = 2
+// budgetParts is the number of equal parts of a budget: the general one and the fault reserve.
+const budgetParts = 2
 
 // Settings are fixed for the life of a Budget.
 type Settings struct {
-	// Share of the first attempts that may be sent once more, 0 to 1.
+	// Share is the share of first attempts that may be retried, 0 to 1.
 	Share float64
-	// Reserve is what a new budget holds, so that a quiet service may retry at all.
-	Reserve float64
-	// Cap bounds what is saved up, and with it the retries that a sudden failure sets off.
-	Cap float64
-	// MaxResends bounds the resends of one stage of one request.
+	// InitialTokens is what a new budget holds, so that a service with little traffic can retry at all.
+	InitialTokens float64
+	// MaxTokens is the most that a budget can accumulate. It bounds the burst of retries after a sudden
+	// failure.
+	MaxTokens float64
+	// MaxResends is the maximum number of resends of one stage of one request.
 	MaxResends int
-	// Base is the pause before the first retry; it doubles up to Max.
-	Base time.Duration
-	Max  time.Duration
-	// HedgeAfter is how long an attempt may go unanswered before a second one; 0 turns hedging off.
+	// BaseBackoff is the upper limit of the backoff before the first retry. It doubles with each
+	// further retry, up to MaxBackoff.
+	BaseBackoff time.Duration
+	MaxBackoff  time.Duration
+	// HedgeAfter is the time without an answer after which a second attempt may be sent; 0 turns
+	// hedging off.
 	HedgeAfter time.Duration
 }
 
-// DefaultSettings returns the settings of the programs for a service's share of retries.
+// DefaultSettings returns the default settings for a service with the given share of retries.
 func DefaultSettings(share float64) Settings {
 	return Settings{
-		Share:      share,
-		Reserve:    3,
-		Cap:        20,
-		MaxResends: 3,
-		Base:       10 * time.Millisecond,
-		Max:        250 * time.Millisecond,
+		Share:         share,
+		InitialTokens: 3,
+		MaxTokens:     20,
+		MaxResends:    3,
+		BaseBackoff:   10 * time.Millisecond,
+		MaxBackoff:    250 * time.Millisecond,
 	}
 }
 
-// Attempt is one that ended without an answer.
+// Attempt is an attempt that ended without an answer.
 type Attempt struct {
-	// Retries and Resends count what was sent after the first attempt of this stage.
+	// Retries and Resends are the numbers of retries and resends of this stage so far.
 	Retries int
 	Resends int
 	Code    codes.Code
 	Outcome codes.Outcome
-	// Idempotent is false where a second run would do harm.
+	// Idempotent is false if running the call a second time would do harm.
 	Idempotent bool
-	// Reclaimed is set for a non-idempotent call when its claim was moved to a new
-	// attempt and the old one can never start; only then may it be sent again.
+	// Reclaimed is set for a non-idempotent call if its claim was moved to a new attempt and the old
+	// attempt can never start. Only then may the call be resent.
 	Reclaimed bool
-	// Delivered is set once a part of the answer went to the caller.
+	// Delivered is set once part of the answer was sent to the caller.
 	Delivered bool
-	// Remaining is the time left to the deadline; Need the predicted time of another attempt.
-	Remaining time.Duration
-	Need      time.Duration
+	// Remaining is the time left until the deadline; EstimatedTime is the predicted time of another
+	// attempt.
+	Remaining     time.Duration
+	EstimatedTime time.Duration
 }
 
-// Decision is what follows an attempt.
+// Decision is what to do after an attempt.
 type Decision struct {
 	Action Action
 	Reason Reason
-	// After is the pause before the next attempt; 0 unless Action is ActionRetry.
-	After time.Duration
+	// Backoff is the pause before the next attempt; 0 unless Action is ActionRetry.
+	Backoff time.Duration
 }
 
-// Budget holds what a service may still send more than once. Half of it is
-// kept for faults: a minute of overload would empty it else, and a replica lost
-// right after could not be made up for. Callers would get errors for work that
-// another replica had room for.
+// Budget is the retry budget of a service. One token pays for one retry, hedge or resend; only resends
+// after classRefused are free. Half of the budget is reserved for faults: otherwise a minute of
+// overload would empty it, and if a replica were lost right afterwards, callers would get errors for
+// work that another replica had capacity for.
 type Budget struct {
 	settings Settings
-	// open may be used after any result, kept only after faults; each is at most half of Cap.
-	open float64
-	kept float64
+	// general may be used after any result, faultReserve only after faults. Each is at most half of
+	// MaxTokens.
+	general      float64
+	faultReserve float64
 }
 
-// NewBudget returns a budget with its reserve.
+// NewBudget returns a budget that holds InitialTokens, but at most MaxTokens.
 func NewBudget(s Settings) *Budget {
-	half := min(s.Reserve, s.Cap) / halves
-	return &Budget{settings: s, open: half, kept: half}
+	part := min(s.InitialTokens, s.MaxTokens) / budgetParts
+	return &Budget{settings: s, general: part, faultReserve: part}
 }
 
-// Tokens returns the number of calls that may be sent once more now.
-func (b *Budget) Tokens() float64 { return b.open + b.kept }
+// Tokens returns the number of tokens in both halves of the budget.
+func (b *Budget) Tokens() float64 { return b.general + b.faultReserve }
 
-// OnFirst notes a first attempt, which earns its share of a retry.
-func (b *Budget) OnFirst() {
-	b.open = min(b.settings.Cap/halves, b.open+b.settings.Share/halves)
-	b.kept = min(b.settings.Cap/halves, b.kept+b.settings.Share/halves)
+// OnFirstAttempt records a first attempt, which adds Share to the budget.
+func (b *Budget) OnFirstAttempt() {
+	b.general = min(b.settings.MaxTokens/budgetParts, b.general+b.settings.Share/budgetParts)
+	b.faultReserve = min(b.settings.MaxTokens/budgetParts, b.faultReserve+b.settings.Share/budgetParts)
 }
 
-// withdraw takes one call from the open half; false when it holds less.
+// withdraw takes one token from the general half. It returns false if there is none.
 func (b *Budget) withdraw() bool {
-	if b.open < 1 {
+	if b.general < 1 {
 		return false
 	}
-	b.open--
+	b.general--
 	return true
 }
 
-// withdrawFault takes one call from what is kept for faults, and from the open half when that is used.
+// withdrawFault takes one token from the fault reserve, or from the general half if the reserve is
+// used up. It returns false if both are.
 func (b *Budget) withdrawFault() bool {
-	if b.kept < 1 {
+	if b.faultReserve < 1 {
 		return b.withdraw()
 	}
-	b.kept--
+	b.faultReserve--
 	return true
 }
 
-// pay takes the call that follows the attempt from the budget.
-func (b *Budget) pay(a Attempt) bool {
+// charge takes a token for the call that follows the attempt. It returns false if none is available.
+// After a refusal because of load, only the general half may be used.
+func (b *Budget) charge(a Attempt) bool {
 	switch a.Code {
 	case codes.Overloaded, codes.DeadlineUnmeetable:
 		return b.withdraw()
@@ -150,34 +158,36 @@
 	}
 }
 
-// Decide says what follows the attempt and takes it from the budget; random is in [0, 1).
+// Decide returns what to do after the attempt and charges a following attempt to the budget. random is
+// in [0, 1).
 func (b *Budget) Decide(a Attempt, random float64) Decision {
 	class := classify(a)
-	if reason := b.bar(a, class); reason != ReasonNone {
+	if reason := b.stopReason(a, class); reason != ReasonNone {
 		return stop(reason)
 	}
-	after := time.Duration(0)
+	backoff := time.Duration(0)
 	if class == classRan {
-		after = b.backoff(a.Retries, random)
+		backoff = b.backoff(a.Retries, random)
 	}
-	if a.Remaining < after+a.Need {
+	if a.Remaining < backoff+a.EstimatedTime {
 		return stop(ReasonDeadline)
 	}
-	// A refusal that says nothing about load cannot feed a storm: the agent did no
-	// work for it and MaxResends bounds it. All others come out of the budget.
-	if class != classMoved && !b.pay(a) {
+	// A resend after classRefused is free. The refusal is not a sign of load, so it cannot cause a
+	// retry storm: the agent did no work for the call, and MaxResends limits the resends. All others
+	// are charged to the budget.
+	if class != classRefused && !b.charge(a) {
 		return stop(ReasonBudget)
 	}
 	if class == classRan {
-		return Decision{Action: ActionRetry, After: after}
+		return Decision{Action: ActionRetry, Backoff: backoff}
 	}
 	return Decision{Action: ActionResend}
 }
 
 func stop(r Reason) Decision { return Decision{Action: ActionStop, Reason: r} }
 
-// bar says why the attempt may not be followed by another, whatever the budget.
-func (b *Budget) bar(a Attempt, c class) Reason {
+// stopReason returns why no other attempt may follow regardless of the budget, or ReasonNone.
+func (b *Budget) stopReason(a Attempt, c class) Reason {
 	switch {
 	case c == classFinal:
 		return ReasonFinal
@@ -192,14 +202,15 @@
 	}
 }
 
-// backoff is a random part of a pause that doubles, so that callers who failed together spread out.
+// backoff returns a random part of a pause that doubles with each retry, so that calls that failed
+// together are not retried at the same time.
 func (b *Budget) backoff(retries int, random float64) time.Duration {
-	pause := b.settings.Base
+	pause := b.settings.BaseBackoff
 	for range retries {
-		if pause >= b.settings.Max {
+		if pause >= b.settings.MaxBackoff {
 			break
 		}
 		pause *= 2
 	}
-	return time.Duration(random * float64(min(pause, b.settings.Max)))
+	return time.Duration(random * float64(min(pause, b.settings.MaxBackoff)))
 }
--- a/share/decide/retry/retry_test.go
+++ b/share/decide/retry/retry_test.go
@@ -11,15 +11,15 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-func lost() retry.Attempt {
+func lostAttempt() retry.Attempt {
 	return retry.Attempt{
 		Code: codes.BackendLost, Outcome: codes.OutcomeUnknown, Idempotent: true,
-		Remaining: time.Second, Need: 100 * time.Millisecond,
+		Remaining: time.Second, EstimatedTime: 100 * time.Millisecond,
 	}
 }
 
-func notRun(c codes.Code) retry.Attempt {
-	a := lost()
+func notRunAttempt(c codes.Code) retry.Attempt {
+	a := lostAttempt()
 	a.Code = c
 	a.Outcome = codes.OutcomeNotRun
 	return a
@@ -38,22 +38,22 @@
 		reason  retry.Reason
 		spent   float64
 	}{
-		{"lost", lost(), retry.ActionRetry, retry.ReasonNone, 1},
-		{"lost order", with(lost(), func(a *retry.Attempt) { a.Idempotent = false }), retry.ActionStop, retry.ReasonNotIdempotent, 0},
-		{"lost order with a new claim", with(lost(), func(a *retry.Attempt) { a.Idempotent, a.Reclaimed = false, true }), retry.ActionStop, retry.ReasonNotIdempotent, 0},
-		{"order refused", with(notRun(codes.Draining), func(a *retry.Attempt) { a.Idempotent = false }), retry.ActionStop, retry.ReasonNotIdempotent, 0},
-		{"order refused and claimed anew", with(notRun(codes.Draining), func(a *retry.Attempt) { a.Idempotent, a.Reclaimed = false, true }), retry.ActionResend, retry.ReasonNone, 0},
-		{"no time left", with(lost(), func(a *retry.Attempt) { a.Remaining = 104 * time.Millisecond }), retry.ActionStop, retry.ReasonDeadline, 0},
-		{"part delivered", with(lost(), func(a *retry.Attempt) { a.Delivered = true }), retry.ActionStop, retry.ReasonDelivered, 0},
-		{"preempted", with(lost(), func(a *retry.Attempt) { a.Code, a.Outcome = codes.Preempted, codes.OutcomeRan }), retry.ActionRetry, retry.ReasonNone, 1},
-		{"draining", notRun(codes.Draining), retry.ActionResend, retry.ReasonNone, 0},
-		{"newer revision", notRun(codes.NewerRevision), retry.ActionResend, retry.ReasonNone, 0},
-		{"overloaded", notRun(codes.Overloaded), retry.ActionResend, retry.ReasonNone, 1},
-		{"resent too often", with(notRun(codes.Draining), func(a *retry.Attempt) { a.Resends = 3 }), retry.ActionStop, retry.ReasonResends, 0},
-		{"bad request", notRun(codes.BadRequest), retry.ActionStop, retry.ReasonFinal, 0},
-		{"tombstoned", notRun(codes.Tombstoned), retry.ActionStop, retry.ReasonFinal, 0},
-		{"deadline passed", with(lost(), func(a *retry.Attempt) { a.Code = codes.DeadlineExceeded }), retry.ActionStop, retry.ReasonFinal, 0},
-		{"canceled", with(lost(), func(a *retry.Attempt) { a.Code = codes.Canceled }), retry.ActionStop, retry.ReasonFinal, 0},
+		{"lost", lostAttempt(), retry.ActionRetry, retry.ReasonNone, 1},
+		{"lost, non-idempotent", with(lostAttempt(), func(a *retry.Attempt) { a.Idempotent = false }), retry.ActionStop, retry.ReasonNotIdempotent, 0},
+		{"lost, non-idempotent with a new claim", with(lostAttempt(), func(a *retry.Attempt) { a.Idempotent, a.Reclaimed = false, true }), retry.ActionStop, retry.ReasonNotIdempotent, 0},
+		{"refused, non-idempotent", with(notRunAttempt(codes.Draining), func(a *retry.Attempt) { a.Idempotent = false }), retry.ActionStop, retry.ReasonNotIdempotent, 0},
+		{"refused, non-idempotent with a new claim", with(notRunAttempt(codes.Draining), func(a *retry.Attempt) { a.Idempotent, a.Reclaimed = false, true }), retry.ActionResend, retry.ReasonNone, 0},
+		{"no time left", with(lostAttempt(), func(a *retry.Attempt) { a.Remaining = 104 * time.Millisecond }), retry.ActionStop, retry.ReasonDeadline, 0},
+		{"part delivered", with(lostAttempt(), func(a *retry.Attempt) { a.Delivered = true }), retry.ActionStop, retry.ReasonDelivered, 0},
+		{"preempted", with(lostAttempt(), func(a *retry.Attempt) { a.Code, a.Outcome = codes.Preempted, codes.OutcomeRan }), retry.ActionRetry, retry.ReasonNone, 1},
+		{"draining", notRunAttempt(codes.Draining), retry.ActionResend, retry.ReasonNone, 0},
+		{"newer revision", notRunAttempt(codes.NewerRevision), retry.ActionResend, retry.ReasonNone, 0},
+		{"overloaded", notRunAttempt(codes.Overloaded), retry.ActionResend, retry.ReasonNone, 1},
+		{"resent too often", with(notRunAttempt(codes.Draining), func(a *retry.Attempt) { a.Resends = 3 }), retry.ActionStop, retry.ReasonResends, 0},
+		{"bad request", notRunAttempt(codes.BadRequest), retry.ActionStop, retry.ReasonFinal, 0},
+		{"tombstoned", notRunAttempt(codes.Tombstoned), retry.ActionStop, retry.ReasonFinal, 0},
+		{"deadline passed", with(lostAttempt(), func(a *retry.Attempt) { a.Code = codes.DeadlineExceeded }), retry.ActionStop, retry.ReasonFinal, 0},
+		{"canceled", with(lostAttempt(), func(a *retry.Attempt) { a.Code = codes.Canceled }), retry.ActionStop, retry.ReasonFinal, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -64,35 +64,35 @@
 			is.Equal(d.Action, tc.action)
 			is.Equal(d.Reason, tc.reason)
 			is.Equal(before-b.Tokens(), tc.spent)
-			is.Equal(d.After > 0, tc.action == retry.ActionRetry)
+			is.Equal(d.Backoff > 0, tc.action == retry.ActionRetry)
 		})
 	}
 }
 
-func TestBackoffDoublesUpToItsBound(t *testing.T) {
+func TestBackoffDoublesUpToMaxBackoff(t *testing.T) {
 	is := is.New(t)
-	b := retry.NewBudget(retry.Settings{Reserve: 9, Cap: 9, Base: 10 * time.Millisecond, Max: 60 * time.Millisecond})
+	b := retry.NewBudget(retry.Settings{InitialTokens: 9, MaxTokens: 9, BaseBackoff: 10 * time.Millisecond, MaxBackoff: 60 * time.Millisecond})
 	var pauses []time.Duration
 	for retries := range 5 {
-		d := b.Decide(with(lost(), func(a *retry.Attempt) { a.Retries = retries }), 0.5)
-		pauses = append(pauses, d.After/time.Millisecond)
+		d := b.Decide(with(lostAttempt(), func(a *retry.Attempt) { a.Retries = retries }), 0.5)
+		pauses = append(pauses, d.Backoff/time.Millisecond)
 	}
 	is.Equal(pauses, []time.Duration{5, 10, 20, 30, 30})
 }
 
-// A stage fails every call for a minute and each caller's request is retried.
-// Without a budget the stage would get three times the load while it is least
-// able to take it, and would stay down after the cause has gone.
-func TestFailingStageGetsNoStorm(t *testing.T) {
+// Guards against retry storms. If a stage fails every call for a minute and every request is retried
+// without a budget, the stage gets three times the load while it is least able to handle it, and stays
+// down after the cause is gone.
+func TestRetriesOfFailingStageAreBounded(t *testing.T) {
 	is := is.New(t)
 	b := retry.NewBudget(retry.DefaultSettings(0.1))
 	const offered = 10_000
 	sent := 0
 	for range offered {
-		b.OnFirst()
+		b.OnFirstAttempt()
 		sent++
 		for retries := 0; ; retries++ {
-			d := b.Decide(with(lost(), func(a *retry.Attempt) { a.Retries = retries }), 0.5)
+			d := b.Decide(with(lostAttempt(), func(a *retry.Attempt) { a.Retries = retries }), 0.5)
 			if d.Action == retry.ActionStop {
 				break
 			}
@@ -103,99 +103,99 @@
 	is.True(float64(sent) <= 1.1*offered+3)
 }
 
-func TestRetriesStayWithinTheShare(t *testing.T) {
+func TestRetriesStayWithinShare(t *testing.T) {
 	results := []codes.Code{codes.BackendFailed, codes.Overloaded, codes.Draining, codes.Preempted, codes.BackendLost}
 	rapid.Check(t, func(t *rapid.T) {
 		s := retry.DefaultSettings(rapid.Float64Range(0, 1).Draw(t, "share"))
 		s.HedgeAfter = time.Millisecond
-		s.Reserve = rapid.Float64Range(0, 5).Draw(t, "reserve")
+		s.InitialTokens = rapid.Float64Range(0, 5).Draw(t, "initial tokens")
 		b := retry.NewBudget(s)
-		first, more := 0, 0
+		first, extra := 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			if rapid.Bool().Draw(t, "first") {
-				b.OnFirst()
+				b.OnFirstAttempt()
 				first++
 				continue
 			}
 			if rapid.IntRange(0, 3).Draw(t, "hedge") == 0 {
-				if b.Hedge(retry.Open{Idempotent: true, Elapsed: time.Second, Remaining: time.Second}) {
-					more++
+				if b.Hedge(retry.PendingAttempt{Idempotent: true, Elapsed: time.Second, Remaining: time.Second}) {
+					extra++
 				}
 				continue
 			}
-			a := lost()
+			a := lostAttempt()
 			a.Code = rapid.SampledFrom(results).Draw(t, "code")
 			a.Outcome = rapid.SampledFrom([]codes.Outcome{codes.OutcomeNotRun, codes.OutcomeRan, codes.OutcomeUnknown}).Draw(t, "outcome")
 			a.Idempotent = rapid.Bool().Draw(t, "idempotent")
 			d := b.Decide(a, rapid.Float64Range(0, 0.999).Draw(t, "random"))
 			if !a.Idempotent && d.Action != retry.ActionStop {
-				t.Fatalf("a non-idempotent call gets %s", d.Action)
+				t.Fatalf("action %s after a non-idempotent call", d.Action)
 			}
 			if d.Action == retry.ActionRetry || d.Action == retry.ActionResend && a.Code != codes.Draining {
-				more++
+				extra++
 			}
 		}
-		if float64(more) > s.Reserve+s.Share*float64(first)+0.000001 {
-			t.Fatalf("%d more for %d first attempts", more, first)
+		if float64(extra) > s.InitialTokens+s.Share*float64(first)+0.000001 {
+			t.Fatalf("%d retries, resends and hedges for %d first attempts", extra, first)
 		}
 	})
 }
 
-func TestBudgetSavesNoMoreThanItsCap(t *testing.T) {
+func TestBudgetHoldsAtMostMaxTokens(t *testing.T) {
 	b := retry.NewBudget(retry.DefaultSettings(0.1))
 	for range 10_000 {
-		b.OnFirst()
+		b.OnFirstAttempt()
 	}
-	is.New(t).Equal(b.Tokens(), retry.DefaultSettings(0.1).Cap)
+	is.New(t).Equal(b.Tokens(), retry.DefaultSettings(0.1).MaxTokens)
 }
 
 func TestHedge(t *testing.T) {
-	open := retry.Open{Idempotent: true, Elapsed: 300 * time.Millisecond, Remaining: time.Second, Need: 100 * time.Millisecond}
+	pending := retry.PendingAttempt{Idempotent: true, Elapsed: 300 * time.Millisecond, Remaining: time.Second, EstimatedTime: 100 * time.Millisecond}
 	cases := []struct {
 		name   string
 		after  time.Duration
-		change func(o *retry.Open)
+		change func(o *retry.PendingAttempt)
 		want   bool
 	}{
-		{"off by default", 0, func(*retry.Open) {}, false},
-		{"late", 200 * time.Millisecond, func(*retry.Open) {}, true},
-		{"early", 400 * time.Millisecond, func(*retry.Open) {}, false},
-		{"non-idempotent", 200 * time.Millisecond, func(o *retry.Open) { o.Idempotent = false }, false},
-		{"once only", 200 * time.Millisecond, func(o *retry.Open) { o.Hedged = true }, false},
-		{"no time left", 200 * time.Millisecond, func(o *retry.Open) { o.Remaining = 0 }, false},
+		{"off by default", 0, func(*retry.PendingAttempt) {}, false},
+		{"late", 200 * time.Millisecond, func(*retry.PendingAttempt) {}, true},
+		{"early", 400 * time.Millisecond, func(*retry.PendingAttempt) {}, false},
+		{"non-idempotent", 200 * time.Millisecond, func(o *retry.PendingAttempt) { o.Idempotent = false }, false},
+		{"once only", 200 * time.Millisecond, func(o *retry.PendingAttempt) { o.Hedged = true }, false},
+		{"no time left", 200 * time.Millisecond, func(o *retry.PendingAttempt) { o.Remaining = 0 }, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := retry.DefaultSettings(0.1)
 			s.HedgeAfter = tc.after
-			o := open
+			o := pending
 			tc.change(&o)
 			is.New(t).Equal(retry.NewBudget(s).Hedge(o), tc.want)
 		})
 	}
 }
 
-// Callers get errors when a replica is lost after a minute of overload, though
-// others have room: refusals for load had used up what may be sent again.
-func TestLoadLeavesHalfOfTheBudgetToFaults(t *testing.T) {
+// Guards against errors for callers when a replica is lost after a minute of overload although other
+// replicas have capacity, because resends after refusals for load had used up the retry budget.
+func TestOverloadLeavesHalfOfBudgetForFaults(t *testing.T) {
 	is := is.New(t)
 	s := retry.DefaultSettings(0.1)
 	b := retry.NewBudget(s)
 	for range 1000 {
-		b.OnFirst()
+		b.OnFirstAttempt()
 	}
 	resent := 0
 	for range 100 {
-		if b.Decide(notRun(codes.DeadlineUnmeetable), 0).Action == retry.ActionResend {
+		if b.Decide(notRunAttempt(codes.DeadlineUnmeetable), 0).Action == retry.ActionResend {
 			resent++
 		}
 	}
-	is.Equal(resent, int(s.Cap)/2)
+	is.Equal(resent, int(s.MaxTokens)/2)
 	retried := 0
 	for range 100 {
-		if b.Decide(lost(), 0).Action == retry.ActionRetry {
+		if b.Decide(lostAttempt(), 0).Action == retry.ActionRetry {
 			retried++
 		}
 	}
-	is.Equal(retried, int(s.Cap)/2)
+	is.Equal(retried, int(s.MaxTokens)/2)
 }
