--- a/entry/services/direct/direct.go
+++ b/entry/services/direct/direct.go
@@ -124,7 +124,7 @@
 		Cost:      callCost,
 		Remaining: time.Until(q.Deadline),
 	})
-	return decision.Refused
+	return decision.Refusal
 }
 
 func (c *Caller) newCall(q *Request) *calls.Call {
--- a/entry/services/policy/policy.go
+++ b/entry/services/policy/policy.go
@@ -86,14 +86,14 @@
 func (p *Policy) AddStageTime(now time.Time, key string, took time.Duration) {
 	p.admitLock.Lock()
 	defer p.admitLock.Unlock()
-	p.admitter.OnStage(now, key, took)
+	p.admitter.OnStageTime(now, key, took)
 }
 
 // CountTeams returns the number of teams that admission holds state for.
 func (p *Policy) CountTeams() int {
 	p.admitLock.Lock()
 	defer p.admitLock.Unlock()
-	return p.admitter.Teams()
+	return p.admitter.CountTeams()
 }
 
 // DepositFirst counts a first attempt towards the service's retry budget.
--- a/entry/services/policy/policy_test.go
+++ b/entry/services/policy/policy_test.go
@@ -19,18 +19,18 @@
 	late := admit.Request{
 		Team:      "kranj",
 		Remaining: 100 * time.Millisecond,
-		Stages:    []admit.Stage{{Key: key, Wait: time.Second, Guess: time.Second}},
+		Stages:    []admit.Stage{{Key: key, Wait: time.Second, EstimatedTime: time.Second}},
 	}
 	t.Run("by deadline", func(t *testing.T) {
 		is := is.New(t)
 		decision := policy.NewPolicy(policy.AdmissionDeadline).DecideAdmission(start(), late)
-		is.True(decision.Refused != nil)
-		is.Equal(decision.Refused.Code, codes.DeadlineUnmeetable)
+		is.True(decision.Refusal != nil)
+		is.Equal(decision.Refusal.Code, codes.DeadlineUnmeetable)
 	})
 	t.Run("off", func(t *testing.T) {
 		is := is.New(t)
 		decision := policy.NewPolicy(policy.AdmissionOff).DecideAdmission(start(), late)
-		is.Equal(decision.Refused, nil)
+		is.Equal(decision.Refusal, nil)
 		is.Equal(len(decision.Shares), 1)
 	})
 }
--- a/entry/services/walk/walk.go
+++ b/entry/services/walk/walk.go
@@ -144,7 +144,7 @@
 		if refusal != nil && refusal.Code != codes.NoBackend {
 			return nil, refusal
 		}
-		p.stages = append(p.stages, admit.Stage{Key: q.Pipeline.Name + "/" + stage.Name, Wait: wait, Guess: run})
+		p.stages = append(p.stages, admit.Stage{Key: q.Pipeline.Name + "/" + stage.Name, Wait: wait, EstimatedTime: run})
 		p.costs = append(p.costs, cost)
 		total += cost
 	}
@@ -156,7 +156,7 @@
 		Remaining: time.Until(q.Deadline),
 		Stages:    p.stages,
 	})
-	return p, decision.Refused
+	return p, decision.Refusal
 }
 
 func (w *Walker) chooseOptions(snapshot *config.Snapshot, q *Request, stage *config.Stage) fleet.ChooseOptions {
--- a/share/decide/admit/admit.go
+++ b/share/decide/admit/admit.go
@@ -1,7 +1,8 @@
-// Package admit decides at the entry whether a request may begin: within its
-// team's limit, and only when its stages can be expected to end in time.
+// Package admit decides at the entry whether a request is admitted: its team must be within its limit,
+// and its stages must be expected to finish before the deadline.
 //
-// An Admitter belongs to one goroutine or is guarded by its caller; nothing in it locks.
+// An Admitter is not safe for concurrent use: it belongs to one goroutine, or its caller guards it with
+// a lock.
 package admit
 
 import (
@@ -12,90 +13,97 @@
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound the advice to callers.
+	// minRetryAfter and maxRetryAfter bound the retry-after time sent to callers.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
 // Settings are fixed for the life of an Admitter.
 type Settings struct {
-	// Quantile of the stage times that must fit into the deadline, 0 to 1.
-	Quantile float64
-	// ShareQuantile is the one by which the deadline is divided among the stages.
-	ShareQuantile float64
-	// Window is how long a measured stage time counts.
+	// AdmitQuantile is the quantile, 0 to 1, of the stage times that must fit before the deadline for
+	// a request to be admitted.
+	AdmitQuantile float64
+	// SplitQuantile is the quantile of the stage times by which the time until the deadline is divided
+	// among the stages.
+	SplitQuantile float64
+	// Window is the length of the sliding window of measured stage times.
 	Window time.Duration
 }
 
-// DefaultSettings returns the settings of the programs.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
-	return Settings{Quantile: 0.5, ShareQuantile: 0.95, Window: 30 * time.Second}
+	return Settings{AdmitQuantile: 0.5, SplitQuantile: 0.95, Window: 30 * time.Second}
 }
 
-// Stage is one that the request has still to go through.
+// Stage is a stage that the request still has to run.
 type Stage struct {
-	// Key tells the stage's times apart, for instance "pipeline/stage".
+	// Key identifies the stage's measured times, for example "pipeline/stage".
 	Key string
 	// Wait is the predicted queue delay.
 	Wait time.Duration
-	// Guess stands for the stage's time until one was measured.
-	Guess time.Duration
-	// Full is set when every queue of the stage refuses work of this priority.
-	Full bool
+	// EstimatedTime is the expected time of the stage without its queue delay. It is used until enough
+	// times were measured.
+	EstimatedTime time.Duration
+	// QueuesFull is set when every queue of the stage refuses work of this priority.
+	QueuesFull bool
 }
 
-// Request asks to begin.
+// Request is a request to be admitted.
 type Request struct {
 	Team string
-	// Rate and Burst are the team's limits over the whole system; Rate 0: none.
+	// Rate and Burst are the team's limits across all entries, in cost units per second and cost
+	// units. Rate 0 means no limit.
 	Rate  float64
 	Burst float64
-	// Cost is the estimated cost of all stages, in units.
+	// Cost is the estimated cost of all stages, in cost units.
 	Cost float64
-	// Remaining is the time left to the deadline.
+	// Remaining is the time left until the deadline.
 	Remaining time.Duration
-	// Stages are in the order in which they run.
+	// Stages are the stages in the order in which they run.
 	Stages []Stage
 }
 
-// Decision is an admission with each stage's part of the deadline, or a refusal.
+// Decision is an admission, with each stage's share of the remaining time, or a refusal.
 type Decision struct {
-	// Refused is nil when the request may begin.
-	Refused *codes.Result
-	// Shares has one part for each stage; they add up to the remaining time.
+	// Refusal is nil if the request is admitted.
+	Refusal *codes.Result
+	// Shares has one share for each stage. The shares add up to the remaining time.
 	Shares []time.Duration
 }
 
-// Admitter holds stage times and the teams' buckets.
+// Admitter holds the measured stage times and the teams' token buckets.
 type Admitter struct {
 	settings Settings
-	stages   map[string]*times
+	stages   map[string]*stageTimes
 	buckets  buckets
 }
 
-// New returns an admitter that is the only entry until SetEntries.
+// New returns an admitter that applies the teams' full limits until SetEntries divides them.
 func New(s Settings) *Admitter {
-	return &Admitter{settings: s, stages: make(map[string]*times), buckets: newBuckets()}
+	return &Admitter{settings: s, stages: make(map[string]*stageTimes), buckets: newBuckets()}
 }
 
 // SetEntries divides the teams' limits among the live entries.
 func (a *Admitter) SetEntries(n int) { a.buckets.entries = float64(max(n, 1)) }
 
-// Teams returns the number of teams with state: those not at their full burst.
-func (a *Admitter) Teams() int { return len(a.buckets.teams) }
+// CountTeams returns the number of teams with a stored bucket. A bucket that is full again is dropped
+// at the next sweep.
+func (a *Admitter) CountTeams() int { return len(a.buckets.teams) }
 
-// OnStage takes the measured time of a stage without its queue delay. A stage that was
-// given up on counts too, with the time until then: left out, the slow ones would not show.
-func (a *Admitter) OnStage(now time.Time, key string, took time.Duration) {
+// OnStageTime records the measured time of a stage without its queue delay. A stage that was abandoned
+// must be recorded too, with the time until then. Otherwise the slowest stages would be missing from
+// the estimates.
+func (a *Admitter) OnStageTime(now time.Time, key string, took time.Duration) {
 	t, ok := a.stages[key]
 	if !ok {
-		t = newTimes(now, a.settings)
+		t = newStageTimes(now, a.settings)
 		a.stages[key] = t
 	}
 	t.add(now, took)
 }
 
-// Forget drops the times of stages that the configuration no longer has.
+// Forget drops the measured times of all stages for which keep returns false, so that stages that are
+// no longer in the configuration take no memory.
 func (a *Admitter) Forget(keep func(key string) bool) {
 	for key := range a.stages {
 		if !keep(key) {
@@ -104,55 +112,60 @@
 	}
 }
 
-// Decide admits or refuses. Only an admission is charged to the team.
+// Decide admits or refuses a request. Only admitted requests are charged to their team.
 func (a *Admitter) Decide(now time.Time, q Request) Decision {
-	if refused := a.checkStages(now, q); refused != nil {
-		return Decision{Refused: refused}
+	if refusal := a.checkStages(now, q); refusal != nil {
+		return Decision{Refusal: refusal}
 	}
 	if wait, ok := a.buckets.take(now, q); !ok {
 		detail := fmt.Sprintf("team %s is over its limit of %g cost units per second", q.Team, q.Rate)
-		return Decision{Refused: refuse(codes.TeamLimit, detail, wait)}
+		return Decision{Refusal: refuse(codes.TeamLimit, detail, wait)}
 	}
 	return Decision{Shares: a.Split(now, q.Remaining, q.Stages)}
 }
 
+// checkStages returns a refusal if the queues of a stage are full or the stages are not expected to
+// finish in time, and nil otherwise.
 func (a *Admitter) checkStages(now time.Time, q Request) *codes.Result {
-	var waits, runs time.Duration
+	var waits, serviceTimes time.Duration
 	for _, s := range q.Stages {
-		if s.Full {
+		if s.QueuesFull {
 			return refuse(codes.Overloaded, "the queues of stage "+s.Key+" are full", s.Wait)
 		}
-		run, _ := a.expect(now, s)
+		serviceTime, _ := a.estimate(now, s)
 		waits += s.Wait
-		runs += run
+		serviceTimes += serviceTime
 	}
-	need := waits + runs
-	if need <= q.Remaining {
+	needed := waits + serviceTimes
+	if needed <= q.Remaining {
 		return nil
 	}
-	detail := fmt.Sprintf("needs %v (%v of it queue delay), has %v", need, waits, q.Remaining)
-	if runs > q.Remaining {
-		// No empty queue would help; the measured times must age out or fall first.
+	detail := fmt.Sprintf("needs %v (%v of it queue delay), has %v", needed, waits, q.Remaining)
+	if serviceTimes > q.Remaining {
+		// Even empty queues would not help. The request can be admitted only after the measured times
+		// have left the window or lower ones were measured.
 		return refuse(codes.DeadlineUnmeetable, detail, a.settings.Window)
 	}
-	return refuse(codes.DeadlineUnmeetable, detail, need-q.Remaining)
+	return refuse(codes.DeadlineUnmeetable, detail, needed-q.Remaining)
 }
 
 func refuse(c codes.Code, detail string, after time.Duration) *codes.Result {
 	return codes.NewResult(c, detail).WithRetryAfter(min(max(after, minRetryAfter), maxRetryAfter))
 }
 
-// expect returns the times that must fit and by which the deadline is divided.
-func (a *Admitter) expect(now time.Time, s Stage) (fit, share time.Duration) {
+// estimate returns the stage's time at AdmitQuantile and at SplitQuantile, or its EstimatedTime for
+// both if too few times were measured.
+func (a *Admitter) estimate(now time.Time, s Stage) (admitTime, splitTime time.Duration) {
 	t, ok := a.stages[s.Key]
 	if !ok {
-		return s.Guess, s.Guess
+		return s.EstimatedTime, s.EstimatedTime
 	}
-	return t.expect(now, s.Guess)
+	return t.estimate(now, s.EstimatedTime)
 }
 
-// Split divides the remaining time among the stages still to run, by their measured times and
-// predicted queue delays. Called again before each stage, it hands what earlier ones saved to the later.
+// Split divides the remaining time among the stages that still have to run, in proportion to their
+// measured times and predicted queue delays. If it is called again before each stage, time that earlier
+// stages saved goes to the later ones.
 func (a *Admitter) Split(now time.Time, remaining time.Duration, stages []Stage) []time.Duration {
 	shares := make([]time.Duration, len(stages))
 	if len(stages) == 0 || remaining <= 0 {
@@ -160,15 +173,15 @@
 	}
 	total := time.Duration(0)
 	for i, s := range stages {
-		_, share := a.expect(now, s)
+		_, share := a.estimate(now, s)
 		shares[i] = max(share+s.Wait, time.Millisecond)
 		total += shares[i]
 	}
-	left := remaining
+	unassigned := remaining
 	for i := range shares[:len(shares)-1] {
 		shares[i] = time.Duration(float64(remaining) * float64(shares[i]) / float64(total))
-		left -= shares[i]
+		unassigned -= shares[i]
 	}
-	shares[len(shares)-1] = left
+	shares[len(shares)-1] = unassigned
 	return shares
 }
--- a/share/decide/admit/bench_test.go
+++ b/share/decide/admit/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 func BenchmarkDecide(b *testing.B) {
-	a := measured(map[string]time.Duration{"1": time.Second, "2": time.Second, "3": time.Second, "4": time.Second})
+	a := newMeasured(map[string]time.Duration{"1": time.Second, "2": time.Second, "3": time.Second, "4": time.Second})
 	stages := []admit.Stage{{Key: "1"}, {Key: "2"}, {Key: "3"}, {Key: "4"}}
 	q := admit.Request{Team: "a", Rate: 1e12, Burst: 1e12, Cost: 1, Remaining: 5 * time.Second, Stages: stages}
 	b.ReportAllocs()
@@ -19,7 +19,7 @@
 	}
 }
 
-// BenchmarkTeams19000 reports what 19,000 teams active at once and 145 stages hold.
+// BenchmarkTeams19000 reports the memory that 19,000 concurrently active teams and 145 stages take.
 func BenchmarkTeams19000(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -30,12 +30,12 @@
 			a.Decide(start, admit.Request{Team: fmt.Sprint("team-", n), Rate: 10, Burst: 20, Cost: 5})
 		}
 		for n := range 145 {
-			a.OnStage(start, fmt.Sprint("stage-", n), time.Second)
+			a.OnStageTime(start, fmt.Sprint("stage-", n), time.Second)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "bytes-held")
-		b.ReportMetric(float64(a.Teams()), "teams")
+		b.ReportMetric(float64(a.CountTeams()), "teams")
 		runtime.KeepAlive(a)
 	}
 }
--- a/share/decide/admit/bucket.go
+++ b/share/decide/admit/bucket.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// sweepEvery is how often the buckets that are full again are dropped.
-const sweepEvery = 10 * time.Second
+// sweepInterval is the time between two sweeps, which drop the buckets that are full again.
+const sweepInterval = 10 * time.Second
 
-// bucket is a team's token bucket; one that is full again equals none.
+// bucket is a team's token bucket. A team without a stored bucket has a full one.
 type bucket struct {
-	// tokens may fall below zero by the cost of a call above the burst.
-	tokens float64
-	rate   float64
-	burst  float64
-	at     time.Time
+	// tokens becomes negative when a request that costs more than the burst is admitted.
+	tokens   float64
+	rate     float64
+	burst    float64
+	filledAt time.Time
 }
 
-// buckets holds the state of the teams that used something lately.
+// buckets holds the token buckets of the teams that are not known to be full.
 type buckets struct {
-	// entries divides the limits; at least 1.
+	// entries is the number of entries among which the limits are divided; at least 1.
 	entries float64
 	teams   map[string]bucket
 	sweptAt time.Time
@@ -27,7 +27,8 @@
 
 func newBuckets() buckets { return buckets{entries: 1, teams: make(map[string]bucket)} }
 
-// take charges the request to its team; false, with how long the team has to wait, when it may not begin.
+// take charges the request to its team and returns true. If the team is over its limit, take charges
+// nothing and returns false and how long the team has to wait.
 func (b *buckets) take(now time.Time, q Request) (wait time.Duration, ok bool) {
 	if q.Rate <= 0 {
 		return 0, true
@@ -35,35 +36,38 @@
 	b.sweep(now)
 	t, known := b.teams[q.Team]
 	if !known {
-		t = bucket{tokens: math.Inf(1), at: now} // full; fill cuts it to the burst
+		t = bucket{tokens: math.Inf(1), filledAt: now} // full; refill limits it to the burst
 	}
 	t.rate = q.Rate / b.entries
 	t.burst = max(q.Burst, q.Rate) / b.entries
-	t.fill(now)
-	// A call above the burst passes when the bucket is full, and leaves a debt.
-	need := min(q.Cost, t.burst)
-	if t.tokens < need {
+	t.refill(now)
+	// A request that costs more than the burst is admitted if the bucket is full, and its tokens
+	// become negative.
+	needed := min(q.Cost, t.burst)
+	if t.tokens < needed {
 		b.teams[q.Team] = t
-		return time.Duration((need - t.tokens) / t.rate * float64(time.Second)), false
+		return time.Duration((needed - t.tokens) / t.rate * float64(time.Second)), false
 	}
 	t.tokens -= q.Cost
 	b.teams[q.Team] = t
 	return 0, true
 }
 
-func (t *bucket) fill(now time.Time) {
-	passed := max(now.Sub(t.at), 0)
-	t.tokens = min(t.burst, t.tokens+t.rate*passed.Seconds())
-	t.at = now
+// refill adds the tokens earned since the last refill.
+func (t *bucket) refill(now time.Time) {
+	elapsed := max(now.Sub(t.filledAt), 0)
+	t.tokens = min(t.burst, t.tokens+t.rate*elapsed.Seconds())
+	t.filledAt = now
 }
 
+// sweep drops the full buckets, at most once per sweepInterval, so that idle teams take no memory.
 func (b *buckets) sweep(now time.Time) {
-	if now.Sub(b.sweptAt) < sweepEvery {
+	if now.Sub(b.sweptAt) < sweepInterval {
 		return
 	}
 	b.sweptAt = now
 	for name, t := range b.teams {
-		t.fill(now)
+		t.refill(now)
 		if t.tokens >= t.burst {
 			delete(b.teams, name)
 		}
--- a/share/decide/admit/times.go
+++ b/share/decide/admit/times.go
@@ -7,50 +7,55 @@
 )
 
 const (
-	// sections divide the window; the oldest is dropped when the next begins.
-	sections = 3
-	// timeUnit, maxTime and digits keep a stage's histograms near 10 KB at an error below a tenth.
-	timeUnit = 100 * time.Microsecond
-	maxTime  = 10 * time.Minute
-	digits   = 1
-	// refresh is how long computed quantiles serve, since a merge costs more than a look.
-	refresh = 200 * time.Millisecond
-	// minSamples is the count below which the guess is taken when there is one.
+	// windowSections is the number of sections of the window. The oldest section is dropped when a new
+	// one begins.
+	windowSections = 3
+	// timeUnit, maxTime and significantDigits keep a stage's histograms at about 10 KB with a relative
+	// error below a tenth.
+	timeUnit          = 100 * time.Microsecond
+	maxTime           = 10 * time.Minute
+	significantDigits = 1
+	// refreshInterval is how long computed quantiles are reused, since merging the sections costs more
+	// than a lookup.
+	refreshInterval = 200 * time.Millisecond
+	// minSamples is the number of measured times below which the fallback is used, if there is one.
 	minSamples = 5
 )
 
-// times estimates quantiles of a stage's time over a sliding window. Old times
-// leave with their section, so a slow minute is forgotten even while
-// admission refuses everything and no new time arrives.
-type times struct {
+// stageTimes estimates quantiles of a stage's time over a sliding window. Old times are dropped with
+// their section even if no new times arrive. So after a slow minute the estimates recover although
+// admission refuses every request and nothing is measured.
+type stageTimes struct {
 	settings  Settings
 	window    *hdrhistogram.WindowedHistogram
 	rotatedAt time.Time
-	// computedAt is zero when fit and share must be computed anew.
+	// computedAt is zero if admitTime and splitTime must be recomputed.
 	computedAt time.Time
 	samples    int64
-	fit        time.Duration
-	share      time.Duration
+	admitTime  time.Duration
+	splitTime  time.Duration
 }
 
-func newTimes(now time.Time, s Settings) *times {
-	window := hdrhistogram.NewWindowed(sections, 1, int64(maxTime/timeUnit), digits)
-	return &times{settings: s, window: window, rotatedAt: now}
+func newStageTimes(now time.Time, s Settings) *stageTimes {
+	window := hdrhistogram.NewWindowed(windowSections, 1, int64(maxTime/timeUnit), significantDigits)
+	return &stageTimes{settings: s, window: window, rotatedAt: now}
 }
 
-func (t *times) add(now time.Time, took time.Duration) {
+func (t *stageTimes) add(now time.Time, took time.Duration) {
 	t.rotate(now)
 	units := min(max(took, timeUnit), maxTime-timeUnit) / timeUnit
-	// The value is within the histogram's range, the only error there is.
+	// RecordValue only fails for a value outside the histogram's range, which this one never is.
 	_ = t.window.Current.RecordValue(int64(units))
 	if t.samples < minSamples {
 		t.computedAt = time.Time{}
 	}
 }
 
-func (t *times) rotate(now time.Time) {
-	section := t.settings.Window / sections
-	for range sections {
+// rotate starts the sections that are due. If the whole window has passed, all sections are replaced
+// and the next one is counted from now.
+func (t *stageTimes) rotate(now time.Time) {
+	section := t.settings.Window / windowSections
+	for range windowSections {
 		if now.Sub(t.rotatedAt) < section {
 			return
 		}
@@ -61,21 +66,23 @@
 	t.rotatedAt = now
 }
 
-func (t *times) expect(now time.Time, guess time.Duration) (fit, share time.Duration) {
+// estimate returns the time at AdmitQuantile and at SplitQuantile, or the fallback for both if too few
+// times were measured.
+func (t *stageTimes) estimate(now time.Time, fallback time.Duration) (admitTime, splitTime time.Duration) {
 	t.rotate(now)
-	if t.computedAt.IsZero() || now.Sub(t.computedAt) >= refresh {
+	if t.computedAt.IsZero() || now.Sub(t.computedAt) >= refreshInterval {
 		t.compute(now)
 	}
-	if t.samples == 0 || t.samples < minSamples && guess > 0 {
-		return guess, guess
+	if t.samples == 0 || t.samples < minSamples && fallback > 0 {
+		return fallback, fallback
 	}
-	return t.fit, t.share
+	return t.admitTime, t.splitTime
 }
 
-func (t *times) compute(now time.Time) {
+func (t *stageTimes) compute(now time.Time) {
 	merged := t.window.Merge()
 	t.computedAt = now
 	t.samples = merged.TotalCount()
-	t.fit = time.Duration(merged.ValueAtQuantile(100*t.settings.Quantile)) * timeUnit
-	t.share = time.Duration(merged.ValueAtQuantile(100*t.settings.ShareQuantile)) * timeUnit
+	t.admitTime = time.Duration(merged.ValueAtQuantile(100*t.settings.AdmitQuantile)) * timeUnit
+	t.splitTime = time.Duration(merged.ValueAtQuantile(100*t.settings.SplitQuantile)) * timeUnit
 }
