--- a/entry/routers/admin/admin_test.go
+++ b/entry/routers/admin/admin_test.go
@@ -107,7 +107,7 @@
 	if err != nil || answer.Index == 0 || s.blind {
 		return nil
 	}
-	loaded, err := s.reader.Load(context.Background(), nil, answer.Head.Place)
+	loaded, err := s.reader.Load(context.Background(), nil, answer.Head.Version)
 	if err != nil {
 		return nil
 	}
--- a/entry/services/change/change.go
+++ b/entry/services/change/change.go
@@ -77,7 +77,7 @@
 		DryRun: o.DryRun,
 	})
 	if len(answer.Problems) > 0 {
-		answer.Problems = config.NewSource(admapi.BodyName, o.Text).Locate(answer.Problems)
+		answer.Problems = config.NewSourceMap(admapi.BodyName, o.Text).Locate(answer.Problems)
 	}
 	return answer
 }
@@ -111,7 +111,7 @@
 	}
 	base := l.Base
 	if base == 0 {
-		base = loaded.Place.Revision
+		base = loaded.Version.Revision
 	}
 	return s.submit(ctx, author, head.Submission{
 		Change: l.ChangeID,
@@ -125,7 +125,7 @@
 	if other == nil {
 		return false
 	}
-	return l == nil || l.Place.Revision < other.Place.Revision
+	return l == nil || l.Version.Revision < other.Version.Revision
 }
 
 // digestLabels is that of what was asked and not of the documents it leads
--- a/entry/services/lookup/lookup.go
+++ b/entry/services/lookup/lookup.go
@@ -42,7 +42,7 @@
 	if kind == "" {
 		return found, nil
 	}
-	found.Documents = snapshot.Set.OfKind(kind, name)
+	found.Documents = snapshot.Set.Filter(kind, name)
 	if name != "" && found.Documents.Count() == 0 {
 		return found, codes.NewResult(codes.NotFound, "no "+string(kind)+" has this name")
 	}
@@ -50,21 +50,21 @@
 }
 
 // FindMoves returns the last moves of the head, newest first.
-func (s *Service) FindMoves(ctx context.Context) ([]config.Move, error) {
+func (s *Service) FindMoves(ctx context.Context) ([]config.AcceptedChange, error) {
 	answer, err := s.heads.ReadHead(ctx)
 	if err != nil {
 		return nil, codes.NewResult(codes.StoreUnavailable, "the history could not be read")
 	}
-	return answer.Head.Moves, nil
+	return answer.Head.History, nil
 }
 
 // GetMoveByChange returns the move of a change, as the key-value service itself holds it.
-func (s *Service) GetMoveByChange(ctx context.Context, change string) (*config.Move, error) {
+func (s *Service) GetMoveByChange(ctx context.Context, change string) (*config.AcceptedChange, error) {
 	answer, err := s.heads.ReadHead(ctx)
 	if err != nil {
 		return nil, codes.NewResult(codes.ChangeUnknown, "the history could not be read; ask again with this change id")
 	}
-	move := answer.Head.FindMove(change)
+	move := answer.Head.FindChange(change)
 	if move == nil {
 		return nil, codes.NewResult(codes.NotFound, "no accepted change among those remembered has this id")
 	}
--- a/proofs/harns/config_test.go
+++ b/proofs/harns/config_test.go
@@ -41,7 +41,7 @@
 		return v.code == exitOK && json.Unmarshal([]byte(v.output), &history) == nil && len(history.Moves) > 0
 	})
 	for _, m := range history.Moves {
-		if m.Change == change {
+		if m.ChangeID == change {
 			times++
 		}
 	}
--- a/share/decide/head/head.go
+++ b/share/decide/head/head.go
@@ -130,7 +130,7 @@
 	Revision uint64
 	Problems []config.Problem
 	// Changes is the submission's own effect, or on conflict what others changed since the base.
-	Changes []config.Change
+	Changes []config.FieldChange
 	Detail  string
 	// Loaded is the whole accepted configuration where this submission's own swap
 	// is known to have moved the head; nil otherwise.
@@ -152,7 +152,7 @@
 	// swap is what was or will be asked for; its Index never changes once sent.
 	swap SwapHead
 	// next is the place that the swap leads to.
-	next config.Place
+	next config.Version
 	// doubtful is set once a swap was sent whose outcome is unknown.
 	doubtful bool
 	reads    int
@@ -205,7 +205,7 @@
 
 func (w *Writer) handleHead(e Fetched, now time.Time) []Action {
 	w.reads = 0
-	move := e.Head.FindMove(w.submission.Change)
+	move := e.Head.FindChange(w.submission.Change)
 	if move != nil {
 		return w.answerMove(move)
 	}
@@ -222,7 +222,7 @@
 
 // answerMove tells the verdict of a change that the head remembers, be it
 // from this submission's lost answer or from an earlier submission.
-func (w *Writer) answerMove(move *config.Move) []Action {
+func (w *Writer) answerMove(move *config.AcceptedChange) []Action {
 	if move.Digest != w.digest {
 		return w.answer(Answer{
 			Verdict:  VerdictInvalid,
@@ -244,7 +244,7 @@
 	last, lost := e.Head, w.isLost(e.Head)
 	w.base = e.Loaded
 	if lost {
-		last.Place = w.submission.InForce.Place
+		last.Version = w.submission.InForce.Version
 		w.base = w.submission.InForce
 	}
 	if !w.mayChange(w.base) {
@@ -262,13 +262,13 @@
 		return w.answer(Answer{Verdict: VerdictChecked, Revision: last.Revision, Changes: plan.Changes})
 	}
 	w.plan = plan
-	values := plan.Values()
+	values := plan.ChangedValues()
 	if lost {
 		last.Revision += lossMargin
 		values = plan.AllValues()
 	}
-	head := last.Next(plan.Next.Place.Manifest, w.digest, w.submission.Change, w.submission.Operator, now)
-	w.next = head.Place
+	head := last.Next(plan.Next.Version.ManifestHash, w.digest, w.submission.Change, w.submission.Operator, now)
+	w.next = head.Version
 	w.swap = SwapHead{Index: e.Index, Record: head.Encode()}
 	return []Action{WriteChunks{Values: values}}
 }
@@ -279,7 +279,7 @@
 // rise. The change is then made on the configuration in force, with all of its
 // parts, so that accepted changes don't revert.
 func (w *Writer) isLost(head config.Head) bool {
-	return w.submission.InForce != nil && head.Revision < w.submission.InForce.Place.Revision
+	return w.submission.InForce != nil && head.Revision < w.submission.InForce.Version.Revision
 }
 
 // mayChange guards against a process that has not heard of an operator's
--- a/share/decide/head/head_test.go
+++ b/share/decide/head/head_test.go
@@ -89,7 +89,7 @@
 	w.head = next
 	w.loaded = loaded
 	w.history[next.Revision] = loaded
-	w.chain = append(w.chain, next.Moves[0].Change)
+	w.chain = append(w.chain, next.History[0].ChangeID)
 	return true
 }
 
@@ -127,8 +127,8 @@
 		return
 	}
 	loaded := *plan.Next
-	loaded.Place = next.Place
-	if loaded.Place.Manifest == plan.Next.Place.Manifest {
+	loaded.Version = next.Version
+	if loaded.Version.ManifestHash == plan.Next.Version.ManifestHash {
 		w.pending[string(swap.Record)] = &loaded
 	}
 }
@@ -185,9 +185,9 @@
 	w := newWorld()
 	answer := w.run(w.submit(newSubmission("first", 0, 1)))
 	is.Equal(answer.Verdict, head.VerdictAccepted)
-	is.Equal(answer.Loaded.Place.Revision, answer.Revision)
+	is.Equal(answer.Loaded.Version.Revision, answer.Revision)
 	is.Equal(answer.Loaded.Snapshot.Revision, answer.Revision)
-	is.Equal(answer.Loaded.Place.Manifest, config.HashBytes(answer.Loaded.Manifest.Encode()))
+	is.Equal(answer.Loaded.Version.ManifestHash, config.HashBytes(answer.Loaded.Manifest.Encode()))
 	is.Equal(answer.Loaded.Snapshot.Set.Count(), len(answer.Loaded.FindChunks(answer.Loaded.Manifest.Hashes())))
 }
 
@@ -218,7 +218,7 @@
 	answer := w.run(slow)
 	is.Equal(answer.Verdict, head.VerdictConflict)
 	is.Equal(answer.Revision, uint64(2))
-	is.Equal(answer.Changes, []config.Change{{Kind: config.KindPool, Name: "gpu", Field: "price", Old: "1", New: "3"}})
+	is.Equal(answer.Changes, []config.FieldChange{{Kind: config.KindPool, Name: "gpu", Field: "price", Old: "1", New: "3"}})
 	is.Equal(w.count("slow"), 0)
 }
 
--- a/share/decide/spread/fetch.go
+++ b/share/decide/spread/fetch.go
@@ -38,14 +38,14 @@
 }
 
 func (s *State) handleFetched(e FetchDone, now time.Time) []Action {
-	if e.Loaded == nil || e.Loaded.Place.Revision <= s.Revision() {
+	if e.Loaded == nil || e.Loaded.Version.Revision <= s.Revision() {
 		// A late answer must not take the process back to an older configuration.
 		return s.handleFetchFailed(now)
 	}
 	s.fetching = false
 	s.inForce = e.Loaded
 	s.adoptedAt = now
-	revision := e.Loaded.Place.Revision
+	revision := e.Loaded.Version.Revision
 	s.confirmed = time.Time{}
 	s.raise(revision)
 	if revision == s.known {
--- a/share/decide/spread/spread.go
+++ b/share/decide/spread/spread.go
@@ -65,7 +65,7 @@
 	if s.inForce == nil {
 		return 0
 	}
-	return s.inForce.Place.Revision
+	return s.inForce.Version.Revision
 }
 
 // Known returns the highest revision heard of.
--- a/share/decide/spread/spread_test.go
+++ b/share/decide/spread/spread_test.go
@@ -31,7 +31,7 @@
 
 func newLoaded(revision uint64, staleAfter time.Duration) *config.Loaded {
 	limits := config.Limits{Name: "deployment", StaleAfter: config.Duration(staleAfter)}
-	loaded, err := config.LoadSet(config.Place{Revision: revision}, config.Set{Limits: []config.Limits{limits}})
+	loaded, err := config.LoadSet(config.Version{Revision: revision}, config.Set{Limits: []config.Limits{limits}})
 	if err != nil {
 		panic(err)
 	}
@@ -39,7 +39,7 @@
 }
 
 func newHead(revision uint64) config.Head {
-	return config.Head{Place: config.Place{Revision: revision}}
+	return config.Head{Version: config.Version{Revision: revision}}
 }
 
 // newServing returns a process with revision 1 confirmed at now.
--- a/share/models/config/chunk.go
+++ b/share/models/config/chunk.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// teamBuckets keeps both the chunk and the manifest that a change of one
-	// team rewrites near 20 KB at 19,000 teams.
+	// teamBuckets is the number of buckets of teams. A change of one team rewrites one chunk and the
+	// manifest. With 256 buckets and 19,000 teams, each of the two is about 20 KB in size.
 	teamBuckets = 256
-	// fewBuckets serves the kinds that grow with pipelines and not with teams.
-	fewBuckets = 16
-	// MaxMoves bounds the moves that a head record remembers.
-	MaxMoves = 128
-	// MaxValue is the most that the key-value service holds under one key.
-	MaxValue = 1 << 20
+	// defaultBuckets is the number of buckets of every other kind. Those kinds grow with the number of
+	// pipelines, not with the number of teams.
+	defaultBuckets = 16
+	// MaxHistory limits the number of accepted changes that a head record keeps.
+	MaxHistory = 128
+	// MaxValueBytes is the largest value that the key-value service accepts under one key.
+	MaxValueBytes = 1 << 20
 )
 
 // Hash is the SHA-256 of a chunk's or manifest's bytes as lower-case hex.
 type Hash string
 
-// HashBytes returns the hash under which data is kept.
+// HashBytes returns the hash of data, which is the key that data is stored under.
 func HashBytes(data []byte) Hash {
 	sum := sha256.Sum256(data)
 	return Hash(hex.EncodeToString(sum[:]))
 }
 
-// Check fails when data is not what h names.
+// Check returns an error if h is not the hash of data.
 func (h Hash) Check(data []byte) error {
 	if got := HashBytes(data); got != h {
 		return ErrConfig.New("chunk %s has the bytes of %s", h, got)
@@ -41,19 +42,20 @@
 	return nil
 }
 
-// Chunk is an immutable piece of a configuration, named by its hash.
+// Chunk is an immutable part of a configuration, addressed by its hash: the encoded documents of one
+// bucket, or an encoded manifest.
 type Chunk struct {
 	Hash Hash   `json:"hash"`
 	Data []byte `json:"data"`
 }
 
-// Manifest names the chunks of one configuration.
+// Manifest lists the chunks of one configuration.
 type Manifest struct {
-	// Buckets holds, for each kind, the hash of each bucket that is not empty.
+	// Buckets holds, for each kind, the hash of the chunk of each bucket that is not empty.
 	Buckets map[Kind]map[uint32]Hash `json:"buckets"`
 }
 
-// Hashes returns the hashes of all chunks by kind and bucket.
+// Hashes returns the hashes of all chunks, ordered by kind and bucket.
 func (m Manifest) Hashes() []Hash {
 	var hashes []Hash
 	for _, kind := range Kinds() {
@@ -64,84 +66,88 @@
 	return hashes
 }
 
-// Place is a revision and the manifest in force under it.
-type Place struct {
-	Revision uint64 `json:"revision"`
-	Manifest Hash   `json:"manifest"`
+// Version identifies a configuration by its revision and the hash of its manifest.
+type Version struct {
+	Revision     uint64 `json:"revision"`
+	ManifestHash Hash   `json:"manifest"`
 }
 
-// Move records one accepted change.
-type Move struct {
-	Place
-	// Change is the id that the writer gave, unique among all changes.
-	Change string `json:"change"`
-	// Digest is the hash of the change's documents; the id with other documents is refused.
+// AcceptedChange is the record of a change that took effect. Its Version is the one that the change
+// led to.
+type AcceptedChange struct {
+	Version
+	// ChangeID is the ID that the writer chose. It is unique among all changes.
+	ChangeID string `json:"change"`
+	// Digest is the hash of the change's documents. A change with the same ID and other documents
+	// is rejected.
 	Digest   Hash      `json:"digest"`
 	Operator string    `json:"operator"`
 	Time     time.Time `json:"time"`
 }
 
-// Head is the record that one compare-and-swap moves to put a change in force.
+// Head is the record that points to the configuration in force. A change takes effect by one
+// compare-and-swap of this record.
 type Head struct {
-	Place
-	// Parent is the place before the last move; zero under revision 1.
-	Parent Place `json:"parent"`
-	// Moves holds the last moves, newest first, at most MaxMoves; the first is this place's own.
-	Moves []Move `json:"moves"`
-}
-
-// FindMove returns the move of a change, or nil when the record does not remember it.
-func (h *Head) FindMove(change string) *Move {
-	for i := range h.Moves {
-		if h.Moves[i].Change == change {
-			return &h.Moves[i]
+	Version
+	// Parent is the version before the last change. It is zero at revision 1.
+	Parent Version `json:"parent"`
+	// History holds the last accepted changes, newest first, at most MaxHistory. The first one led to
+	// the version of this record.
+	History []AcceptedChange `json:"moves"`
+}
+
+// FindChange returns the accepted change with the given ID, or nil if the history does not hold it.
+func (h *Head) FindChange(changeID string) *AcceptedChange {
+	for i := range h.History {
+		if h.History[i].ChangeID == changeID {
+			return &h.History[i]
 		}
 	}
 	return nil
 }
 
-// FindPlace returns the place of a revision, or a zero one when the record does not remember it.
-func (h *Head) FindPlace(revision uint64) Place {
-	for _, m := range h.Moves {
-		if m.Revision == revision {
-			return m.Place
+// FindVersion returns the version of a revision, or the zero version if the record does not hold it.
+func (h *Head) FindVersion(revision uint64) Version {
+	for _, accepted := range h.History {
+		if accepted.Revision == revision {
+			return accepted.Version
 		}
 	}
 	if h.Parent.Revision == revision {
 		return h.Parent
 	}
-	return Place{}
+	return Version{}
 }
 
-// Next returns the head after a move to a manifest.
-func (h *Head) Next(manifest, digest Hash, change, operator string, at time.Time) Head {
-	place := Place{Revision: h.Revision + 1, Manifest: manifest}
-	move := Move{Place: place, Change: change, Digest: digest, Operator: operator, Time: at.UTC().Round(0)}
-	moves := append([]Move{move}, h.Moves...)
-	if len(moves) > MaxMoves {
-		moves = moves[:MaxMoves]
+// Next returns the head record after a change that leads to the given manifest.
+func (h *Head) Next(manifest, digest Hash, changeID, operator string, at time.Time) Head {
+	version := Version{Revision: h.Revision + 1, ManifestHash: manifest}
+	accepted := AcceptedChange{Version: version, ChangeID: changeID, Digest: digest, Operator: operator, Time: at.UTC().Round(0)}
+	history := append([]AcceptedChange{accepted}, h.History...)
+	if len(history) > MaxHistory {
+		history = history[:MaxHistory]
 	}
-	return Head{Place: place, Parent: h.Place, Moves: moves}
+	return Head{Version: version, Parent: h.Version, History: history}
 }
 
-// Encode writes the head; equal heads give equal bytes.
+// Encode returns the head as JSON. Equal heads have equal encodings.
 func (h *Head) Encode() []byte {
 	return encode(h)
 }
 
-// DecodeHead reads a head record.
+// DecodeHead decodes a head record and rejects unknown fields.
 func DecodeHead(data []byte) (Head, error) {
 	var h Head
 	err := decode(data, &h)
 	return h, err
 }
 
-// Encode writes the manifest; equal manifests give equal bytes.
+// Encode returns the manifest as JSON. Equal manifests have equal encodings.
 func (m Manifest) Encode() []byte {
 	return encode(m)
 }
 
-// DecodeManifest reads a manifest that has the hash.
+// DecodeManifest decodes a manifest. It returns an error if data does not have the given hash.
 func DecodeManifest(hash Hash, data []byte) (Manifest, error) {
 	var m Manifest
 	err := hash.Check(data)
@@ -152,9 +158,9 @@
 	return m, err
 }
 
-// encode relies on encoding/json writing struct fields in order and map keys
-// sorted. The types of this package hold nothing that JSON cannot carry once
-// Validate has passed.
+// encode returns v as JSON, with equal encodings for equal values: encoding/json writes struct fields
+// in the order of their declaration and map keys sorted. The result is nil for NaN and infinities,
+// which JSON cannot represent and which valid documents do not contain.
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -169,49 +175,51 @@
 	return ErrConfig.Wrap(decoder.Decode(v))
 }
 
-// Digest returns the hash of a change's documents, whatever their order.
+// Digest returns the hash of a change's documents and removals. It depends on the order of the
+// removals, but not on the order of the documents.
 func (p Patch) Digest() Hash {
 	sorted := Patch{Set: Merge(Set{}, p.Set, nil), Remove: p.Remove}
 	return HashBytes(encode(sorted))
 }
 
-// bucketOf returns the bucket of a document, which only its kind and name decide.
+// bucketOf returns the bucket of a document. It depends only on the document's kind and name.
 func bucketOf(kind Kind, name string) uint32 {
-	buckets := uint64(fewBuckets)
+	buckets := uint64(defaultBuckets)
 	if kind == KindTeam {
 		buckets = teamBuckets
 	}
 	return uint32(xxhash.Sum64String(name) % buckets) //nolint:gosec // below teamBuckets
 }
 
-// EncodeSet splits a set into its chunks and the manifest that names them.
+// EncodeSet encodes a set as chunks and the manifest that lists them.
 func EncodeSet(set Set) (Manifest, []Chunk) {
 	manifest := Manifest{Buckets: map[Kind]map[uint32]Hash{}}
 	var chunks []Chunk
 	for _, kind := range Kinds() {
-		parts := map[uint32]*Set{}
+		buckets := map[uint32]*Set{}
 		for _, d := range set.list(kind) {
-			addTo(parts, d)
+			addToBucket(buckets, d)
 		}
-		chunks = append(chunks, manifest.put(kind, parts)...)
+		chunks = append(chunks, manifest.encodeBuckets(kind, buckets)...)
 	}
 	return manifest, chunks
 }
 
-func addTo(parts map[uint32]*Set, d document) {
+func addToBucket(buckets map[uint32]*Set, d document) {
 	bucket := bucketOf(d.kind, d.name)
-	if parts[bucket] == nil {
-		parts[bucket] = &Set{}
+	if buckets[bucket] == nil {
+		buckets[bucket] = &Set{}
 	}
-	parts[bucket].add(d)
+	buckets[bucket].add(d)
 }
 
-// put encodes the parts of a kind and names them in the manifest.
-func (m Manifest) put(kind Kind, parts map[uint32]*Set) []Chunk {
+// encodeBuckets encodes the given buckets of a kind as chunks and enters their hashes in the
+// manifest.
+func (m Manifest) encodeBuckets(kind Kind, buckets map[uint32]*Set) []Chunk {
 	var chunks []Chunk
-	for _, bucket := range slices.Sorted(maps.Keys(parts)) {
-		parts[bucket].Sort()
-		data := encode(parts[bucket])
+	for _, bucket := range slices.Sorted(maps.Keys(buckets)) {
+		buckets[bucket].Sort()
+		data := encode(buckets[bucket])
 		chunk := Chunk{Hash: HashBytes(data), Data: data}
 		if m.Buckets[kind] == nil {
 			m.Buckets[kind] = map[uint32]Hash{}
--- a/share/models/config/config_test.go
+++ b/share/models/config/config_test.go
@@ -9,7 +9,7 @@
 	"verbenaroad.example/share/models/config"
 )
 
-const valid = `
+const validTOML = `
 [[team]]
 name = "kranj"
 token-sha256 = ["` + digestA + `"]
@@ -64,15 +64,17 @@
 func parseValid(t *testing.T) config.Set {
 	t.Helper()
 	is := is.New(t)
-	set, problems := config.ParseTOML("valid.toml", []byte(valid))
+	set, problems := config.ParseTOML("valid.toml", []byte(validTOML))
 	is.Equal(len(problems), 0)
 	is.Equal(len(config.Validate(set)), 0)
 	return set
 }
 
-func TestParseReportsEveryProblemAtOnce(t *testing.T) {
+// Guards against a parser that stops at the first error, so that an operator has to fix a text and
+// submit it again for each error.
+func TestParseReportsAllProblems(t *testing.T) {
 	is := is.New(t)
-	text := strings.Replace(valid, `"10s"`, `"10 parsecs"`, 1)
+	text := strings.Replace(validTOML, `"10s"`, `"10 parsecs"`, 1)
 	text = strings.Replace(text, `"4s"`, `"soon"`, 1)
 	text = strings.Replace(text, "weight = 10\n", "wait = 10\n", 1)
 	text = strings.Replace(text, "price = 1.0", `price = "one"`, 1)
@@ -88,30 +90,32 @@
 	is.True(fields["deadline"] && fields["wait"] && fields["price"])
 }
 
+// Guards against errors that are not reported, or with the wrong field or line. Each case introduces
+// one error into a valid text.
 func TestValidate(t *testing.T) {
 	tests := []struct {
 		name, old, new, field string
 	}{
 		{"missing service", `service = "llm"`, `service = "gone"`, "stage[0].service"},
-		{"unfitting service", `kind = "engine"`, `kind = "pool"`, "stage[0].service"},
+		{"service of the wrong kind", `kind = "engine"`, `kind = "pool"`, "stage[0].service"},
 		{"missing pool", `pool = "gpu"`, `pool = "tpu"`, "pool"},
 		{"bad selector", `"region=osrednja"`, `"region in osrednja"`, "server"},
-		{"rule weight", "weight = 10\n", "weight = 101\n", "weight"},
-		{"team weight", "weight = 1.0", "weight = nan", "weight"},
+		{"rule weight out of range", "weight = 10\n", "weight = 101\n", "weight"},
+		{"team weight not a number", "weight = 1.0", "weight = nan", "weight"},
 		{"bad name", `name = "kranj"`, `name = "Kranj!"`, "name"},
 		{"bad digest", digestA, "abc", "token-sha256"},
-		{"no changer", `role = "change"`, `role = "read"`, "role"},
-		{"retention", `"24h"`, `"1s"`, "claim-retention"},
-		{"label", `tier = "workshop"`, `tier = "a b"`, "labels.tier"},
+		{"no operator with the role change", `role = "change"`, `role = "read"`, "role"},
+		{"claim retention too short", `"24h"`, `"1s"`, "claim-retention"},
+		{"bad label value", `tier = "workshop"`, `tier = "a b"`, "labels.tier"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(valid, tt.old, tt.new, 1)
-			is.True(text != valid)
+			text := strings.Replace(validTOML, tt.old, tt.new, 1)
+			is.True(text != validTOML)
 			set, problems := config.ParseTOML("a.toml", []byte(text))
 			is.Equal(len(problems), 0)
-			problems = config.NewSource("a.toml", []byte(text)).Locate(config.Validate(set))
+			problems = config.NewSourceMap("a.toml", []byte(text)).Locate(config.Validate(set))
 			is.Equal(len(problems), 1)
 			is.Equal(problems[0].Field, tt.field)
 			if problems[0].Name == "" {
@@ -123,17 +127,21 @@
 	}
 }
 
-func TestValidateRefusesTokenOfTwoTeams(t *testing.T) {
+// Guards against two teams with the same token. A caller with that token could be taken for either
+// team.
+func TestValidateRejectsTokenOfTwoTeams(t *testing.T) {
 	is := is.New(t)
 	set := parseValid(t)
-	other := set.Teams[0]
-	other.Name = "celje"
-	set.Teams = append(set.Teams, other)
+	duplicate := set.Teams[0]
+	duplicate.Name = "celje"
+	set.Teams = append(set.Teams, duplicate)
 	problems := config.Validate(set)
 	is.Equal(len(problems), 1)
 	is.Equal(problems[0].Field, "token-sha256")
 }
 
+// Guards against a merge that modifies its base, and against a diff that misses a changed field or a
+// removed document.
 func TestDiffAndMerge(t *testing.T) {
 	is := is.New(t)
 	base := parseValid(t)
@@ -144,7 +152,7 @@
 	is.Equal(base.Teams[0].Weight, 1.0)
 	is.Equal(len(next.Rules), 0)
 	changes := config.Diff(base, next)
-	is.Equal(changes[0], config.Change{Kind: config.KindTeam, Name: "kranj", Field: "weight", Old: "1", New: "2"})
+	is.Equal(changes[0], config.FieldChange{Kind: config.KindTeam, Name: "kranj", Field: "weight", Old: "1", New: "2"})
 	is.Equal(len(changes), 5) // the weight and the rule's four fields
 	is.Equal(len(config.Diff(next, next)), 0)
 }
--- a/share/models/config/diff.go
+++ b/share/models/config/diff.go
@@ -10,20 +10,20 @@
 	"strconv"
 )
 
-// Change is the difference of one field between two configurations.
-type Change struct {
+// FieldChange is the difference in one field between two configurations.
+type FieldChange struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Field is the path within the document, such as stage[0].service.
+	// Field is the path within the document, for example stage[0].service.
 	Field string `json:"field"`
-	// Old and New are JSON values; empty where the field is absent.
+	// Old and New are JSON values. They are empty where the field is absent.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
 
-// Diff lists the differences field by field, by kind, name and field.
-func Diff(old, next Set) []Change {
-	var changes []Change
+// Diff returns the fields that differ between two configurations, ordered by kind, name and field.
+func Diff(old, next Set) []FieldChange {
+	var changes []FieldChange
 	for _, kind := range Kinds() {
 		before := byName(old.list(kind))
 		after := byName(next.list(kind))
@@ -38,11 +38,11 @@
 }
 
 func byName(list []document) map[string]any {
-	named := make(map[string]any, len(list))
+	values := make(map[string]any, len(list))
 	for _, d := range list {
-		named[d.name] = d.value
+		values[d.name] = d.value
 	}
-	return named
+	return values
 }
 
 func unionKeys(a, b map[string]any) []string {
@@ -56,17 +56,17 @@
 	return keys
 }
 
-func diffDocument(kind Kind, name string, before, after any) []Change {
-	was, is := flatten(before), flatten(after)
-	var changes []Change
-	for field, value := range was {
-		if is[field] != value {
-			changes = append(changes, Change{kind, name, field, value, is[field]})
+func diffDocument(kind Kind, name string, before, after any) []FieldChange {
+	oldLeaves, newLeaves := flatten(before), flatten(after)
+	var changes []FieldChange
+	for field, value := range oldLeaves {
+		if newLeaves[field] != value {
+			changes = append(changes, FieldChange{kind, name, field, value, newLeaves[field]})
 		}
 	}
-	for field, value := range is {
-		if _, found := was[field]; !found {
-			changes = append(changes, Change{kind, name, field, "", value})
+	for field, value := range newLeaves {
+		if _, found := oldLeaves[field]; !found {
+			changes = append(changes, FieldChange{kind, name, field, "", value})
 		}
 	}
 	sortChanges(changes)
@@ -74,9 +74,9 @@
 }
 
 // sortChanges orders changes by kind, name and field.
-func sortChanges(changes []Change) {
+func sortChanges(changes []FieldChange) {
 	kinds := Kinds()
-	slices.SortFunc(changes, func(a, b Change) int {
+	slices.SortFunc(changes, func(a, b FieldChange) int {
 		return cmp.Or(
 			cmp.Compare(slices.Index(kinds, a.Kind), slices.Index(kinds, b.Kind)),
 			cmp.Compare(a.Name, b.Name),
@@ -85,7 +85,7 @@
 	})
 }
 
-// flatten returns each leaf of a document's JSON form by its path.
+// flatten returns the leaves of a document's JSON representation, keyed by their path.
 func flatten(value any) map[string]string {
 	leaves := map[string]string{}
 	if value == nil {
@@ -93,30 +93,31 @@
 	}
 	text, err := json.Marshal(value)
 	if err != nil {
-		// Documents hold only types that JSON can carry; NaN and infinities don't pass Validate.
+		// Marshal fails only for NaN and infinities, which valid documents do not contain.
 		leaves["document"] = strconv.Quote(fmt.Sprint(value))
 		return leaves
 	}
 	var tree any
 	if json.Unmarshal(text, &tree) == nil {
-		collect("", tree, leaves)
+		collectLeaves("", tree, leaves)
 	}
 	return leaves
 }
 
-func collect(path string, tree any, leaves map[string]string) {
+// collectLeaves adds the leaves of a JSON value to leaves. Path is the path of the value itself.
+func collectLeaves(path string, tree any, leaves map[string]string) {
 	switch node := tree.(type) {
 	case map[string]any:
 		for key, child := range node {
-			inner := key
+			childPath := key
 			if path != "" {
-				inner = path + "." + key
+				childPath = path + "." + key
 			}
-			collect(inner, child, leaves)
+			collectLeaves(childPath, child, leaves)
 		}
 	case []any:
 		for i, child := range node {
-			collect(fmt.Sprintf("%s[%d]", path, i), child, leaves)
+			collectLeaves(fmt.Sprintf("%s[%d]", path, i), child, leaves)
 		}
 	default:
 		text, err := json.Marshal(node)
--- a/share/models/config/document.go
+++ b/share/models/config/document.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// document is one document of any kind.
+// document is a document of any kind. Its value is a pointer to the typed document, for example *Team.
 type document struct {
 	kind  Kind
 	name  string
 	value any
 }
 
-// list returns the documents of a kind; the values point into the set.
+// list returns the documents of a kind. Their values point into the set.
 func (s *Set) list(kind Kind) []document {
 	var list []document
 	switch kind {
@@ -48,7 +48,7 @@
 	return list
 }
 
-// add appends a copy of a document.
+// add appends a shallow copy of a document to the set.
 func (s *Set) add(d document) {
 	switch v := d.value.(type) {
 	case *Team:
@@ -68,7 +68,7 @@
 	}
 }
 
-// GetDocument returns a pointer to the document, or nil.
+// GetDocument returns a pointer to the document, for example a *Team, or nil if there is none.
 func (s *Set) GetDocument(ref Reference) any {
 	for _, d := range s.list(ref.Kind) {
 		if d.name == ref.Name {
@@ -78,23 +78,23 @@
 	return nil
 }
 
-// OfKind returns a set that holds the documents of one kind, or of one name where a name is given.
-func (s *Set) OfKind(kind Kind, name string) Set {
-	var found Set
+// Filter returns the documents of a kind, or only the one with the given name if name is not empty.
+func (s *Set) Filter(kind Kind, name string) Set {
+	var filtered Set
 	for _, d := range s.list(kind) {
 		if name == "" || d.name == name {
-			found.add(d)
+			filtered.add(d)
 		}
 	}
-	return found
+	return filtered
 }
 
-// Count returns the number of documents.
+// Count returns the number of documents of all kinds.
 func (s *Set) Count() int {
 	return len(s.Teams) + len(s.Pipelines) + len(s.Services) + len(s.Rules) + len(s.Pools) + len(s.Operators) + len(s.Limits)
 }
 
-// Sort orders the documents by name within their kind.
+// Sort sorts the documents of each kind by name.
 func (s *Set) Sort() {
 	slices.SortFunc(s.Teams, func(a, b Team) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(s.Pipelines, func(a, b Pipeline) int { return cmp.Compare(a.Name, b.Name) })
@@ -105,22 +105,22 @@
 	slices.SortFunc(s.Limits, func(a, b Limits) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Merge returns base with the documents of patch put in the place of those of
-// their name and the removals left out; the result shares no slice of documents with base.
+// Merge returns the documents of base without those that are removed, with the documents of patch
+// added to them or replacing those of the same name. The lists of documents are newly allocated.
 func Merge(base, patch Set, removals []Reference) Set {
 	var merged Set
 	for _, kind := range Kinds() {
-		gone := map[string]bool{}
+		dropped := map[string]bool{}
 		for _, d := range patch.list(kind) {
-			gone[d.name] = true
+			dropped[d.name] = true
 		}
 		for _, r := range removals {
 			if r.Kind == kind {
-				gone[r.Name] = true
+				dropped[r.Name] = true
 			}
 		}
 		for _, d := range base.list(kind) {
-			if !gone[d.name] {
+			if !dropped[d.name] {
 				merged.add(d)
 			}
 		}
--- a/share/models/config/documents.go
+++ b/share/models/config/documents.go
@@ -1,5 +1,5 @@
-// Package config holds the operators' configuration: typed documents, the
-// snapshot that decisions read, and the checks a change must pass.
+// Package config holds the configuration that operators maintain: its typed documents, the snapshot
+// that requests are decided on, and the checks that a change must pass.
 package config
 
 import (
@@ -12,10 +12,10 @@
 // ErrConfig is the class of errors of this package.
 var ErrConfig = errs.Class("config") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// Kind names a sort of document.
+// Kind is the type of a configuration document.
 type Kind string
 
-// The kinds of documents, in the order in which they are listed.
+// The kinds of documents, in the order in which Kinds lists them.
 const (
 	KindTeam     Kind = "team"
 	KindPipeline Kind = "pipeline"
@@ -26,15 +26,15 @@
 	KindLimits   Kind = "limits"
 )
 
-// Kinds returns every kind in listing order.
+// Kinds returns all kinds in the order in which documents are listed, compared and encoded.
 func Kinds() []Kind {
 	return []Kind{KindTeam, KindPipeline, KindService, KindRule, KindPool, KindOperator, KindLimits}
 }
 
-// Duration is a time.Duration written as text such as "4s" in TOML and JSON.
+// Duration is a time.Duration that TOML and JSON represent as text, for example "4s".
 type Duration time.Duration
 
-// UnmarshalText reads a duration such as "250ms".
+// UnmarshalText parses a duration, for example "250ms".
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// MarshalText writes the duration with its unit.
+// MarshalText formats the duration with its unit.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
@@ -54,7 +54,7 @@
 	return time.Duration(d)
 }
 
-// Priority is a class of work; a higher class goes first.
+// Priority is the priority class of a request. Higher classes are served first.
 type Priority string
 
 // The priority classes, highest first.
@@ -64,7 +64,8 @@
 	PriorityBatch  Priority = "batch"
 )
 
-// Rank returns 0 for the highest class; an unknown class ranks as normal.
+// Rank returns 0 for the highest class and larger numbers for lower ones. An unknown class ranks as
+// normal.
 func (p Priority) Rank() int {
 	switch p {
 	case PriorityUrgent:
@@ -76,28 +77,31 @@
 	}
 }
 
-// Labels are the keys and values that selectors match.
+// Labels are the keys and values that label selectors match.
 type Labels map[string]string
 
-// Team is a customer of the system; its callers carry its token.
+// Team is a customer of the system. Its callers authenticate with one of its tokens.
 type Team struct {
 	// Name is unique among teams.
 	Name string `toml:"name" json:"name"`
-	// TokenSHA256 holds hex digests of the accepted tokens; two allow a change of token without a gap.
+	// TokenSHA256 holds the SHA-256 digests of the accepted tokens in hex. With two of them a team
+	// can replace its token without an interruption.
 	TokenSHA256 []string `toml:"token-sha256" json:"token-sha256"`
-	// Priority is the highest class the team's requests may ask for, and their default.
+	// Priority is the highest class that the team's requests may ask for, and their default.
 	Priority Priority `toml:"priority" json:"priority"`
-	// Weight is the share in fair queueing against other teams of the class; at least 0.01.
+	// Weight is the team's weight in fair queueing among the teams of the same class. The minimum
+	// is 0.01.
 	Weight float64 `toml:"weight" json:"weight"`
-	// Rate is the limit in cost units per second over the whole system; 0: none.
+	// Rate limits the team's cost units per second over the whole system. 0 means no limit.
 	Rate float64 `toml:"rate" json:"rate,omitempty"`
-	// Burst is how many cost units may be saved up; at least Rate when Rate is set.
+	// Burst is the largest number of unused cost units that can accumulate. It is at least Rate if
+	// Rate is set.
 	Burst float64 `toml:"burst" json:"burst,omitempty"`
-	// Labels are matched by the caller selectors of rules, with team=<name> added.
+	// Labels are matched by the caller selectors of rules, together with team=<name>.
 	Labels Labels `toml:"labels" json:"labels,omitempty"`
 }
 
-// StageKind says how a stage's request and answer are made.
+// StageKind determines the form of a stage's request and answer.
 type StageKind string
 
 // The stage kinds.
@@ -112,29 +116,31 @@
 type Stage struct {
 	// Name is unique within its pipeline.
 	Name string `toml:"name" json:"name"`
-	// Kind decides the call's shape.
+	// Kind determines the form of the call.
 	Kind StageKind `toml:"kind" json:"kind"`
-	// Service names the service that runs the stage.
+	// Service is the name of the service that runs the stage.
 	Service string `toml:"service" json:"service"`
-	// Model is passed to the backend server.
+	// Model is the model name that is passed to the backend server.
 	Model string `toml:"model" json:"model,omitempty"`
-	// Limit is the number of documents (retrieve, rerank) or tokens (generate).
+	// Limit is the number of documents (retrieve, rerank) or the largest number of tokens (generate)
+	// to return. 0 selects the default.
 	Limit int `toml:"limit" json:"limit,omitempty"`
-	// Labels are matched by the stage selectors of rules, with stage, kind and pipeline added.
+	// Labels are matched by the stage selectors of rules, together with the labels stage, kind and
+	// pipeline.
 	Labels Labels `toml:"labels" json:"labels,omitempty"`
 }
 
-// Pipeline is a chain of stages under one deadline.
+// Pipeline is a sequence of stages that share one deadline.
 type Pipeline struct {
 	// Name is unique among pipelines.
 	Name string `toml:"name" json:"name"`
-	// Deadline is the default and the longest that a caller may ask for.
+	// Deadline is the default deadline and the longest that a caller may ask for.
 	Deadline Duration `toml:"deadline" json:"deadline"`
-	// Stages run in order; one to eight.
+	// Stages run in the given order. There are one to eight of them.
 	Stages []Stage `toml:"stage" json:"stage"`
 }
 
-// ServiceKind says what stands behind a service's agents.
+// ServiceKind is the kind of backend server behind a service's agents.
 type ServiceKind string
 
 // The service kinds.
@@ -144,13 +150,13 @@
 	ServicePlain  ServiceKind = "plain"
 )
 
-// ServiceRoute is a call that a plain service offers to callers.
+// ServiceRoute is an HTTP route that a service offers to callers.
 type ServiceRoute struct {
-	// Method is an HTTP method.
+	// Method is the HTTP method.
 	Method string `toml:"method" json:"method"`
-	// Path is matched whole, or as a prefix when it ends in "/".
+	// Path must match the complete request path, or a prefix of it if Path ends in "/".
 	Path string `toml:"path" json:"path"`
-	// Idempotent is false where a second run would do harm; such calls need an Idempotency-Key.
+	// Idempotent is false if running a call twice would do harm. Such calls need an Idempotency-Key.
 	Idempotent bool `toml:"idempotent" json:"idempotent"`
 }
 
@@ -158,61 +164,65 @@
 type Service struct {
 	// Name is unique among services.
 	Name string `toml:"name" json:"name"`
-	// Kind says what the backend servers are.
+	// Kind is the kind of the backend servers.
 	Kind ServiceKind `toml:"kind" json:"kind"`
-	// Deadline is the default and the longest for direct calls.
+	// Deadline is the default and the longest deadline of direct calls.
 	Deadline Duration `toml:"deadline" json:"deadline"`
-	// RetryShare is the share of calls that may be retries, 0 to 1.
+	// RetryShare is the share of calls that may be retries, 0 to 1. 0 selects the default share.
 	RetryShare float64 `toml:"retry-share" json:"retry-share,omitempty"`
-	// Routes are the calls open to callers; none for engines and pools used by stages only.
+	// Routes are the routes open to callers. Engines and pools that only run stages have none.
 	Routes []ServiceRoute `toml:"route" json:"route,omitempty"`
-	// Pool names the committed-spend pool that its runs count against; may be empty.
+	// Pool is the name of the committed-spend pool that the service's runs are charged to. It may be
+	// empty.
 	Pool string `toml:"pool" json:"pool,omitempty"`
-	// CheckpointLess engines cannot resume a preempted stream; their runs are never preempted.
+	// CheckpointLess marks engines that cannot resume a preempted stream. Their runs must not be
+	// preempted.
 	CheckpointLess bool `toml:"checkpoint-less" json:"checkpoint-less,omitempty"`
 }
 
-// Effect is what a rule does to the backend servers that it matches.
+// Effect is the effect of a rule on the choice of backend servers.
 type Effect string
 
 // The effects of a rule.
 const (
-	// EffectRequire drops every backend server that does not match.
+	// EffectRequire excludes every backend server that does not match.
 	EffectRequire Effect = "require"
-	// EffectPrefer adds the rule's weight to those that match.
+	// EffectPrefer adds the rule's weight to the preference for every backend server that matches.
 	EffectPrefer Effect = "prefer"
-	// EffectForbid drops every backend server that matches.
+	// EffectForbid excludes every backend server that matches.
 	EffectForbid Effect = "forbid"
 )
 
-// Rule says which work may run where and in what order of preference.
+// Rule determines which backend servers may run certain work, or are preferred for it.
 type Rule struct {
 	// Name is unique among rules.
 	Name string `toml:"name" json:"name"`
-	// Caller, Stage and Server are label selectors in the Kubernetes syntax; an empty one matches all.
+	// Caller, Stage and Server are label selectors in the Kubernetes syntax. An empty one matches
+	// everything.
 	Caller string `toml:"caller" json:"caller,omitempty"`
 	Stage  string `toml:"stage" json:"stage,omitempty"`
 	Server string `toml:"server" json:"server"`
-	// Effect is applied where Caller and Stage match.
+	// Effect is applied to the work that Caller and Stage match.
 	Effect Effect `toml:"effect" json:"effect"`
-	// Weight counts for EffectPrefer: 1 to 100.
+	// Weight is the weight of EffectPrefer, 1 to 100. It is 0 for other effects.
 	Weight int `toml:"weight" json:"weight,omitempty"`
 }
 
-// Pool is capacity with a minimum spend that is owed whether used or not.
+// Pool is capacity with a committed minimum spend, which is owed whether or not the capacity is used.
 type Pool struct {
 	// Name is unique among pools.
 	Name string `toml:"name" json:"name"`
 	// Committed is the amount paid for, in cost units per second.
 	Committed float64 `toml:"committed" json:"committed"`
-	// Price is paid per committed cost unit; BeyondPrice per unit beyond it, in the deployment's currency.
+	// Price is the price of a committed cost unit, and BeyondPrice that of a unit beyond the committed
+	// amount, in the deployment's currency.
 	Price       float64 `toml:"price" json:"price"`
 	BeyondPrice float64 `toml:"beyond-price" json:"beyond-price"`
-	// BeyondPriority is the lowest class that may spend beyond the committed amount.
+	// BeyondPriority is the lowest priority class that may spend beyond the committed amount.
 	BeyondPriority Priority `toml:"beyond-priority" json:"beyond-priority"`
 }
 
-// Role is what an operator may do.
+// Role determines what an operator may do.
 type Role string
 
 // The roles of operators.
@@ -221,29 +231,32 @@
 	RoleChange Role = "change"
 )
 
-// Operator may use the admin API.
+// Operator is a user of the admin API.
 type Operator struct {
-	// Name is unique among operators and is written into the history.
+	// Name is unique among operators and is recorded in the history of changes.
 	Name string `toml:"name" json:"name"`
-	// TokenSHA256 is the hex digest of the operator's token.
+	// TokenSHA256 is the SHA-256 digest of the operator's token in hex.
 	TokenSHA256 string `toml:"token-sha256" json:"token-sha256"`
-	// Role bounds what the operator may do.
+	// Role determines what the operator may do.
 	Role Role `toml:"role" json:"role"`
 }
 
-// Limits holds the settings of the whole deployment; one document, named "deployment".
+// Limits holds the settings of the whole deployment. There is one such document, named "deployment".
 type Limits struct {
 	// Name is always "deployment".
 	Name string `toml:"name" json:"name"`
-	// StaleAfter is how long a process serves without a confirmed configuration; 0: for ever.
+	// StaleAfter is how long a process continues to serve after its configuration was last confirmed.
+	// 0 means indefinitely.
 	StaleAfter Duration `toml:"stale-after" json:"stale-after"`
-	// ClaimRetention is how long the answer of a finished non-idempotent call can be had again.
+	// ClaimRetention is how long the answer of a finished non-idempotent call is kept for retries with
+	// the same Idempotency-Key.
 	ClaimRetention Duration `toml:"claim-retention" json:"claim-retention"`
-	// RegionOrder lists, for each region, the others from near to far; a missing region is equally far.
+	// RegionOrder lists, for each region, the other regions from the nearest to the farthest. Regions
+	// that are not listed count as farther than those, and as equally far among themselves.
 	RegionOrder map[string][]string `toml:"region-order" json:"region-order,omitempty"`
 }
 
-// Set is a whole configuration, or the documents of one change.
+// Set is a complete configuration, or the documents of one change.
 type Set struct {
 	Teams     []Team     `toml:"team" json:"team,omitempty"`
 	Pipelines []Pipeline `toml:"pipeline" json:"pipeline,omitempty"`
--- a/share/models/config/locate.go
+++ b/share/models/config/locate.go
@@ -7,17 +7,21 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Source knows on which line of a text each field of each document stands.
-type Source struct {
-	file  string
+// SourceMap maps the fields of the documents in a TOML text to their line numbers.
+type SourceMap struct {
+	file string
+	// lines holds the line of each field and table. The key is the document's ID and the field's path,
+	// for example "pipeline#0.stage[1].service".
 	lines map[string]int
-	names map[string]string
+	// documents maps a document's kind and name, for example "pipeline/notes", to its ID: the kind and
+	// the position among the documents of the kind.
+	documents map[string]string
 }
 
-// NewSource scans a text that ParseTOML or ParsePatch accepted.
-func NewSource(file string, data []byte) *Source {
-	s := &Source{file: file, lines: map[string]int{}, names: map[string]string{}}
-	scan := scanner{counts: map[string]int{}}
+// NewSourceMap returns the source map of a text that ParseTOML or ParsePatch accepted.
+func NewSourceMap(file string, data []byte) *SourceMap {
+	s := &SourceMap{file: file, lines: map[string]int{}, documents: map[string]string{}}
+	at := cursor{counts: map[string]int{}}
 	parser := unstable.Parser{}
 	parser.Reset(data)
 	for parser.NextExpression() {
@@ -25,20 +29,21 @@
 		path, line := readKey(&parser, node)
 		switch node.Kind {
 		case unstable.ArrayTable:
-			scan.openArray(path)
+			at.openArray(path)
 		case unstable.Table:
-			scan.openTable(path)
+			at.openTable(path)
 		case unstable.KeyValue:
-			s.note(&scan, path, string(node.Value().Data), line)
+			s.recordField(&at, path, string(node.Value().Data), line)
 			continue
 		default:
 			continue
 		}
-		s.lines[scan.document+scan.prefix] = line
+		s.lines[at.document+at.prefix] = line
 	}
 	return s
 }
 
+// readKey returns the key of a table or key-value expression, split at its dots, and the key's line.
 func readKey(parser *unstable.Parser, node *unstable.Node) (path []string, line int) {
 	switch node.Kind {
 	case unstable.ArrayTable, unstable.Table, unstable.KeyValue:
@@ -55,16 +60,18 @@
 	return path, line
 }
 
-func (s *Source) note(scan *scanner, path []string, value string, line int) {
+// recordField records the line of a field, and the ID of the current document if the field is the
+// document's name.
+func (s *SourceMap) recordField(at *cursor, path []string, value string, line int) {
 	field := strings.Join(path, ".")
-	s.lines[scan.document+scan.prefix+"."+field] = line
-	if field == "name" && scan.prefix == "" {
-		s.names[scan.kind+"/"+value] = scan.document
+	s.lines[at.document+at.prefix+"."+field] = line
+	if field == "name" && at.prefix == "" {
+		s.documents[at.kind+"/"+value] = at.document
 	}
 }
 
-// Locate fills in file and line of those problems whose document stands in the text.
-func (s *Source) Locate(problems []Problem) []Problem {
+// Locate returns the problems with file and line filled in where their document is part of the text.
+func (s *SourceMap) Locate(problems []Problem) []Problem {
 	located := make([]Problem, len(problems))
 	for i, p := range problems {
 		located[i] = s.locate(p)
@@ -72,8 +79,8 @@
 	return located
 }
 
-func (s *Source) locate(p Problem) Problem {
-	document, found := s.names[string(p.Kind)+"/"+p.Name]
+func (s *SourceMap) locate(p Problem) Problem {
+	document, found := s.documents[string(p.Kind)+"/"+p.Name]
 	if !found || p.File != "" {
 		return p
 	}
@@ -85,20 +92,26 @@
 			p.Line = line
 			return p
 		}
-		// A field left out is reported at the table that lacks it.
+		// A field that is absent from the text is reported at the line of its table.
 		field = field[:max(strings.LastIndex(field, "."), 0)]
 	}
 }
 
-// scanner follows the tables of a text.
-type scanner struct {
-	kind     string
+// cursor is the position of a sequential scan of a text: the table that the scan has reached.
+type cursor struct {
+	kind string
+	// document is the ID of the current document, for example "pipeline#0".
 	document string
-	prefix   string
-	counts   map[string]int
+	// prefix is the path of the current table within the document, for example ".stage[1]". It is empty
+	// at the top of a document.
+	prefix string
+	// counts holds the number of entries seen so far of each array of tables.
+	counts map[string]int
 }
 
-func (c *scanner) openArray(path []string) {
+// openArray moves the cursor to a new entry of an array of tables. The entry is a new document if the
+// array is at the top level.
+func (c *cursor) openArray(path []string) {
 	if len(path) == 1 {
 		c.kind = path[0]
 		c.document = fmt.Sprintf("%s#%d", c.kind, c.counts[c.kind])
@@ -111,7 +124,9 @@
 	c.counts[nested]++
 }
 
-func (c *scanner) openTable(path []string) {
+// openTable moves the cursor to a table of the current document, or of the last entry of one of its
+// arrays.
+func (c *cursor) openTable(path []string) {
 	if len(path) < 2 {
 		c.prefix = ""
 		return
--- a/share/models/config/main_test.go
+++ b/share/models/config/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed, so that a run can be repeated.
+// TestMain fixes the seed of property tests unless -rapid.seed sets one, so that failures are
+// reproducible. It also disables rapid's fail files.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/share/models/config/parse.go
+++ b/share/models/config/parse.go
@@ -8,22 +8,23 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxProblems bounds the rounds of reading a text that is wrong throughout.
+// maxProblems limits how often a text with many errors is decoded. Each decoding that fails adds at
+// least one problem.
 const maxProblems = 100
 
-// Reference names one document.
+// Reference identifies a document.
 type Reference struct {
 	Kind Kind   `toml:"kind" json:"kind"`
 	Name string `toml:"name" json:"name"`
 }
 
-// Patch holds the documents of one change and those that it removes.
+// Patch is a change: the documents that it adds or replaces, and references to those that it removes.
 type Patch struct {
 	Set
 	Remove []Reference `toml:"remove" json:"remove,omitempty"`
 }
 
-// ParseTOML reads documents strictly and returns every problem of the text at once.
+// ParseTOML decodes documents, rejects unknown keys, and returns all problems of the text at once.
 func ParseTOML(name string, data []byte) (Set, []Problem) {
 	var set Set
 	problems := decodeTOML(name, data, func(text []byte) error {
@@ -33,7 +34,7 @@
 	return set, problems
 }
 
-// ParsePatch reads the documents and removals of a change as strictly as ParseTOML.
+// ParsePatch decodes the documents and removals of a change as strictly as ParseTOML does.
 func ParsePatch(name string, data []byte) (Patch, []Problem) {
 	var patch Patch
 	problems := decodeTOML(name, data, func(text []byte) error {
@@ -47,26 +48,26 @@
 	return toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 }
 
-// decodeTOML reads the text again without each line that the decoder stopped
-// at, since the decoder reports only the first bad value.
+// decodeTOML returns all problems of a text. The decoder reports only the first invalid value, so
+// decodeTOML blanks the line of each reported value and decodes the text again.
 func decodeTOML(name string, data []byte, decode func([]byte) error) []Problem {
 	lines := bytes.Split(bytes.Clone(data), []byte("\n"))
 	var problems []Problem
 	for len(problems) < maxProblems {
 		err := decode(bytes.Join(lines, []byte("\n")))
-		var missing *toml.StrictMissingError
-		var bad *toml.DecodeError
+		var unknown *toml.StrictMissingError
+		var invalid *toml.DecodeError
 		switch {
 		case err == nil:
 			return problems
-		case errors.As(err, &missing):
-			for i := range missing.Errors {
-				problems = append(problems, newTextProblem(name, lines, &missing.Errors[i], "unknown key"))
+		case errors.As(err, &unknown):
+			for i := range unknown.Errors {
+				problems = append(problems, newTextProblem(name, lines, &unknown.Errors[i], "unknown key"))
 			}
 			return problems
-		case errors.As(err, &bad):
-			problems = append(problems, newTextProblem(name, lines, bad, ""))
-			row, _ := bad.Position()
+		case errors.As(err, &invalid):
+			problems = append(problems, newTextProblem(name, lines, invalid, ""))
+			row, _ := invalid.Position()
 			if row < 1 || row > len(lines) || len(lines[row-1]) == 0 {
 				return problems
 			}
@@ -78,9 +79,11 @@
 	return problems
 }
 
-func newTextProblem(name string, lines [][]byte, bad *toml.DecodeError, detail string) Problem {
-	row, _ := bad.Position()
-	field := strings.Join(bad.Key(), ".")
+// newTextProblem returns the problem that the decoder reported. If the decoder gives no key, the field
+// is the text before the equals sign of the line. If detail is empty, the decoder's message is used.
+func newTextProblem(name string, lines [][]byte, invalid *toml.DecodeError, detail string) Problem {
+	row, _ := invalid.Position()
+	field := strings.Join(invalid.Key(), ".")
 	if field == "" && row >= 1 && row <= len(lines) {
 		key, _, found := strings.Cut(string(lines[row-1]), "=")
 		if found {
@@ -88,7 +91,7 @@
 		}
 	}
 	if detail == "" {
-		detail = strings.TrimPrefix(bad.Error(), "toml: ")
+		detail = strings.TrimPrefix(invalid.Error(), "toml: ")
 	}
 	return Problem{File: name, Line: row, Field: field, Detail: detail}
 }
--- a/share/models/config/plan.go
+++ b/share/models/config/plan.go
@@ -2,28 +2,29 @@
 
 import "maps"
 
-// Plan is a change worked out against a configuration, before it is in force.
+// Plan is the result of applying a change to a configuration, computed before the change is in force.
 type Plan struct {
 	Manifest     Manifest
 	ManifestData []byte
-	// Next is the whole configuration after the change; its place has no revision yet.
+	// Next is the complete configuration after the change. Its version has no revision yet.
 	Next *Loaded
-	// Chunks are those that the configuration before did not have, without the manifest.
+	// Chunks are the chunks that the previous configuration does not contain, without the manifest.
 	Chunks []Chunk
-	// Changes lists what the change alters, field by field.
-	Changes []Change
+	// Changes lists the fields that the change alters.
+	Changes []FieldChange
 }
 
-// Values returns every value that must be stored before the head may move.
-func (p *Plan) Values() []Chunk {
+// ChangedValues returns the manifest and the new chunks. All of them must be stored before the head
+// record may be updated.
+func (p *Plan) ChangedValues() []Chunk {
 	manifest := Chunk{Hash: HashBytes(p.ManifestData), Data: p.ManifestData}
 	return append([]Chunk{manifest}, p.Chunks...)
 }
 
-// AllValues returns every value of the configuration after the change, for a
-// service that may hold none of them.
+// AllValues returns the manifest and all chunks of the configuration after the change. They are stored
+// instead of ChangedValues when the key-value service may have lost its data.
 func (p *Plan) AllValues() []Chunk {
-	hashes := append([]Hash{p.Next.Place.Manifest}, p.Manifest.Hashes()...)
+	hashes := append([]Hash{p.Next.Version.ManifestHash}, p.Manifest.Hashes()...)
 	values := make([]Chunk, 0, len(hashes))
 	for _, hash := range hashes {
 		chunk, found := p.Next.GetChunk(hash)
@@ -34,11 +35,12 @@
 	return values
 }
 
-// NewPlan works out a patch against a configuration, which may be nil for the
-// first one. Only the buckets that the patch names are encoded anew.
+// NewPlan applies a patch to a configuration, which is nil before the first change. Only the buckets
+// that contain documents of the patch or its removals are encoded again. The plan is nil if the patch
+// cannot be applied, and must not be used if there are problems.
 func NewPlan(l *Loaded, patch Patch) (*Plan, []Problem) {
 	if l == nil {
-		l = &Loaded{Snapshot: NewSnapshot(0, Set{}), parts: map[Hash]*Set{}}
+		l = &Loaded{Snapshot: NewSnapshot(0, Set{}), decoded: map[Hash]*Set{}}
 	}
 	problems := checkPatch(l, patch)
 	if len(problems) > 0 {
@@ -49,23 +51,23 @@
 		p.planKind(l, kind, patch)
 	}
 	p.ManifestData = p.Manifest.Encode()
-	next, err := Load(l, Place{Manifest: HashBytes(p.ManifestData)}, p.Manifest, p.Chunks)
+	next, err := Load(l, Version{ManifestHash: HashBytes(p.ManifestData)}, p.Manifest, p.Chunks)
 	if err != nil {
 		return nil, []Problem{{Detail: err.Error()}}
 	}
 	p.Next = next
-	problems = append(Validate(next.Snapshot.Set), checkSizes(p.Values())...)
+	problems = append(Validate(next.Snapshot.Set), checkSizes(p.ChangedValues())...)
 	return p, problems
 }
 
-// planKind carries over the buckets of a kind and encodes those that the patch names.
+// planKind copies the buckets of a kind from l and encodes again those that the patch changes.
 func (p *Plan) planKind(l *Loaded, kind Kind, patch Patch) {
 	if old := l.Manifest.Buckets[kind]; len(old) > 0 {
 		p.Manifest.Buckets[kind] = maps.Clone(old)
 	}
-	patches := map[uint32]*Set{}
+	patchBuckets := map[uint32]*Set{}
 	for _, d := range patch.list(kind) {
-		addTo(patches, d)
+		addToBucket(patchBuckets, d)
 	}
 	removals := map[uint32][]Reference{}
 	for _, r := range patch.Remove {
@@ -74,27 +76,27 @@
 		}
 		bucket := bucketOf(kind, r.Name)
 		removals[bucket] = append(removals[bucket], r)
-		if patches[bucket] == nil {
-			patches[bucket] = &Set{}
+		if patchBuckets[bucket] == nil {
+			patchBuckets[bucket] = &Set{}
 		}
 	}
-	touched := map[uint32]*Set{}
-	for bucket, part := range patches {
+	changedBuckets := map[uint32]*Set{}
+	for bucket, documents := range patchBuckets {
 		before := Set{}
-		if old := l.parts[l.Manifest.Buckets[kind][bucket]]; old != nil {
+		if old := l.decoded[l.Manifest.Buckets[kind][bucket]]; old != nil {
 			before = *old
 		}
-		after := Merge(before, *part, removals[bucket])
+		after := Merge(before, *documents, removals[bucket])
 		p.Changes = append(p.Changes, Diff(before, after)...)
 		if after.Count() == 0 {
 			delete(p.Manifest.Buckets[kind], bucket)
 			continue
 		}
-		touched[bucket] = &after
+		changedBuckets[bucket] = &after
 	}
 	sortChanges(p.Changes)
-	for _, chunk := range p.Manifest.put(kind, touched) {
-		if l.parts[chunk.Hash] == nil {
+	for _, chunk := range p.Manifest.encodeBuckets(kind, changedBuckets) {
+		if l.decoded[chunk.Hash] == nil {
 			p.Chunks = append(p.Chunks, chunk)
 		}
 	}
@@ -103,7 +105,8 @@
 	}
 }
 
-// checkPatch finds faults that are no longer to be seen once the patch is merged.
+// checkPatch returns the problems of a patch that can no longer be detected after it is merged:
+// duplicate documents and invalid removals.
 func checkPatch(l *Loaded, patch Patch) []Problem {
 	var problems []Problem
 	sent := map[Reference]bool{}
@@ -120,22 +123,22 @@
 		switch {
 		case sent[r]:
 			problems = append(problems, Problem{Kind: r.Kind, Name: r.Name, Detail: "is both sent and removed"})
-		case !l.has(r):
+		case !l.hasDocument(r):
 			problems = append(problems, Problem{Kind: r.Kind, Name: r.Name, Detail: "cannot be removed: there is none"})
 		}
 	}
 	return problems
 }
 
-// has looks only into the bucket where the document would stand.
-func (l *Loaded) has(ref Reference) bool {
-	part := l.parts[l.Manifest.Buckets[ref.Kind][bucketOf(ref.Kind, ref.Name)]]
-	return part != nil && part.GetDocument(ref) != nil
+// hasDocument reports whether l contains a document. It searches only the document's bucket.
+func (l *Loaded) hasDocument(ref Reference) bool {
+	documents := l.decoded[l.Manifest.Buckets[ref.Kind][bucketOf(ref.Kind, ref.Name)]]
+	return documents != nil && documents.GetDocument(ref) != nil
 }
 
 func checkSizes(values []Chunk) []Problem {
 	for _, c := range values {
-		if len(c.Data) > MaxValue {
+		if len(c.Data) > MaxValueBytes {
 			return []Problem{{Detail: "a part of the configuration grows over the 1 MB that the key-value service holds"}}
 		}
 	}
--- a/share/models/config/problem.go
+++ b/share/models/config/problem.go
@@ -5,15 +5,16 @@
 	"strings"
 )
 
-// Problem is one fault of a configuration, told with its place.
+// Problem is an error in a configuration and its location.
 type Problem struct {
-	// File and Line are empty where the fault lies in a document that was not sent.
+	// File and Line are empty if the error is in a document that is not part of the text sent.
 	File string `json:"file,omitempty"`
 	Line int    `json:"line,omitempty"`
-	// Kind and Name are the document's; empty where the text could not be read.
+	// Kind and Name identify the document. They are empty if the text could not be decoded or the
+	// problem concerns no single document.
 	Kind Kind   `json:"kind,omitempty"`
 	Name string `json:"name,omitempty"`
-	// Field is the path within the document, such as stage[0].service.
+	// Field is the path within the document, for example stage[0].service.
 	Field  string `json:"field,omitempty"`
 	Detail string `json:"detail"`
 }
--- a/share/models/config/serve.go
+++ b/share/models/config/serve.go
@@ -1,15 +1,15 @@
 package config
 
-// FindChunks returns the chunks that l holds of the given hashes, to be sent
-// to a peer. Encoding is deterministic, so the bytes are those of the hash.
+// FindChunks returns those chunks with the given hashes that l holds, so that they can be sent to a
+// peer. It encodes their documents again; encoding is deterministic, so the bytes match the hash.
 func (l *Loaded) FindChunks(hashes []Hash) []Chunk {
 	chunks := make([]Chunk, 0, len(hashes))
 	for _, hash := range hashes {
-		part := l.parts[hash]
-		if part == nil {
+		documents := l.decoded[hash]
+		if documents == nil {
 			continue
 		}
-		chunks = append(chunks, Chunk{Hash: hash, Data: encode(part)})
+		chunks = append(chunks, Chunk{Hash: hash, Data: encode(documents)})
 	}
 	return chunks
 }
--- a/share/models/config/snapshot.go
+++ b/share/models/config/snapshot.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// defaultClaimRetention covers a caller that asks again a day later.
+// defaultClaimRetention lets a caller that retries a day later receive the stored answer.
 const defaultClaimRetention = 24 * time.Hour
 
-// Snapshot is one revision of the configuration, indexed for decisions; it never changes.
+// Snapshot is one revision of the configuration, indexed for lookups on the request path. It is
+// immutable.
 type Snapshot struct {
-	// Revision is 0 only for the empty snapshot of a process that has none yet.
+	// Revision is 0 if there is no configuration yet, and for one that is planned and not in force.
 	Revision uint64
-	// Set holds every document, sorted by name within its kind.
+	// Set holds all documents, sorted by name within their kind.
 	Set Set
 
 	teams     map[string]*Team
@@ -24,7 +25,8 @@
 	operators map[string]*Operator
 }
 
-// NewSnapshot indexes a set; it keeps references into it.
+// NewSnapshot returns a snapshot of a set. It keeps references into the set, which must not be changed
+// afterwards.
 func NewSnapshot(revision uint64, set Set) *Snapshot {
 	s := &Snapshot{
 		Revision:  revision,
@@ -62,7 +64,7 @@
 	}
 }
 
-func (s *Snapshot) dropTeams(teams []Team) {
+func (s *Snapshot) unindexTeams(teams []Team) {
 	for i := range teams {
 		delete(s.teams, teams[i].Name)
 		for _, digest := range teams[i].TokenSHA256 {
@@ -71,7 +73,7 @@
 	}
 }
 
-// DigestToken returns the form in which the configuration keeps a token.
+// DigestToken returns the digest under which the configuration stores a token: its SHA-256 in hex.
 func DigestToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
@@ -80,7 +82,7 @@
 // GetTeamByName returns the team, or nil.
 func (s *Snapshot) GetTeamByName(name string) *Team { return s.teams[name] }
 
-// GetTeamByToken returns the team whose token this is, or nil.
+// GetTeamByToken returns the team that the token belongs to, or nil.
 func (s *Snapshot) GetTeamByToken(token string) *Team { return s.tokens[DigestToken(token)] }
 
 // GetPipelineByName returns the pipeline, or nil.
@@ -92,10 +94,10 @@
 // GetPoolByName returns the pool, or nil.
 func (s *Snapshot) GetPoolByName(name string) *Pool { return s.pools[name] }
 
-// GetOperatorByToken returns the operator whose token this is, or nil.
+// GetOperatorByToken returns the operator that the token belongs to, or nil.
 func (s *Snapshot) GetOperatorByToken(token string) *Operator { return s.operators[DigestToken(token)] }
 
-// GetLimits returns the deployment's limits, or their defaults.
+// GetLimits returns the deployment's limits, or the defaults if the configuration has none.
 func (s *Snapshot) GetLimits() Limits {
 	if len(s.Set.Limits) > 0 {
 		return s.Set.Limits[0]
--- a/share/models/config/snapshot_test.go
+++ b/share/models/config/snapshot_test.go
@@ -8,6 +8,7 @@
 	"verbenaroad.example/share/models/config"
 )
 
+// Guards against a caller being taken for another team, or a stranger for a team.
 func TestSnapshotFindsTeamByToken(t *testing.T) {
 	is := is.New(t)
 	set := config.Set{Teams: []config.Team{{Name: "kranj", TokenSHA256: []string{config.DigestToken("spruce")}}}}
--- a/share/models/config/validate.go
+++ b/share/models/config/validate.go
@@ -21,29 +21,30 @@
 	maxWeight     = 1000
 	maxRuleWeight = 100
 	maxStageLimit = 1 << 20
-	maxTokens     = 4
+	maxTeamTokens = 4
 	digestLength  = 64
 	limitsName    = "deployment"
 )
 
-// validator collects problems of one set.
+// validator collects the problems of one set.
 type validator struct {
-	set      *Set
-	services map[string]*Service
-	pools    map[string]bool
-	name     *regexp.Regexp
+	set         *Set
+	services    map[string]*Service
+	pools       map[string]bool
+	namePattern *regexp.Regexp
+	// kind and name identify the document that is being checked.
 	kind     Kind
-	document string
+	name     string
 	problems []Problem
 }
 
-// Validate returns every problem of a whole configuration at once.
+// Validate returns all problems of a complete configuration.
 func Validate(set Set) []Problem {
 	v := &validator{
-		set:      &set,
-		services: map[string]*Service{},
-		pools:    map[string]bool{},
-		name:     regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`),
+		set:         &set,
+		services:    map[string]*Service{},
+		pools:       map[string]bool{},
+		namePattern: regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`),
 	}
 	for i := range set.Services {
 		v.services[set.Services[i].Name] = &set.Services[i]
@@ -64,20 +65,22 @@
 	return v.problems
 }
 
+// reportf adds a problem of the current document.
 func (v *validator) reportf(field, format string, args ...any) {
-	v.problems = append(v.problems, Problem{Kind: v.kind, Name: v.document, Field: field, Detail: fmt.Sprintf(format, args...)})
+	v.problems = append(v.problems, Problem{Kind: v.kind, Name: v.name, Field: field, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (v *validator) enter(kind Kind, name string) {
+// setDocument sets the document that reportf refers to.
+func (v *validator) setDocument(kind Kind, name string) {
 	v.kind = kind
-	v.document = name
+	v.name = name
 }
 
 func (v *validator) checkNames(kind Kind) {
 	seen := map[string]bool{}
 	for _, d := range v.set.list(kind) {
-		v.enter(kind, d.name)
-		if !v.name.MatchString(d.name) {
+		v.setDocument(kind, d.name)
+		if !v.namePattern.MatchString(d.name) {
 			v.reportf("name", "want 1 to 63 lower-case letters, digits and inner hyphens")
 		}
 		if seen[d.name] {
@@ -87,9 +90,9 @@
 	}
 }
 
-func (v *validator) checkRange(field string, value, least, most float64) {
-	if math.IsNaN(value) || value < least || value > most {
-		v.reportf(field, "%v is out of range: want %v to %v", value, least, most)
+func (v *validator) checkRange(field string, value, minimum, maximum float64) {
+	if math.IsNaN(value) || value < minimum || value > maximum {
+		v.reportf(field, "%v is out of range: want %v to %v", value, minimum, maximum)
 	}
 }
 
@@ -114,10 +117,10 @@
 
 func (v *validator) checkLabels(prefix string, l Labels) {
 	for key, value := range l {
-		faults := validation.IsQualifiedName(key)
-		faults = append(faults, validation.IsValidLabelValue(value)...)
-		for _, fault := range faults {
-			v.reportf(prefix+"."+key, "%s", fault)
+		messages := validation.IsQualifiedName(key)
+		messages = append(messages, validation.IsValidLabelValue(value)...)
+		for _, message := range messages {
+			v.reportf(prefix+"."+key, "%s", message)
 		}
 	}
 }
@@ -126,9 +129,9 @@
 	owners := map[string]string{}
 	for i := range v.set.Teams {
 		t := &v.set.Teams[i]
-		v.enter(KindTeam, t.Name)
-		if len(t.TokenSHA256) == 0 || len(t.TokenSHA256) > maxTokens {
-			v.reportf("token-sha256", "want 1 to %d digests", maxTokens)
+		v.setDocument(KindTeam, t.Name)
+		if len(t.TokenSHA256) == 0 || len(t.TokenSHA256) > maxTeamTokens {
+			v.reportf("token-sha256", "want 1 to %d digests", maxTeamTokens)
 		}
 		for _, digest := range t.TokenSHA256 {
 			v.checkDigest("token-sha256", digest)
@@ -150,7 +153,7 @@
 func (v *validator) checkPipelines() {
 	for i := range v.set.Pipelines {
 		p := &v.set.Pipelines[i]
-		v.enter(KindPipeline, p.Name)
+		v.setDocument(KindPipeline, p.Name)
 		v.checkDeadline("deadline", p.Deadline)
 		if len(p.Stages) == 0 || len(p.Stages) > maxStages {
 			v.reportf("stage", "has %d stages: want 1 to %d", len(p.Stages), maxStages)
@@ -163,7 +166,7 @@
 }
 
 func (v *validator) checkStage(prefix string, s *Stage, seen map[string]bool) {
-	if !v.name.MatchString(s.Name) {
+	if !v.namePattern.MatchString(s.Name) {
 		v.reportf(prefix+".name", "%q: want 1 to 63 lower-case letters, digits and inner hyphens", s.Name)
 	}
 	if seen[s.Name] {
@@ -172,7 +175,7 @@
 	seen[s.Name] = true
 	v.checkRange(prefix+".limit", float64(s.Limit), 0, maxStageLimit)
 	v.checkLabels(prefix+".labels", s.Labels)
-	want, known := fittingService(s.Kind)
+	want, known := requiredServiceKind(s.Kind)
 	if !known {
 		v.reportf(prefix+".kind", "%q is none of encode, retrieve, rerank, generate", s.Kind)
 	}
@@ -186,8 +189,8 @@
 	}
 }
 
-// fittingService returns the kind of service that can run a stage.
-func fittingService(kind StageKind) (service ServiceKind, known bool) {
+// requiredServiceKind returns the kind of service that runs stages of the given kind.
+func requiredServiceKind(kind StageKind) (service ServiceKind, known bool) {
 	switch kind {
 	case StageGenerate:
 		return ServiceEngine, true
@@ -201,7 +204,7 @@
 func (v *validator) checkServices() {
 	for i := range v.set.Services {
 		s := &v.set.Services[i]
-		v.enter(KindService, s.Name)
+		v.setDocument(KindService, s.Name)
 		if !slices.Contains([]ServiceKind{ServiceEngine, ServicePool, ServicePlain}, s.Kind) {
 			v.reportf("kind", "%q is none of engine, pool, plain", s.Kind)
 		}
@@ -238,7 +241,7 @@
 func (v *validator) checkRules() {
 	for i := range v.set.Rules {
 		r := &v.set.Rules[i]
-		v.enter(KindRule, r.Name)
+		v.setDocument(KindRule, r.Name)
 		v.checkSelector("caller", r.Caller)
 		v.checkSelector("stage", r.Stage)
 		v.checkSelector("server", r.Server)
@@ -268,7 +271,7 @@
 func (v *validator) checkPools() {
 	for i := range v.set.Pools {
 		p := &v.set.Pools[i]
-		v.enter(KindPool, p.Name)
+		v.setDocument(KindPool, p.Name)
 		v.checkRange("committed", p.Committed, 0, math.MaxFloat32)
 		v.checkRange("price", p.Price, 0, math.MaxFloat32)
 		v.checkRange("beyond-price", p.BeyondPrice, 0, math.MaxFloat32)
@@ -278,10 +281,10 @@
 
 func (v *validator) checkOperators() {
 	owners := map[string]string{}
-	changers := 0
+	withChangeRole := 0
 	for i := range v.set.Operators {
 		o := &v.set.Operators[i]
-		v.enter(KindOperator, o.Name)
+		v.setDocument(KindOperator, o.Name)
 		v.checkDigest("token-sha256", o.TokenSHA256)
 		if owner, taken := owners[o.TokenSHA256]; taken {
 			v.reportf("token-sha256", "the digest stands already in operator %s", owner)
@@ -289,15 +292,15 @@
 		owners[o.TokenSHA256] = o.Name
 		switch o.Role {
 		case RoleChange:
-			changers++
+			withChangeRole++
 		case RoleRead:
 		default:
 			v.reportf("role", "%q is none of read, change", o.Role)
 		}
 	}
-	if changers == 0 {
-		// Without this check a change could lock every operator out for good.
-		v.enter(KindOperator, "")
+	if withChangeRole == 0 {
+		// Without this check a change could permanently lock out all operators.
+		v.setDocument(KindOperator, "")
 		v.reportf("role", "no operator has the role change")
 	}
 }
@@ -305,7 +308,7 @@
 func (v *validator) checkLimits() {
 	for i := range v.set.Limits {
 		l := &v.set.Limits[i]
-		v.enter(KindLimits, l.Name)
+		v.setDocument(KindLimits, l.Name)
 		if l.Name != limitsName {
 			v.reportf("name", "want %s", limitsName)
 		}
--- a/share/services/admapi/admapi.go
+++ b/share/services/admapi/admapi.go
@@ -15,7 +15,7 @@
 const MaxChanges = 2000
 
 // CutChanges returns the first MaxChanges and how many were left out.
-func CutChanges(changes []config.Change) (cut []config.Change, omitted int) {
+func CutChanges(changes []config.FieldChange) (cut []config.FieldChange, omitted int) {
 	if len(changes) <= MaxChanges {
 		return changes, 0
 	}
@@ -33,19 +33,19 @@
 	RequestID  string           `json:"request-id"`
 	Problems   []config.Problem `json:"problems,omitempty"`
 	// ChangeID, Revision and Changes tell of a change: on conflict the winner's revision and what it changed.
-	ChangeID string          `json:"change-id,omitempty"`
-	Revision uint64          `json:"revision,omitempty"`
-	Changes  []config.Change `json:"changes,omitempty"`
+	ChangeID string               `json:"change-id,omitempty"`
+	Revision uint64               `json:"revision,omitempty"`
+	Changes  []config.FieldChange `json:"changes,omitempty"`
 	// ChangesOmitted counts those beyond MaxChanges.
 	ChangesOmitted int `json:"changes-omitted,omitempty"`
 }
 
 // ChangeResult is the answer to an accepted or checked change.
 type ChangeResult struct {
-	Verdict  string          `json:"verdict"`
-	ChangeID string          `json:"change-id"`
-	Revision uint64          `json:"revision"`
-	Changes  []config.Change `json:"changes"`
+	Verdict  string               `json:"verdict"`
+	ChangeID string               `json:"change-id"`
+	Revision uint64               `json:"revision"`
+	Changes  []config.FieldChange `json:"changes"`
 	// ChangesOmitted counts those beyond MaxChanges.
 	ChangesOmitted int `json:"changes-omitted,omitempty"`
 }
@@ -58,7 +58,7 @@
 
 // History is the answer to a query for the last moves, newest first.
 type History struct {
-	Moves []config.Move `json:"moves"`
+	Moves []config.AcceptedChange `json:"moves"`
 }
 
 // LabelChange sets and removes labels of a team or of a pipeline's stage.
--- a/share/services/follow/fetch.go
+++ b/share/services/follow/fetch.go
@@ -56,7 +56,7 @@
 		f.tellFetched(nil, err, true)
 		return
 	}
-	loaded, err := f.options.Store.Load(ctx, f.GetLoaded(), answer.Head.Place)
+	loaded, err := f.options.Store.Load(ctx, f.GetLoaded(), answer.Head.Version)
 	f.tellFetched(loaded, err, true)
 }
 
@@ -98,8 +98,8 @@
 	}
 	f.meter.fetched.Add(sizeOf(answer))
 	first := answer.GetChunks()[0]
-	place := config.Place{Revision: answer.GetRevision(), Manifest: config.Hash(first.GetHash())}
-	manifest, err := config.DecodeManifest(place.Manifest, first.GetData())
+	place := config.Version{Revision: answer.GetRevision(), ManifestHash: config.Hash(first.GetHash())}
+	manifest, err := config.DecodeManifest(place.ManifestHash, first.GetData())
 	if err != nil {
 		return nil, err
 	}
--- a/share/services/follow/follow.go
+++ b/share/services/follow/follow.go
@@ -39,7 +39,7 @@
 type Store interface {
 	ReadHead(ctx context.Context) (store.HeadAnswer, error)
 	WatchHead(ctx context.Context, index uint64, wait time.Duration) (store.HeadAnswer, error)
-	Load(ctx context.Context, old *config.Loaded, place config.Place) (*config.Loaded, error)
+	Load(ctx context.Context, old *config.Loaded, place config.Version) (*config.Loaded, error)
 }
 
 // Peers asks another process for configuration over the session to it.
@@ -217,9 +217,9 @@
 	if loaded == nil {
 		return &wire.Chunks{}
 	}
-	answer := &wire.Chunks{Revision: loaded.Place.Revision}
+	answer := &wire.Chunks{Revision: loaded.Version.Revision}
 	if len(fetch.GetHashes()) == 0 {
-		answer.Chunks = []*wire.Chunk{{Hash: string(loaded.Place.Manifest), Data: loaded.Manifest.Encode()}}
+		answer.Chunks = []*wire.Chunk{{Hash: string(loaded.Version.ManifestHash), Data: loaded.Manifest.Encode()}}
 		f.meter.served.Add(sizeOf(answer))
 		return answer
 	}
@@ -259,7 +259,7 @@
 		if publish, ok := action.(spread.Publish); ok {
 			f.loaded = publish.Loaded
 			f.counts.Published++
-			f.options.Log.Info("configuration-in-force", zap.Uint64("revision", publish.Loaded.Place.Revision))
+			f.options.Log.Info("configuration-in-force", zap.Uint64("revision", publish.Loaded.Version.Revision))
 		}
 	}
 	close(f.changed)
--- a/share/services/store/reader.go
+++ b/share/services/store/reader.go
@@ -76,6 +76,6 @@
 }
 
 // Load reads the configuration at a place; chunks of old, which may be nil, are used again.
-func (r *Reader) Load(ctx context.Context, old *config.Loaded, place config.Place) (*config.Loaded, error) {
+func (r *Reader) Load(ctx context.Context, old *config.Loaded, place config.Version) (*config.Loaded, error) {
 	return Load(ctx, r, old, place)
 }
--- a/share/services/store/store.go
+++ b/share/services/store/store.go
@@ -46,15 +46,15 @@
 }
 
 // Load reads the configuration at a place from a source; chunks of old, which may be nil, are used again.
-func Load(ctx context.Context, source ChunkSource, old *config.Loaded, place config.Place) (*config.Loaded, error) {
-	chunks, err := source.ReadChunks(ctx, []config.Hash{place.Manifest})
+func Load(ctx context.Context, source ChunkSource, old *config.Loaded, place config.Version) (*config.Loaded, error) {
+	chunks, err := source.ReadChunks(ctx, []config.Hash{place.ManifestHash})
 	if err != nil {
 		return nil, ErrStore.Wrap(err)
 	}
 	if len(chunks) != 1 {
-		return nil, ErrStore.New("manifest %s is missing", place.Manifest)
+		return nil, ErrStore.New("manifest %s is missing", place.ManifestHash)
 	}
-	manifest, err := config.DecodeManifest(place.Manifest, chunks[0].Data)
+	manifest, err := config.DecodeManifest(place.ManifestHash, chunks[0].Data)
 	if err != nil {
 		return nil, ErrStore.Wrap(err)
 	}
--- a/share/services/store/store_test.go
+++ b/share/services/store/store_test.go
@@ -88,11 +88,11 @@
 	is.Equal(writer.Submit(ctx, newSubmission("two", 3)).Revision, uint64(2))
 	answer, err := reader.ReadHead(ctx)
 	is.NoErr(err)
-	loaded, err := reader.Load(ctx, nil, answer.Head.Place)
+	loaded, err := reader.Load(ctx, nil, answer.Head.Version)
 	is.NoErr(err)
 	is.Equal(loaded.Snapshot.GetPoolByName("gpu").Price, 3.0)
 	// A peer that holds the configuration can give every part of it.
-	again, err := store.Load(ctx, peer{loaded}, nil, answer.Head.Place)
+	again, err := store.Load(ctx, peer{loaded}, nil, answer.Head.Version)
 	is.NoErr(err)
 	is.Equal(again.Snapshot.Set, loaded.Snapshot.Set)
 }
@@ -145,7 +145,7 @@
 	answer := writer.Submit(t.Context(), late)
 	is.Equal(answer.Verdict, head.VerdictConflict)
 	is.Equal(answer.Revision, uint64(2))
-	is.Equal(answer.Changes, []config.Change{{Kind: config.KindPool, Name: "gpu", Field: "price", Old: "1", New: "2"}})
+	is.Equal(answer.Changes, []config.FieldChange{{Kind: config.KindPool, Name: "gpu", Field: "price", Old: "1", New: "2"}})
 }
 
 // Operators submit at once from several processes. Each accepted change has a
@@ -172,7 +172,7 @@
 			continue
 		}
 		accepted++
-		is.Equal(last.Head.FindMove(fmt.Sprint("c", i)).Revision, answer.Revision)
+		is.Equal(last.Head.FindChange(fmt.Sprint("c", i)).Revision, answer.Revision)
 	}
 	is.Equal(uint64(accepted), last.Head.Revision)
 }
--- a/share/services/store/writer.go
+++ b/share/services/store/writer.go
@@ -48,7 +48,7 @@
 	if err != nil || answer.Index == 0 {
 		return nil, err
 	}
-	return w.load(ctx, answer.Head.Place)
+	return w.load(ctx, answer.Head.Version)
 }
 
 func findAnswer(actions []head.Action) (answer head.Answer, ended bool) {
@@ -82,11 +82,11 @@
 	if answer.Index == 0 {
 		return event
 	}
-	event.Loaded, err = w.load(ctx, answer.Head.Place)
+	event.Loaded, err = w.load(ctx, answer.Head.Version)
 	if err != nil {
 		return head.FetchFailed{}
 	}
-	if place := answer.Head.FindPlace(base); base != 0 && base != answer.Head.Revision && place.Manifest != "" {
+	if place := answer.Head.FindVersion(base); base != 0 && base != answer.Head.Revision && place.ManifestHash != "" {
 		event.Base, err = w.reader.Load(ctx, event.Loaded, place)
 		if err != nil {
 			event.Base = nil // the conflict is certain; only its diff can't be told
@@ -95,11 +95,11 @@
 	return event
 }
 
-func (w *Writer) load(ctx context.Context, place config.Place) (*config.Loaded, error) {
+func (w *Writer) load(ctx context.Context, place config.Version) (*config.Loaded, error) {
 	w.mutex.Lock()
 	old := w.last
 	w.mutex.Unlock()
-	if old != nil && old.Place == place {
+	if old != nil && old.Version == place {
 		return old, nil
 	}
 	loaded, err := w.reader.Load(ctx, old, place)
@@ -108,7 +108,7 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.last == nil || w.last.Place.Revision < place.Revision {
+	if w.last == nil || w.last.Version.Revision < place.Revision {
 		w.last = loaded
 	}
 	return loaded, nil
--- a/vctl/cmds/apply.go
+++ b/vctl/cmds/apply.go
@@ -91,7 +91,7 @@
 // check reads the files as a whole configuration, for use before there is a server.
 func (a *app) check(d *documents) error {
 	problems := config.Validate(d.patch.Set)
-	source := config.NewSource(admapi.BodyName, d.text)
+	source := config.NewSourceMap(admapi.BodyName, d.text)
 	err := a.reportProblems(d.locate(source.Locate(problems)))
 	if err != nil {
 		return err
--- a/vctl/cmds/print.go
+++ b/vctl/cmds/print.go
@@ -42,7 +42,7 @@
 	_, _ = fmt.Fprintf(a.streams.Out, format+"\n", args...)
 }
 
-func (a *app) printChanges(changes []config.Change, omitted int) {
+func (a *app) printChanges(changes []config.FieldChange, omitted int) {
 	rows := make([][]string, 0, len(changes))
 	for _, c := range changes {
 		rows = append(rows, []string{string(c.Kind), c.Name, c.Field, orDash(c.Old), orDash(c.New)})
