--- a/agent/cmds/serve.go
+++ b/agent/cmds/serve.go
@@ -95,10 +95,10 @@
 	guard := claim.NewGuard(incarnation, claim.GuardLimits{Attempts: guardAttempts, Answers: guardAnswers})
 	a.keeper = claims.NewKeeper(guard, port, a.log)
 	a.gate = gate.NewGate(queue.Settings{
-		Mode:    queue.Mode(s.Backend.QueueMode),
-		Limit:   s.Backend.QueueLimit,
-		Slots:   s.Backend.Slots,
-		Service: s.Backend.ServiceGuess,
+		Mode:               queue.Mode(s.Backend.QueueMode),
+		MaxWaiting:         s.Backend.QueueLimit,
+		Slots:              s.Backend.Slots,
+		InitialServiceTime: s.Backend.ServiceGuess,
 	})
 	a.intake = intake.NewIntake(intake.Options{
 		Incarnation:    incarnation,
--- a/agent/services/gate/gate.go
+++ b/agent/services/gate/gate.go
@@ -84,7 +84,7 @@
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	now := time.Now()
-	t.item.Least = g.times.expect(now, t.stage, t.item.Cost)
+	t.item.MinRunTime = g.times.expect(now, t.stage, t.item.Cost)
 	pushed := g.queue.Push(now, t.item)
 	if pushed.Refused != nil {
 		return pushed.Refused
--- a/agent/services/gate/gate_test.go
+++ b/agent/services/gate/gate_test.go
@@ -22,7 +22,7 @@
 )
 
 func newGate() *gate.Gate {
-	return gate.NewGate(queue.Settings{Mode: queue.ModeFair, Limit: 16, Slots: 1, Service: runTime})
+	return gate.NewGate(queue.Settings{Mode: queue.ModeFair, MaxWaiting: 16, Slots: 1, InitialServiceTime: runTime})
 }
 
 func item(id string, priority config.Priority, left time.Duration) queue.Item {
--- a/share/decide/queue/bench_test.go
+++ b/share/decide/queue/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 func BenchmarkPushPop(b *testing.B) {
-	q := fair(256, 4)
+	q := newFairQueue(256, 4)
 	ids := make([]string, 1024)
 	teams := make([]string, 64)
 	for n := range ids {
@@ -30,13 +30,14 @@
 	}
 }
 
-// BenchmarkTeams19000 reports what the queue remembers once each of 19,000 teams had a call.
+// BenchmarkTeams19000 reports how many teams the queue tracks, and in how much memory, after each of
+// 19,000 teams had a call.
 func BenchmarkTeams19000(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		q := fair(256, 4)
+		q := newFairQueue(256, 4)
 		for n := range 19_000 {
 			q.Push(start, item(fmt.Sprint(n), fmt.Sprint("team-", n), config.PriorityNormal, time.Hour))
 			if q.Len() < 200 {
@@ -47,7 +48,7 @@
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		b.ReportMetric(float64(q.Remembered()), "teams")
+		b.ReportMetric(float64(q.TrackedTeams()), "teams")
 		b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "bytes-held")
 		runtime.KeepAlive(q)
 	}
--- a/share/decide/queue/class.go
+++ b/share/decide/queue/class.go
@@ -5,44 +5,46 @@
 	"time"
 )
 
-// entry is a waiting item with its places in the heaps.
+// entry is a waiting item with its indexes in the heaps.
 type entry struct {
 	item     Item
 	class    int
 	team     string
 	weight   float64
 	sequence uint64
-	// latest is the last moment at which a run may start and meet the deadline.
-	latest time.Time
-	// key orders the items of a team: the least slack first. Slack falls alike
-	// for all with time, so the order by latest start never changes.
-	key            time.Time
-	latestPosition int
-	flowPosition   int
+	// latestStart is the last moment at which the item may start; it expires after that.
+	latestStart time.Time
+	// key orders the items of a team: the one with the least slack comes first. Time reduces the
+	// slack of all items alike, so ordering by latestStart never changes. In FIFO mode key is zero.
+	key              time.Time
+	latestStartIndex int
+	flowIndex        int
 }
 
-// flow is one team's waiting items within a class.
+// flow holds the waiting items of one team within a class.
 type flow struct {
 	team   string
 	weight float64
-	// start is the virtual time at which the next item starts; it grows by cost over weight with each run.
-	start float64
-	// cost is the sum of the waiting items.
-	cost     float64
-	items    entryHeap
-	position int
+	// virtualStart is the virtual time at which the next item starts. Each run advances it by the
+	// item's cost divided by the team's weight.
+	virtualStart float64
+	// queuedCost is the sum of the costs of the waiting items.
+	queuedCost float64
+	items      entryHeap
+	index      int
 }
 
-// finish is the virtual time at which everything that waits would be served.
-func (f *flow) finish() float64 { return f.start + f.cost/f.weight }
+// virtualFinish returns the virtual time at which all waiting items of the flow would have been served.
+func (f *flow) virtualFinish() float64 { return f.virtualStart + f.queuedCost/f.weight }
 
 // class holds the flows of one priority class.
 type class struct {
-	// virtual is the start of the flow served last; it never falls.
-	virtual float64
-	flows   map[string]*flow
-	// active flows have items; idle ones are remembered only while their start
-	// is ahead of virtual, since afterwards a new flow would start no later.
+	// virtualTime is the virtual start of the flow served last; it never decreases.
+	virtualTime float64
+	flows       map[string]*flow
+	// active holds the flows with waiting items and idle those without. An idle flow is kept only
+	// while its virtualStart is ahead of virtualTime: once it is not, a team gains nothing by
+	// starting over with a new flow, which starts at virtualTime.
 	active flowHeap
 	idle   flowHeap
 }
@@ -52,94 +54,99 @@
 func (c *class) add(e *entry) {
 	f, ok := c.flows[e.team]
 	if !ok {
-		f = &flow{team: e.team, start: c.virtual}
-		f.items = entryHeap{at: teamKey, position: byFlowPosition}
+		f = &flow{team: e.team, virtualStart: c.virtualTime}
+		f.items = entryHeap{at: keyOf, index: flowIndexOf}
 		c.flows[e.team] = f
 	}
 	if ok && len(f.items.entries) == 0 {
-		heap.Remove(&c.idle, f.position)
+		heap.Remove(&c.idle, f.index)
 	}
 	f.weight = e.weight
-	f.cost += e.item.Cost
-	fresh := len(f.items.entries) == 0
+	f.queuedCost += e.item.Cost
+	wasEmpty := len(f.items.entries) == 0
 	heap.Push(&f.items, e)
-	if fresh {
+	if wasEmpty {
 		heap.Push(&c.active, f)
 		return
 	}
-	heap.Fix(&c.active, f.position)
+	heap.Fix(&c.active, f.index)
 }
 
-// next returns the entry to run next, or nil.
-func (c *class) next() *entry {
+// peek returns the entry to run next, or nil when none waits.
+func (c *class) peek() *entry {
 	if len(c.active) == 0 {
 		return nil
 	}
 	return c.active[0].items.entries[0]
 }
 
-// charge counts an entry that is about to run against its team.
+// charge adds the cost of an entry that is about to run to its team's use.
 func (c *class) charge(e *entry) {
 	f := c.flows[e.team]
-	c.virtual = max(c.virtual, f.start)
-	f.start += e.item.Cost / f.weight
-	heap.Fix(&c.active, f.position)
+	c.virtualTime = max(c.virtualTime, f.virtualStart)
+	f.virtualStart += e.item.Cost / f.weight
+	heap.Fix(&c.active, f.index)
 }
 
-// remove takes an entry out and forgets the flows whose virtual time is passed.
+// remove takes an entry out and then evicts idle flows.
 func (c *class) remove(e *entry, idleLimit int) {
 	f := c.flows[e.team]
-	heap.Remove(&f.items, e.flowPosition)
-	f.cost -= e.item.Cost
+	heap.Remove(&f.items, e.flowIndex)
+	f.queuedCost -= e.item.Cost
 	if len(f.items.entries) > 0 {
-		heap.Fix(&c.active, f.position)
+		heap.Fix(&c.active, f.index)
 	} else {
-		f.cost = 0
-		heap.Remove(&c.active, f.position)
+		f.queuedCost = 0
+		heap.Remove(&c.active, f.index)
 		heap.Push(&c.idle, f)
 	}
-	c.forget(idleLimit)
+	c.evictIdle(idleLimit)
 }
 
-func (c *class) forget(idleLimit int) {
-	// With nothing waiting there is no contention left to be fair about.
+// evictIdle drops idle flows in order of virtual start: those that virtualTime has reached, those in
+// excess of idleLimit, and all of them when no item waits.
+func (c *class) evictIdle(idleLimit int) {
+	// While no item waits, teams do not compete, so past use need not be remembered.
 	empty := len(c.active) == 0
-	for len(c.idle) > 0 && (empty || c.idle[0].start <= c.virtual || len(c.idle) > idleLimit) {
+	for len(c.idle) > 0 && (empty || c.idle[0].virtualStart <= c.virtualTime || len(c.idle) > idleLimit) {
 		f := heap.Pop(&c.idle).(*flow)
 		delete(c.flows, f.team)
 	}
 }
 
-// correct replaces the estimated cost of a run by the one that was measured.
-func (c *class) correct(team string, weight, difference float64) {
+// correctCost charges the team the difference between the measured and the estimated cost of a run,
+// without moving its virtual start behind virtualTime.
+func (c *class) correctCost(team string, weight, difference float64) {
 	f, ok := c.flows[team]
 	if !ok {
 		return
 	}
-	f.start = max(c.virtual, f.start+difference/weight)
+	f.virtualStart = max(c.virtualTime, f.virtualStart+difference/weight)
 	if len(f.items.entries) > 0 {
-		heap.Fix(&c.active, f.position)
+		heap.Fix(&c.active, f.index)
 		return
 	}
-	heap.Fix(&c.idle, f.position)
+	heap.Fix(&c.idle, f.index)
 }
 
-// mostOverShare returns the active flow that would be served last, or nil.
-func (c *class) mostOverShare() *flow {
+// furthestOverShare returns the active flow with the latest virtual finish, or nil when none is
+// active. Of equal ones it returns the team that sorts last by name.
+func (c *class) furthestOverShare() *flow {
 	var worst *flow
 	for _, f := range c.active {
-		if worst == nil || f.finish() > worst.finish() || f.finish() == worst.finish() && f.team > worst.team {
+		if worst == nil || f.virtualFinish() > worst.virtualFinish() || f.virtualFinish() == worst.virtualFinish() && f.team > worst.team {
 			worst = f
 		}
 	}
 	return worst
 }
 
-// startOf returns the virtual start that a new item of the team would get behind its waiting ones.
-func (c *class) startOf(team string, weight float64) float64 {
+// nextVirtualStart returns the virtual start that a new item of the team would get if it were served
+// after all waiting items of that team.
+func (c *class) nextVirtualStart(team string, weight float64) float64 {
 	f, ok := c.flows[team]
 	if !ok {
-		return c.virtual
+		return c.virtualTime
 	}
-	return max(c.virtual, f.start) + f.cost/weight
+	return max(c.virtualTime, f.virtualStart) + f.queuedCost/weight
 }
--- a/share/decide/queue/evict.go
+++ b/share/decide/queue/evict.go
@@ -1,18 +1,21 @@
 package queue
 
-// victim returns the entry that makes room for a new one, or nil when the new one is to be refused:
-// the item with the most slack of the team furthest over its share in the lowest class.
+// victim returns the entry to evict from a full queue in favor of the new entry e, or nil when e is to
+// be refused. It searches from the lowest class up to that of e and picks, in the first class with
+// waiting items, the item with the most slack of the team furthest over its share. It refuses e when
+// that class is e's own and e's team would be at least as far over its share. In FIFO mode it always
+// refuses e.
 func (q *Queue) victim(e *entry) *entry {
 	if q.settings.Mode == ModeFIFO {
 		return nil
 	}
-	for rank := classes - 1; rank >= e.class; rank-- {
+	for rank := classCount - 1; rank >= e.class; rank-- {
 		c := q.classes[rank]
-		f := c.mostOverShare()
+		f := c.furthestOverShare()
 		if f == nil {
 			continue
 		}
-		if rank == e.class && f.finish() <= c.startOf(e.team, e.weight)+e.item.Cost/e.weight {
+		if rank == e.class && f.virtualFinish() <= c.nextVirtualStart(e.team, e.weight)+e.item.Cost/e.weight {
 			return nil
 		}
 		return f.mostSlack()
@@ -20,6 +23,7 @@
 	return nil
 }
 
+// mostSlack returns the entry of the flow with the most slack; of equal ones the last to arrive.
 func (f *flow) mostSlack() *entry {
 	last := f.items.entries[0]
 	for _, e := range f.items.entries {
--- a/share/decide/queue/heaps.go
+++ b/share/decide/queue/heaps.go
@@ -13,18 +13,18 @@
 // entryHeap orders entries by one of their times, then by arrival.
 type entryHeap struct {
 	entries []*entry
-	// at returns the time that orders; position the field that holds an entry's place.
-	at       func(e *entry) time.Time
-	position func(e *entry) *int
+	// at returns the time to order by, and index the entry's field that holds its index in this heap.
+	at    func(e *entry) time.Time
+	index func(e *entry) *int
 }
 
-func latestStart(e *entry) time.Time { return e.latest }
+func latestStartOf(e *entry) time.Time { return e.latestStart }
 
-func teamKey(e *entry) time.Time { return e.key }
+func keyOf(e *entry) time.Time { return e.key }
 
-func byLatestPosition(e *entry) *int { return &e.latestPosition }
+func latestStartIndexOf(e *entry) *int { return &e.latestStartIndex }
 
-func byFlowPosition(e *entry) *int { return &e.flowPosition }
+func flowIndexOf(e *entry) *int { return &e.flowIndex }
 
 func (h *entryHeap) Len() int { return len(h.entries) }
 
@@ -38,14 +38,14 @@
 
 func (h *entryHeap) Swap(i, j int) {
 	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
-	*h.position(h.entries[i]) = i
-	*h.position(h.entries[j]) = j
+	*h.index(h.entries[i]) = i
+	*h.index(h.entries[j]) = j
 }
 
 // Push appends an *entry; use heap.Push.
 func (h *entryHeap) Push(x any) {
 	e := x.(*entry)
-	*h.position(e) = len(h.entries)
+	*h.index(e) = len(h.entries)
 	h.entries = append(h.entries, e)
 }
 
@@ -58,15 +58,15 @@
 	return e
 }
 
-// flowHeap orders flows by virtual start, then by least slack, then by team.
+// flowHeap orders flows by virtual start, then by the least slack of their first items, then by team name.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
 
 func (h flowHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
-	if a.start != b.start {
-		return a.start < b.start
+	if a.virtualStart != b.virtualStart {
+		return a.virtualStart < b.virtualStart
 	}
 	if len(a.items.entries) > 0 && len(b.items.entries) > 0 {
 		x, y := a.items.entries[0].key, b.items.entries[0].key
@@ -79,14 +79,14 @@
 
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].position = i
-	h[j].position = j
+	h[i].index = i
+	h[j].index = j
 }
 
 // Push appends a *flow; use heap.Push.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.position = len(*h)
+	f.index = len(*h)
 	*h = append(*h, f)
 }
 
--- a/share/decide/queue/queue.go
+++ b/share/decide/queue/queue.go
@@ -1,8 +1,9 @@
-// Package queue orders the calls that wait before one backend server: by
-// priority class, then fairly between teams by cost used (start-time fair
-// queueing), then by least slack.
+// Package queue orders the calls that wait for one backend server: by
+// priority class, then fairly between teams by the cost they used (start-time
+// fair queueing), then by least slack, which is the time left until a call
+// must start to meet its deadline.
 //
-// A Queue belongs to one goroutine or is guarded by its caller; nothing in it locks.
+// A Queue is not safe for concurrent use: it belongs to one goroutine, or its caller locks it.
 package queue
 
 import (
@@ -13,40 +14,44 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Mode names an order.
+// Mode selects the order in which waiting items run.
 type Mode string
 
 // The modes.
 const (
-	// ModeFair is the order of the package comment.
+	// ModeFair is the order that the package comment describes.
 	ModeFair Mode = "fair"
-	// ModeFIFO is the baseline for experiments: arrival order, whatever the class, team and deadline.
+	// ModeFIFO runs items in order of arrival, regardless of class, team and deadline. It is the
+	// baseline for experiments.
 	ModeFIFO Mode = "fifo"
 )
 
 const (
-	classes = 3
-	// idleFactor times the limit bounds the idle teams whose share is remembered.
-	idleFactor = 4
-	// smoothing is the weight of one run in the smoothed service time.
-	smoothing = 0.1
-	// minWeight is the least share of a team; a zero weight must not divide.
+	// classCount is the number of priority classes.
+	classCount = 3
+	// idleTeamFactor times Settings.MaxWaiting bounds the idle teams of a class whose use is remembered.
+	idleTeamFactor = 4
+	// serviceTimeAlpha is the weight of one run in the moving averages of the service time.
+	serviceTimeAlpha = 0.1
+	// minWeight is the lowest weight of a team; it prevents a division by zero.
 	minWeight = 0.01
-	// minCost keeps an item without an estimate from being free of charge.
+	// minCost is the lowest cost of an item, so that an item without an estimate is not free.
 	minCost = 0.001
-	// noDeadline puts the items without a deadline behind all others of their team.
+	// noDeadline is the time from arrival to latest start of items without a deadline. It sorts
+	// them behind all others of their team.
 	noDeadline = 100 * 365 * 24 * time.Hour
 )
 
 // Settings are fixed for the life of a Queue.
 type Settings struct {
 	Mode Mode
-	// Limit bounds the waiting items.
-	Limit int
-	// Slots is the number of calls that the backend server takes at once.
+	// MaxWaiting is the greatest number of waiting items.
+	MaxWaiting int
+	// Slots is the number of calls that the backend server runs at once.
 	Slots int
-	// Service is the service time until a run tells it.
-	Service time.Duration
+	// InitialServiceTime is the assumed service time of a run, and of one cost unit, until runs
+	// have been measured.
+	InitialServiceTime time.Duration
 }
 
 // Item is a waiting or running call.
@@ -55,61 +60,64 @@
 	ID       string
 	Team     string
 	Priority config.Priority
-	// Weight is the team's share; the last one pushed holds.
+	// Weight is the team's relative share. The item that a team pushed last sets the weight for
+	// all of its waiting items in that class.
 	Weight float64
-	// Cost is the estimated cost in units.
+	// Cost is the estimated cost in cost units.
 	Cost float64
-	// Deadline is when the answer must be there; zero: none.
+	// Deadline is the time by which the answer is needed; zero means no deadline.
 	Deadline time.Time
-	// Least is the time that a run is to be given; an item that cannot start by Deadline-Least is
-	// expired. A mean or a high quantile of the service time serves better than its minimum: runs
-	// that start with less time end late for the most part and take the slots of others.
-	Least time.Duration
-	// Preemptible items may be cancelled while they run.
+	// MinRunTime is the time that must be left until Deadline when the item starts; an item that
+	// cannot start by Deadline-MinRunTime expires. A mean or a high quantile of the service time
+	// works better here than its minimum: runs that start with less time left mostly end late and
+	// take slots away from other items.
+	MinRunTime time.Duration
+	// Preemptible items may be canceled while they run.
 	Preemptible bool
 }
 
-// Pushed tells what became of an item that came in.
-type Pushed struct {
-	// Refused is nil when the item waits; otherwise it did not and will not run.
+// PushResult is the outcome of Push.
+type PushResult struct {
+	// Refused is nil when the item was queued; otherwise the item did not run and will not.
 	Refused *codes.Result
-	// Evicted is the item that made room, which will not run, or nil.
+	// Evicted is the waiting item that was removed to make room, or nil. It will not run.
 	Evicted *Item
-	// RetryAfter is advice for the evicted one's caller.
+	// RetryAfter is the retry delay to report to the caller of the evicted item.
 	RetryAfter time.Duration
 }
 
-// Load describes the queue and the running set.
+// Load describes the queue and the running set. The agent publishes it in its expvars under these field names.
 type Load struct {
 	Running int
 	Queued  int
 	Slots   int
-	// Wait is the estimated queue delay of a new normal call of a team with nothing waiting.
-	Wait    time.Duration
+	// Wait is the estimated queue delay of a new call of normal priority from a team without waiting calls.
+	Wait time.Duration
+	// Service is the smoothed service time of a run.
 	Service time.Duration
 }
 
-// Queue is a bounded queue with the set of running items.
+// Queue is a bounded queue of waiting items, together with the set of running items.
 type Queue struct {
-	settings Settings
-	classes  [classes]*class
-	waiting  map[string]*entry
-	byLatest entryHeap
-	running  map[string]*run
-	// expired are found by Pop and not yet returned by Expire.
+	settings      Settings
+	classes       [classCount]*class
+	waiting       map[string]*entry
+	byLatestStart entryHeap
+	running       map[string]*run
+	// expired holds the expired items that Expire has not returned yet; Pop adds to it too.
 	expired  []Item
 	sequence uint64
-	// service and unit are smoothed: nanoseconds of a run, and of one cost unit.
-	service float64
-	unit    float64
+	// serviceTime and timePerCost are moving averages in nanoseconds, of a run and of one cost unit.
+	serviceTime float64
+	timePerCost float64
 }
 
 // New returns an empty queue.
 func New(s Settings) *Queue {
 	q := &Queue{settings: s, waiting: make(map[string]*entry), running: make(map[string]*run)}
-	q.byLatest = entryHeap{at: latestStart, position: byLatestPosition}
-	q.service = float64(s.Service)
-	q.unit = float64(s.Service)
+	q.byLatestStart = entryHeap{at: latestStartOf, index: latestStartIndexOf}
+	q.serviceTime = float64(s.InitialServiceTime)
+	q.timePerCost = float64(s.InitialServiceTime)
 	for i := range q.classes {
 		q.classes[i] = newClass()
 	}
@@ -119,25 +127,25 @@
 // Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Push takes an item in, refuses it, or evicts another for it.
-func (q *Queue) Push(now time.Time, i Item) Pushed {
+// Push queues an item or refuses it. When the queue is full it may evict a waiting item in its favor.
+func (q *Queue) Push(now time.Time, i Item) PushResult {
 	i.Cost = max(i.Cost, minCost)
-	e := q.entry(now, i)
-	if e.latest.Before(now) {
-		return Pushed{Refused: codes.NewResult(codes.DeadlineUnmeetable, "too late to start")}
+	e := q.newEntry(now, i)
+	if e.latestStart.Before(now) {
+		return PushResult{Refused: codes.NewResult(codes.DeadlineUnmeetable, "too late to start")}
 	}
-	if q.known(i.ID) {
-		return Pushed{Refused: codes.NewResult(codes.BadRequest, "the attempt is in the queue already")}
+	if q.contains(i.ID) {
+		return PushResult{Refused: codes.NewResult(codes.BadRequest, "the attempt is in the queue already")}
 	}
-	p := Pushed{}
-	if len(q.waiting) >= q.settings.Limit {
-		wait := q.Estimate(now, i)
+	p := PushResult{}
+	if len(q.waiting) >= q.settings.MaxWaiting {
+		wait := q.EstimateWait(now, i)
 		victim := q.victim(e)
 		if victim == nil {
 			p.Refused = codes.NewResult(codes.Overloaded, "the queue is full").WithRetryAfter(wait)
 			return p
 		}
-		q.take(victim)
+		q.removeEntry(victim)
 		p.Evicted = &victim.item
 		p.RetryAfter = wait
 	}
@@ -145,7 +153,8 @@
 	return p
 }
 
-func (q *Queue) known(id string) bool {
+// contains reports whether an item with that id waits or runs.
+func (q *Queue) contains(id string) bool {
 	if _, ok := q.waiting[id]; ok {
 		return true
 	}
@@ -153,24 +162,26 @@
 	return ok
 }
 
-func (q *Queue) entry(now time.Time, i Item) *entry {
+func (q *Queue) newEntry(now time.Time, i Item) *entry {
 	q.sequence++
-	e := &entry{item: i, sequence: q.sequence, latest: now.Add(noDeadline)}
+	e := &entry{item: i, sequence: q.sequence, latestStart: now.Add(noDeadline)}
 	if !i.Deadline.IsZero() {
-		e.latest = i.Deadline.Add(-i.Least)
+		e.latestStart = i.Deadline.Add(-i.MinRunTime)
 	}
-	e.key = e.latest
-	e.class, e.team, e.weight = q.place(i)
+	e.key = e.latestStart
+	e.class, e.team, e.weight = q.classify(i)
 	if q.settings.Mode == ModeFIFO {
-		// Arrival order, and only a deadline that has passed expires.
+		// Equal keys leave the order to the sequence of arrival. An item expires only once its
+		// deadline has passed, so MinRunTime does not count.
 		e.key = time.Time{}
-		e.latest = e.latest.Add(i.Least)
+		e.latestStart = e.latestStart.Add(i.MinRunTime)
 	}
 	return e
 }
 
-// place returns the class and flow of an item; FIFO has one of each.
-func (q *Queue) place(i Item) (rank int, team string, weight float64) {
+// classify returns the class, team and weight under which an item is queued. In FIFO mode all items
+// share one class and one team.
+func (q *Queue) classify(i Item) (rank int, team string, weight float64) {
 	if q.settings.Mode == ModeFIFO {
 		return 0, "", 1
 	}
@@ -179,39 +190,41 @@
 
 func (q *Queue) add(e *entry) {
 	q.waiting[e.item.ID] = e
-	heap.Push(&q.byLatest, e)
+	heap.Push(&q.byLatestStart, e)
 	q.classes[e.class].add(e)
 }
 
-// take removes a waiting entry from every index.
-func (q *Queue) take(e *entry) {
+// removeEntry removes a waiting entry from all indexes.
+func (q *Queue) removeEntry(e *entry) {
 	delete(q.waiting, e.item.ID)
-	heap.Remove(&q.byLatest, e.latestPosition)
+	heap.Remove(&q.byLatestStart, e.latestStartIndex)
 	q.classes[e.class].remove(e, q.idleLimit())
 }
 
-func (q *Queue) idleLimit() int { return idleFactor * max(q.settings.Limit, 1) }
+func (q *Queue) idleLimit() int { return idleTeamFactor * max(q.settings.MaxWaiting, 1) }
 
-// Pop moves the next item into the running set; false when none waits or no slot is free.
+// Pop moves the next item into the running set and returns it. It returns false when none waits or no
+// slot is free.
 func (q *Queue) Pop(now time.Time) (Item, bool) {
 	q.expire(now)
 	if len(q.running) >= q.settings.Slots {
 		return Item{}, false
 	}
 	for _, c := range q.classes {
-		e := c.next()
+		e := c.peek()
 		if e == nil {
 			continue
 		}
 		c.charge(e)
-		q.take(e)
+		q.removeEntry(e)
 		q.running[e.item.ID] = &run{item: e.item, class: e.class, team: e.team, weight: e.weight, started: now}
 		return e.item, true
 	}
 	return Item{}, false
 }
 
-// Expire removes and returns the items that can no longer meet their deadline; none of them ran or will run.
+// Expire removes and returns the items that can no longer meet their deadline, including those that
+// Pop removed since the last call. None of them has run or will run.
 func (q *Queue) Expire(now time.Time) []Item {
 	q.expire(now)
 	items := q.expired
@@ -220,30 +233,31 @@
 }
 
 func (q *Queue) expire(now time.Time) {
-	for len(q.byLatest.entries) > 0 && q.byLatest.entries[0].latest.Before(now) {
-		e := q.byLatest.entries[0]
-		q.take(e)
+	for len(q.byLatestStart.entries) > 0 && q.byLatestStart.entries[0].latestStart.Before(now) {
+		e := q.byLatestStart.entries[0]
+		q.removeEntry(e)
 		q.expired = append(q.expired, e.item)
 	}
 }
 
-// Remove takes a waiting item out, for instance when its caller has gone; false when it does not wait.
+// Remove takes a waiting item out, for instance when its caller has disconnected. It returns false
+// when no item with that id waits.
 func (q *Queue) Remove(id string) (Item, bool) {
 	e, ok := q.waiting[id]
 	if !ok {
 		return Item{}, false
 	}
-	q.take(e)
+	q.removeEntry(e)
 	return e.item, true
 }
 
-// NextExpiry returns when Expire has the next item to return; false when nothing waits.
+// NextExpiry returns the time after which the next waiting item expires, or false when nothing waits.
 func (q *Queue) NextExpiry() (time.Time, bool) {
-	if len(q.byLatest.entries) == 0 {
+	if len(q.byLatestStart.entries) == 0 {
 		return time.Time{}, false
 	}
-	return q.byLatest.entries[0].latest, true
+	return q.byLatestStart.entries[0].latestStart, true
 }
 
-// SetSlots changes the number of slots; running items stay.
+// SetSlots changes the number of slots. Running items keep running even if they exceed the new number.
 func (q *Queue) SetSlots(n int) { q.settings.Slots = n }
--- a/share/decide/queue/queue_test.go
+++ b/share/decide/queue/queue_test.go
@@ -18,16 +18,16 @@
 
 const service = 100 * time.Millisecond
 
-func fair(limit, slots int) *queue.Queue {
-	return queue.New(queue.Settings{Mode: queue.ModeFair, Limit: limit, Slots: slots, Service: service})
+func newFairQueue(limit, slots int) *queue.Queue {
+	return queue.New(queue.Settings{Mode: queue.ModeFair, MaxWaiting: limit, Slots: slots, InitialServiceTime: service})
 }
 
 func item(id, team string, p config.Priority, deadline time.Duration) queue.Item {
 	return queue.Item{ID: id, Team: team, Priority: p, Weight: 1, Cost: 1, Deadline: start.Add(deadline)}
 }
 
-// drain pops and ends everything, one at a time, and returns the ids.
-func drain(q *queue.Queue) []string {
+// popAll pops and ends all items one at a time and returns their ids.
+func popAll(q *queue.Queue) []string {
 	var ids []string
 	for {
 		i, ok := q.Pop(start)
@@ -59,41 +59,41 @@
 	for _, tc := range cases {
 		t.Run(string(tc.mode), func(t *testing.T) {
 			is := is.New(t)
-			q := queue.New(queue.Settings{Mode: tc.mode, Limit: 9, Slots: 1, Service: service})
+			q := queue.New(queue.Settings{Mode: tc.mode, MaxWaiting: 9, Slots: 1, InitialServiceTime: service})
 			for _, i := range items {
-				is.Equal(q.Push(start, i), queue.Pushed{})
+				is.Equal(q.Push(start, i), queue.PushResult{})
 			}
-			is.Equal(drain(q), tc.want)
-			is.Equal(q.Remembered(), 0)
+			is.Equal(popAll(q), tc.want)
+			is.Equal(q.TrackedTeams(), 0)
 		})
 	}
 }
 
-func TestFullQueueMakesRoom(t *testing.T) {
+func TestFullQueueEvictsOrRefuses(t *testing.T) {
 	cases := []struct {
-		name    string
-		held    []queue.Item
-		coming  queue.Item
-		evicted string
-		refused codes.Code
+		name     string
+		queued   []queue.Item
+		arriving queue.Item
+		evicted  string
+		refused  codes.Code
 	}{
 		{
-			"a lower class gives way",
+			"item of a lower class is evicted",
 			[]queue.Item{item("1", "a", config.PriorityBatch, 1), item("2", "b", config.PriorityNormal, 1), item("3", "b", config.PriorityNormal, 1)},
 			item("4", "b", config.PriorityUrgent, 1), "1", codes.OK,
 		},
 		{
-			"a team that would be as far over its share is refused",
+			"team that would be as far over its share is refused",
 			[]queue.Item{item("1", "a", config.PriorityNormal, 5), item("2", "a", config.PriorityNormal, 9), item("3", "b", config.PriorityNormal, 1)},
 			item("4", "b", config.PriorityNormal, 1), "", codes.Overloaded,
 		},
 		{
-			"the team over its share gives way with its most slack",
+			"item with the most slack of the team over its share is evicted",
 			[]queue.Item{item("1", "a", config.PriorityNormal, 5), item("2", "a", config.PriorityNormal, 9), item("3", "b", config.PriorityNormal, 1)},
 			item("4", "c", config.PriorityNormal, 1), "2", codes.OK,
 		},
 		{
-			"a lower class is refused",
+			"item of a lower class is refused",
 			[]queue.Item{item("1", "a", config.PriorityNormal, 5), item("2", "a", config.PriorityNormal, 9), item("3", "b", config.PriorityNormal, 1)},
 			item("4", "c", config.PriorityBatch, 1), "", codes.Overloaded,
 		},
@@ -101,11 +101,11 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			q := fair(3, 1)
-			for _, i := range tc.held {
-				is.Equal(q.Push(start, i), queue.Pushed{})
+			q := newFairQueue(3, 1)
+			for _, i := range tc.queued {
+				is.Equal(q.Push(start, i), queue.PushResult{})
 			}
-			p := q.Push(start, tc.coming)
+			p := q.Push(start, tc.arriving)
 			is.Equal(q.Len(), 3)
 			if tc.refused != codes.OK {
 				is.Equal(p.Refused.Code, tc.refused)
@@ -119,11 +119,11 @@
 	}
 }
 
-func TestExpireReturnsWhatCannotStartInTime(t *testing.T) {
+func TestExpireReturnsItemsThatCannotStartInTime(t *testing.T) {
 	is := is.New(t)
-	q := fair(9, 0)
+	q := newFairQueue(9, 0)
 	late := item("late", "a", config.PriorityNormal, time.Second)
-	late.Least = 400 * time.Millisecond
+	late.MinRunTime = 400 * time.Millisecond
 	q.Push(start, late)
 	q.Push(start, item("open", "a", config.PriorityNormal, 2*time.Second))
 	is.Equal(len(q.Expire(start.Add(600*time.Millisecond))), 0)
@@ -137,10 +137,10 @@
 	is.Equal(q.Push(start.Add(time.Second), late).Refused.Code, codes.DeadlineUnmeetable)
 }
 
-func TestEstimateSeesClassAndTeam(t *testing.T) {
+func TestEstimateWaitDependsOnClassAndTeam(t *testing.T) {
 	is := is.New(t)
-	q := fair(100, 2)
-	is.Equal(q.Estimate(start, item("x", "c", config.PriorityNormal, time.Hour)), time.Duration(0))
+	q := newFairQueue(100, 2)
+	is.Equal(q.EstimateWait(start, item("x", "c", config.PriorityNormal, time.Hour)), time.Duration(0))
 	for n := range 42 {
 		q.Push(start, item(fmt.Sprint(n), "a", config.PriorityNormal, time.Hour))
 	}
@@ -148,7 +148,7 @@
 		q.Pop(start)
 	}
 	wait := func(team string, p config.Priority) time.Duration {
-		return q.Estimate(start, item("x", team, p, time.Hour))
+		return q.EstimateWait(start, item("x", team, p, time.Hour))
 	}
 	is.Equal(wait("c", config.PriorityUrgent), service/2)
 	is.Equal(wait("a", config.PriorityNormal), service/2+40*service/2)
@@ -156,12 +156,11 @@
 	is.True(wait("c", config.PriorityNormal) < wait("a", config.PriorityNormal)/5)
 }
 
-// A batch run holds the only slot; an urgent call whose deadline ends before
-// that run would is answered late unless the batch run is cancelled. Cause: no
-// slot frees by itself in time.
+// Guards against late answers to urgent calls while batch runs hold all slots: no slot becomes free
+// before the deadline of the urgent call unless a batch run is canceled.
 func TestPreemptCancelsTheYoungestBatchRun(t *testing.T) {
 	is := is.New(t)
-	q := fair(9, 2)
+	q := newFairQueue(9, 2)
 	for n, id := range []string{"old", "young"} {
 		batch := item(id, "a", config.PriorityBatch, time.Hour)
 		batch.Preemptible = true
@@ -170,37 +169,38 @@
 		q.Pop(start.Add(time.Duration(n) * time.Millisecond))
 	}
 	now := start.Add(2 * time.Millisecond)
-	q.Push(now, item("patient", "b", config.PriorityUrgent, time.Hour))
+	q.Push(now, item("far-deadline", "b", config.PriorityUrgent, time.Hour))
 	_, ok := q.Preempt(now)
-	is.True(!ok) // its deadline is far
-	q.Push(now, item("pressed", "b", config.PriorityUrgent, 50*time.Millisecond))
+	is.True(!ok) // there is time for a slot to become free
+	q.Push(now, item("near-deadline", "b", config.PriorityUrgent, 50*time.Millisecond))
 	victim, ok := q.Preempt(now)
 	is.True(ok)
 	is.Equal(victim.ID, "young")
 	_, ok = q.Preempt(now)
-	is.True(!ok) // one cancel for one pressed call
+	is.True(!ok) // one canceled run is enough for one call at risk
 	q.Done(now, "young", 0)
-	is.Equal(q.Load(now).Service, service) // a cut run tells nothing about the service time
+	is.Equal(q.Load(now).Service, service) // a canceled run does not count towards the service time
 	next, ok := q.Pop(now)
 	is.True(ok)
-	is.Equal(next.ID, "pressed")
+	is.Equal(next.ID, "near-deadline")
 }
 
-// One team sends ten times what the others do. Without fair queueing the
-// others' calls wait behind its backlog and are answered late or evicted.
-func TestBurstOfOneTeamLeavesTheOthersTheirShare(t *testing.T) {
+// Guards against one team with ten times the others' rate starving them: without fair queueing their
+// calls wait behind its backlog and are answered late or evicted.
+func TestBurstOfOneTeamKeepsTheSharesOfOthers(t *testing.T) {
 	is := is.New(t)
-	ours := jainUnderBurst(queue.ModeFair)
-	baseline := jainUnderBurst(queue.ModeFIFO)
-	t.Logf("Jain index of 5 equal teams, one at ten times the rate: fair %.3f, fifo %.3f", ours, baseline)
-	is.True(ours >= 0.95)
-	is.True(baseline < ours)
+	fairIndex := jainIndexUnderBurst(queue.ModeFair)
+	fifoIndex := jainIndexUnderBurst(queue.ModeFIFO)
+	t.Logf("Jain index of 5 equal teams, one at ten times the rate: fair %.3f, fifo %.3f", fairIndex, fifoIndex)
+	is.True(fairIndex >= 0.95)
+	is.True(fifoIndex < fairIndex)
 }
 
-// jainUnderBurst serves 4 slots for 60 s; each team offers over a fifth of the capacity.
-func jainUnderBurst(mode queue.Mode) float64 {
+// jainIndexUnderBurst runs 4 slots for 60 s, with each team offering more than a fifth of the capacity,
+// and returns Jain's fairness index of the cost served per team.
+func jainIndexUnderBurst(mode queue.Mode) float64 {
 	const teams, slots, ticks = 5, 4, 600
-	q := queue.New(queue.Settings{Mode: mode, Limit: 64, Slots: slots, Service: service})
+	q := queue.New(queue.Settings{Mode: mode, MaxWaiting: 64, Slots: slots, InitialServiceTime: service})
 	served := make(map[string]float64)
 	for tick := range ticks {
 		now := start.Add(time.Duration(tick) * service)
@@ -232,8 +232,10 @@
 	return sum * sum / (teams * squares)
 }
 
-// served pops n items of a queue in which every team with a weight always waits, and counts them by team.
-func served(q *queue.Queue, n int, weights map[string]float64, measured map[string]float64) map[string]int {
+// countServed pops n items of a queue in which every team with a weight above 0 always has items waiting,
+// and returns the number of items popped for each team. measured is the cost that the runs of a team
+// report.
+func countServed(q *queue.Queue, n int, weights map[string]float64, measured map[string]float64) map[string]int {
 	counts := make(map[string]int)
 	for n := range n {
 		for _, team := range []string{"a", "b"} {
@@ -253,27 +255,27 @@
 func TestSharesFollowWeightAndMeasuredCost(t *testing.T) {
 	is := is.New(t)
 	equal := map[string]float64{"a": 1, "b": 1}
-	is.Equal(served(fair(999, 1), 400, map[string]float64{"a": 3, "b": 1}, nil), map[string]int{"a": 300, "b": 100})
-	is.Equal(served(fair(999, 1), 400, equal, map[string]float64{"a": 1, "b": 3}), map[string]int{"a": 300, "b": 100})
+	is.Equal(countServed(newFairQueue(999, 1), 400, map[string]float64{"a": 3, "b": 1}, nil), map[string]int{"a": 300, "b": 100})
+	is.Equal(countServed(newFairQueue(999, 1), 400, equal, map[string]float64{"a": 1, "b": 3}), map[string]int{"a": 300, "b": 100})
 }
 
-// A team that sent nothing for a while comes back. If it were credited for
-// that time, the others would wait until it has caught up.
-func TestIdleTimeIsNoCredit(t *testing.T) {
+// Guards against crediting a team for the time in which it sent nothing: on its return the others
+// would wait until it has caught up.
+func TestIdleTeamEarnsNoCredit(t *testing.T) {
 	is := is.New(t)
-	q := fair(999, 1)
+	q := newFairQueue(999, 1)
 	for n := range 300 {
 		q.Push(start, item(fmt.Sprint("early", n), "a", config.PriorityNormal, time.Hour))
 	}
-	served(q, 100, map[string]float64{"a": 1}, nil)
-	counts := served(q, 100, map[string]float64{"a": 1, "b": 1}, nil)
+	countServed(q, 100, map[string]float64{"a": 1}, nil)
+	counts := countServed(q, 100, map[string]float64{"a": 1, "b": 1}, nil)
 	is.Equal(counts, map[string]int{"a": 50, "b": 50})
 }
 
-func TestRememberedTeamsAreBounded(t *testing.T) {
+func TestTrackedTeamsAreBounded(t *testing.T) {
 	is := is.New(t)
-	q := fair(8, 1)
-	for n := range 4 { // so that the queue is never empty, which would forget all
+	q := newFairQueue(8, 1)
+	for n := range 4 { // keeps the queue from becoming empty, which would drop all idle teams
 		q.Push(start, item(fmt.Sprint("first", n), "a", config.PriorityNormal, time.Hour))
 	}
 	for n := range 200 {
@@ -286,55 +288,55 @@
 			q.Done(start, next.ID, 0)
 		}
 		is.True(q.Len() > 0)
-		is.True(q.Remembered() <= 8+4*8)
+		is.True(q.TrackedTeams() <= 8+4*8)
 	}
 }
 
-func TestExpectedFollowsCostAndRuns(t *testing.T) {
+func TestExpectedServiceTimeFollowsCostAndRuns(t *testing.T) {
 	is := is.New(t)
-	q := fair(8, 1)
-	is.Equal(q.Expected(3), 3*service)
+	q := newFairQueue(8, 1)
+	is.Equal(q.ExpectedServiceTime(3), 3*service)
 	for n := range 100 {
 		q.Push(start, item(fmt.Sprint(n), "a", config.PriorityNormal, time.Hour))
 		q.Pop(start)
 		q.Done(start.Add(2*service), fmt.Sprint(n), 0)
 	}
-	is.Equal(q.Expected(1).Round(time.Millisecond), 2*service)
+	is.Equal(q.ExpectedServiceTime(1).Round(time.Millisecond), 2*service)
 }
 
-func TestSecondPushOfAnAttemptIsRefused(t *testing.T) {
+func TestSecondPushOfAnItemIsRefused(t *testing.T) {
 	is := is.New(t)
-	q := fair(8, 1)
+	q := newFairQueue(8, 1)
 	is.Equal(q.Push(start, item("x", "a", config.PriorityNormal, time.Hour)).Refused, nil)
 	is.Equal(q.Push(start, item("x", "a", config.PriorityNormal, time.Hour)).Refused.Code, codes.BadRequest)
 	q.Pop(start)
 	is.Equal(q.Push(start, item("x", "a", config.PriorityNormal, time.Hour)).Refused.Code, codes.BadRequest)
 }
 
-func TestPreemptSparesRunsThatCannotResume(t *testing.T) {
+func TestPreemptSparesNonPreemptibleRuns(t *testing.T) {
 	is := is.New(t)
-	q := fair(8, 1)
+	q := newFairQueue(8, 1)
 	q.Push(start, item("batch", "a", config.PriorityBatch, time.Hour))
 	q.Pop(start)
-	q.Push(start, item("pressed", "b", config.PriorityUrgent, time.Millisecond))
+	q.Push(start, item("near-deadline", "b", config.PriorityUrgent, time.Millisecond))
 	_, ok := q.Preempt(start)
 	is.True(!ok)
 }
 
-func TestEveryItemLeavesOnceAndBoundsHold(t *testing.T) {
+func TestItemsLeaveOnceAndLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 8).Draw(t, "limit")
 		slots := rapid.IntRange(0, 3).Draw(t, "slots")
 		mode := rapid.SampledFrom([]queue.Mode{queue.ModeFair, queue.ModeFIFO}).Draw(t, "mode")
-		s := queue.Settings{Mode: mode, Limit: limit, Slots: slots, Service: service}
+		s := queue.Settings{Mode: mode, MaxWaiting: limit, Slots: slots, InitialServiceTime: service}
 		q, twin := queue.New(s), queue.New(s)
-		left := make(map[string]int)
+		departures := make(map[string]int)
 		running := make(map[string]bool)
 		waiting := make(map[string]bool)
 		leave := func(id string) {
-			left[id]++
-			if left[id] != 1 || !waiting[id] {
-				t.Fatalf("%s left %d times, waiting %t", id, left[id], waiting[id])
+			departures[id]++
+			if departures[id] != 1 || !waiting[id] {
+				t.Fatalf("%s left the queue %d times, waiting %t", id, departures[id], waiting[id])
 			}
 			delete(waiting, id)
 		}
@@ -343,10 +345,10 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
-				i := draw(t, n, now)
+				i := drawItem(t, n, now)
 				p := q.Push(now, i)
 				if !reflect.DeepEqual(p, twin.Push(now, i)) {
-					t.Fatal("equal input, other output")
+					t.Fatal("two queues with equal input differ in output")
 				}
 				if p.Refused == nil {
 					waiting[i.ID] = true
@@ -357,7 +359,7 @@
 			case 2:
 				i, ok := q.Pop(now)
 				if j, also := twin.Pop(now); also != ok || j != i {
-					t.Fatal("equal input, other output")
+					t.Fatal("two queues with equal input differ in output")
 				}
 				if ok {
 					leave(i.ID)
@@ -379,14 +381,14 @@
 					break
 				}
 			}
-			if q.Len() > limit || len(running) > slots || q.Remembered() > 5*limit {
-				t.Fatalf("%d waiting, %d running, %d teams", q.Len(), len(running), q.Remembered())
+			if q.Len() > limit || len(running) > slots || q.TrackedTeams() > 5*limit {
+				t.Fatalf("%d waiting, %d running, %d teams", q.Len(), len(running), q.TrackedTeams())
 			}
 		}
 	})
 }
 
-func draw(t *rapid.T, n int, now time.Time) queue.Item {
+func drawItem(t *rapid.T, n int, now time.Time) queue.Item {
 	i := queue.Item{ID: fmt.Sprint(n)}
 	i.Team = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")
 	i.Priority = rapid.SampledFrom([]config.Priority{config.PriorityUrgent, config.PriorityNormal, config.PriorityBatch}).Draw(t, "priority")
