--- a/entry/services/calls/attempt.go
+++ b/entry/services/calls/attempt.go
@@ -92,7 +92,7 @@
 		Attempt:     e.run.sent,
 		Incarnation: e.chosen.Choice.Incarnation,
 	}
-	e.run.stage.Step(answer.Opened{ID: e.id})
+	e.run.stage.Step(answer.AttemptOpened{ID: e.id})
 	stream, err := e.chosen.Session.TakeStream()
 	if err != nil {
 		return nil, codes.NewResult(codes.NoBackend, err.Error())
@@ -174,7 +174,7 @@
 		e.run.piece = time.Now()
 	}
 	for _, action := range e.run.stage.Step(answer.PartReceived{ID: e.id, Bytes: uint64(len(part.GetData()))}) {
-		if _, take := action.(answer.Take); !take {
+		if _, take := action.(answer.AcceptPart); !take {
 			continue
 		}
 		if e.run.call.Sink == nil {
@@ -201,9 +201,9 @@
 	}
 	for _, action := range e.run.stage.Step(answer.EndReceived{ID: id, Result: *resultOf(end), Bytes: end.GetBytes()}) {
 		switch a := action.(type) {
-		case answer.Win:
+		case answer.AcceptAnswer:
 			return e.newAnswer(), nil
-		case answer.Fail:
+		case answer.FailAttempt:
 			return nil, lateOr(ctx, withoutBackend(&a.Result))
 		case answer.Drop:
 			e.runner.counts.dropped.Add(1)
--- a/entry/services/calls/calls.go
+++ b/entry/services/calls/calls.go
@@ -155,9 +155,9 @@
 	defer span.End()
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
-	delivery := answer.DeliveryWhole
+	delivery := answer.DeliveryBuffered
 	if call.Sink != nil {
-		delivery = answer.DeliveryForward
+		delivery = answer.DeliveryStreamed
 	}
 	s := &stageRun{call: call, stage: answer.NewStage(call.RequestID, call.Stage, delivery)}
 	for {
--- a/share/decide/answer/stage.go
+++ b/share/decide/answer/stage.go
@@ -1,5 +1,5 @@
-// Package answer matches answers to the attempts of one stage of a request,
-// so that exactly one whole answer is accepted.
+// Package answer matches answers to the attempts of one stage of a request and
+// accepts at most one complete answer.
 package answer
 
 import (
@@ -8,7 +8,7 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// ID names one attempt; two attempts never share one.
+// ID identifies one attempt. No two attempts have the same ID.
 type ID struct {
 	Request     string
 	Stage       string
@@ -16,90 +16,94 @@
 	Incarnation string
 }
 
-// Delivery says what happens to the parts of an answer before its end.
+// Delivery selects what happens to the parts of an answer that arrive before its end record.
 type Delivery string
 
-// The deliveries.
+// The delivery modes.
 const (
-	// DeliveryWhole keeps the parts until the end proves the answer whole.
-	DeliveryWhole Delivery = "whole"
-	// DeliveryForward passes parts on at once; the first part decides which attempt wins.
-	DeliveryForward Delivery = "forward"
+	// DeliveryBuffered keeps the parts until the end record shows that the answer is complete.
+	DeliveryBuffered Delivery = "whole"
+	// DeliveryStreamed passes parts on as they arrive. The first attempt to deliver a part becomes the
+	// only one whose answer can be accepted.
+	DeliveryStreamed Delivery = "forward"
 )
 
-// Event is what happened; each type below is one.
+// Event is the input of Stage.Step, one of the event types below.
 type Event interface{ event() }
 
-// Action is what the caller of a decision must do; each type below is one.
+// Action is what the caller of Stage.Step must do, one of the action types below.
 type Action interface{ action() }
 
 // Events of a Stage.
 type (
-	// Opened says that an attempt is about to be sent.
-	Opened struct{ ID ID }
-	// PartReceived is a piece of an answer.
+	// AttemptOpened reports that an attempt is about to be sent.
+	AttemptOpened struct{ ID ID }
+	// PartReceived reports that a part of an answer arrived, with its size in bytes.
 	PartReceived struct {
 		ID    ID
 		Bytes uint64
 	}
-	// EndReceived is the end record of an answer.
+	// EndReceived reports that the end record of an answer arrived.
 	EndReceived struct {
 		ID     ID
 		Result codes.Result
-		// Bytes is the sender's count over all parts.
+		// Bytes is the total size of all parts as counted by the sender.
 		Bytes uint64
 	}
-	// StreamClosed says that nothing more comes for the attempt: closed, timed out or silent.
+	// StreamClosed reports that nothing more will arrive for the attempt: its stream was closed, timed
+	// out or stalled.
 	StreamClosed struct{ ID ID }
-	// GivenUp says that the request ended otherwise, such as by its deadline.
-	GivenUp struct{}
+	// Abandoned reports that the request ended without an answer of this stage, for instance because
+	// its deadline passed.
+	Abandoned struct{}
 )
 
 // Actions of a Stage.
 type (
-	// Take keeps or passes on the part that the event brought.
-	Take struct{ ID ID }
-	// Win hands the attempt's answer to the next stage or the caller; it comes once at most.
-	Win struct {
+	// AcceptPart keeps the part of the event, or passes it on, according to the stage's Delivery.
+	AcceptPart struct{ ID ID }
+	// AcceptAnswer hands the attempt's answer to the next stage or the caller. A stage returns it at
+	// most once.
+	AcceptAnswer struct {
 		ID     ID
 		Result codes.Result
 	}
-	// Fail says that the attempt ended without an accepted answer.
-	Fail struct {
+	// FailAttempt reports that the attempt ended without an accepted answer.
+	FailAttempt struct {
 		ID     ID
 		Result codes.Result
 	}
-	// Cancel stops an attempt whose answer is no longer wanted.
-	Cancel struct{ ID ID }
-	// Drop discards what the event brought.
+	// CancelAttempt stops an attempt whose answer is no longer needed.
+	CancelAttempt struct{ ID ID }
+	// Drop discards the part or the end record of the event.
 	Drop struct {
 		ID     ID
 		Reason Reason
 	}
 )
 
-func (Opened) event()       {}
-func (PartReceived) event() {}
-func (EndReceived) event()  {}
-func (StreamClosed) event() {}
-func (GivenUp) event()      {}
+func (AttemptOpened) event() {}
+func (PartReceived) event()  {}
+func (EndReceived) event()   {}
+func (StreamClosed) event()  {}
+func (Abandoned) event()     {}
 
-func (Take) action()   {}
-func (Win) action()    {}
-func (Fail) action()   {}
-func (Cancel) action() {}
-func (Drop) action()   {}
+func (AcceptPart) action()    {}
+func (AcceptAnswer) action()  {}
+func (FailAttempt) action()   {}
+func (CancelAttempt) action() {}
+func (Drop) action()          {}
 
-// Reason says why something was dropped.
+// Reason is why a part or an end record is dropped.
 type Reason string
 
 // The reasons.
 const (
-	// ReasonCrossed names no attempt of this stage.
-	ReasonCrossed Reason = "crossed"
-	// ReasonLate names an attempt that was canceled or given up on.
+	// ReasonUnknownAttempt means that the ID belongs to no attempt of this stage.
+	ReasonUnknownAttempt Reason = "crossed"
+	// ReasonLate means that the attempt was canceled: another one was chosen, or the request abandoned.
 	ReasonLate Reason = "late"
-	// ReasonDuplicate names an attempt whose end was accepted already.
+	// ReasonDuplicate means that the attempt has already ended.
 	ReasonDuplicate Reason = "duplicate"
 )
 
@@ -116,22 +120,24 @@
 	bytes uint64
 }
 
-// Counts tells how many answers or parts were dropped.
+// Counts holds the numbers of dropped parts and end records by reason.
 type Counts struct {
-	Crossed   uint64
-	Late      uint64
-	Duplicate uint64
+	UnknownAttempt uint64
+	Late           uint64
+	Duplicate      uint64
 }
 
-// Stage holds the attempts of one stage of one request.
+// Stage tracks the attempts of one stage of one request.
 type Stage struct {
 	request  string
 	name     string
 	delivery Delivery
 	attempts map[ID]*attempt
-	// chosen is the only attempt whose answer may still win; the zero ID: any open one.
+	// chosen is the only attempt whose answer may still be accepted. While it is the zero ID, the
+	// answer of any open attempt may be.
 	chosen ID
-	// closed is set by Win, GivenUp or the end of a chosen attempt; nothing is accepted afterwards.
+	// closed is set when an answer is accepted, the request is abandoned, or the chosen attempt fails.
+	// Nothing is accepted afterwards.
 	closed bool
 	counts Counts
 }
@@ -141,66 +147,68 @@
 	return &Stage{request: request, name: name, delivery: d, attempts: map[ID]*attempt{}}
 }
 
-// Counts returns what was dropped so far.
+// Counts returns the numbers of parts and end records dropped so far.
 func (s *Stage) Counts() Counts { return s.counts }
 
-// Closed tells whether no answer can win any more.
+// Closed reports whether no answer can be accepted anymore.
 func (s *Stage) Closed() bool { return s.closed }
 
-// Open returns the number of attempts that may still end.
-func (s *Stage) Open() int { return len(s.findOpen()) }
+// CountOpen returns the number of attempts that have neither ended nor been canceled.
+func (s *Stage) CountOpen() int { return len(s.listOpen()) }
 
-// Retryable tells whether another attempt may be opened: nothing was passed on yet.
+// Retryable reports whether another attempt may be opened: the stage is not closed and, if its answer
+// is streamed, no part has been passed on yet.
 func (s *Stage) Retryable() bool { return !s.closed && s.chosen == ID{} }
 
-// Step takes one event and returns what is to be done.
+// Step processes one event and returns the actions that follow from it, in order.
 func (s *Stage) Step(e Event) []Action {
 	switch v := e.(type) {
-	case Opened:
-		return s.opened(v)
+	case AttemptOpened:
+		return s.attemptOpened(v)
 	case PartReceived:
-		return s.part(v)
+		return s.partReceived(v)
 	case EndReceived:
-		return s.end(v)
+		return s.endReceived(v)
 	case StreamClosed:
 		return s.streamClosed(v)
-	case GivenUp:
+	case Abandoned:
 		s.closed = true
 		return s.cancelOthers(ID{})
 	}
 	return nil
 }
 
-func (s *Stage) opened(e Opened) []Action {
+func (s *Stage) attemptOpened(e AttemptOpened) []Action {
 	_, known := s.attempts[e.ID]
 	foreign := e.ID.Request != s.request || e.ID.Stage != s.name
 	if known || foreign || !s.Retryable() {
-		return []Action{Cancel(e)}
+		return []Action{CancelAttempt(e)}
 	}
 	s.attempts[e.ID] = &attempt{state: stateOpen}
 	return nil
 }
 
-func (s *Stage) part(e PartReceived) []Action {
-	a, drop := s.match(e.ID)
+func (s *Stage) partReceived(e PartReceived) []Action {
+	a, drop := s.findOpenAttempt(e.ID)
 	if drop != nil {
 		return drop
 	}
 	a.bytes += e.Bytes
-	actions := []Action{Take{ID: e.ID}}
-	if s.delivery == DeliveryForward && s.chosen == (ID{}) {
+	actions := []Action{AcceptPart{ID: e.ID}}
+	if s.delivery == DeliveryStreamed && s.chosen == (ID{}) {
 		s.chosen = e.ID
 		actions = append(actions, s.cancelOthers(e.ID)...)
 	}
 	return actions
 }
 
-// end accepts a whole answer.
+// endReceived accepts a complete answer.
 //
-// Guards against a stream that was cut and looks finished: the sender's count
-// of bytes in the end record differs from what arrived, or the end is missing.
-func (s *Stage) end(e EndReceived) []Action {
-	a, drop := s.match(e.ID)
+// It guards against a truncated stream that looks complete: the bytes that
+// arrived must add up to the sender's count in the end record. A stream that
+// closes without an end record fails in streamClosed.
+func (s *Stage) endReceived(e EndReceived) []Action {
+	a, drop := s.findOpenAttempt(e.ID)
 	if drop != nil {
 		return drop
 	}
@@ -212,7 +220,7 @@
 		return s.fail(e.ID, *codes.NewResult(codes.AnswerIncomplete, "bytes are missing"))
 	}
 	s.closed = true
-	return append([]Action{Win{ID: e.ID, Result: e.Result}}, s.cancelOthers(e.ID)...)
+	return append([]Action{AcceptAnswer{ID: e.ID, Result: e.Result}}, s.cancelOthers(e.ID)...)
 }
 
 func (s *Stage) streamClosed(e StreamClosed) []Action {
@@ -225,26 +233,27 @@
 	return s.fail(e.ID, *result)
 }
 
-// fail ends the stage too where parts of the attempt were passed on: another
-// attempt's answer would not fit to them.
+// fail reports a failed attempt. If its parts were passed on already, it also
+// closes the stage, since another attempt's answer would not continue them.
 func (s *Stage) fail(id ID, r codes.Result) []Action {
 	if s.chosen == id {
 		s.closed = true
 	}
-	return []Action{Fail{ID: id, Result: r}}
+	return []Action{FailAttempt{ID: id, Result: r}}
 }
 
-// match finds the open attempt, or says why there is none.
+// findOpenAttempt returns the open attempt with that ID, or a Drop action when
+// there is none.
 //
-// Guards against a late, duplicate or crossed answer entering a stage: it
-// would be another request's, or a second one. Only an attempt that this
-// stage opened, and that has not ended, is accepted.
-func (s *Stage) match(id ID) (*attempt, []Action) {
+// It guards against accepting the answer of another request, or a second
+// answer: only an attempt that this stage opened, and that has neither ended
+// nor been canceled, may deliver.
+func (s *Stage) findOpenAttempt(id ID) (*attempt, []Action) {
 	a, known := s.attempts[id]
 	switch {
 	case !known:
-		s.counts.Crossed++
-		return nil, []Action{Drop{ID: id, Reason: ReasonCrossed}}
+		s.counts.UnknownAttempt++
+		return nil, []Action{Drop{ID: id, Reason: ReasonUnknownAttempt}}
 	case a.state == stateEnded:
 		s.counts.Duplicate++
 		return nil, []Action{Drop{ID: id, Reason: ReasonDuplicate}}
@@ -257,16 +266,16 @@
 
 func (s *Stage) cancelOthers(winner ID) []Action {
 	var actions []Action
-	for _, id := range s.findOpen() {
+	for _, id := range s.listOpen() {
 		if id != winner {
 			s.attempts[id].state = stateCanceled
-			actions = append(actions, Cancel{ID: id})
+			actions = append(actions, CancelAttempt{ID: id})
 		}
 	}
 	return actions
 }
 
-func (s *Stage) findOpen() []ID {
+func (s *Stage) listOpen() []ID {
 	var found []ID
 	for id, a := range s.attempts {
 		if a.state == stateOpen {
