--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -112,7 +112,7 @@
 		Incarnation: link.NewIncarnation(),
 	}
 	i.stopper = stops.NewStopper(drain.Settings{
-		Grace: s.Stop.Grace - graceReserve, Linger: s.Stop.Admit, Admit: s.Stop.Admit,
+		Grace: s.Stop.Grace - graceReserve, Linger: s.Stop.Admit, AdmitPeriod: s.Stop.Admit,
 	})
 	i.store = keyval.NewClient(keyval.Options{
 		Address: s.Store.Address, CallTimeout: s.Store.Timeout,
--- a/share/decide/drain/drain_test.go
+++ b/share/decide/drain/drain_test.go
@@ -19,44 +19,44 @@
 	want    []drain.Action
 }
 
-// An estimator's draft breaks off in mid-stream during a planned stop.
-// Causes: the process ends with its last idle moment instead of its last
-// answer, a second signal cuts the grace period, or work still arrives.
+// Guards against a streamed answer that breaks off during a planned stop. Causes: the process ends
+// when it is idle for a moment instead of after its last answer, a second signal shortens the grace
+// period, or work still arrives.
 func TestInstance(t *testing.T) {
 	offered := drain.WorkOffered{ID: "a"}
 	ended := drain.WorkEnded{ID: "a"}
 	admit := []drain.Action{drain.Admit{ID: "a"}}
 	announce := []drain.Action{drain.Announce{}}
-	stop := []drain.Action{drain.Stop{Cut: []string{}}}
+	stop := []drain.Action{drain.Stop{Unfinished: []string{}}}
 	for name, steps := range map[string][]step{
-		"lingers for late senders": {
+		"idle instance waits for late senders": {
 			{0, drain.StopRequested{}, announce},
 			{1, offered, []drain.Action{drain.Refuse{ID: "a"}}},
-			{2, drain.Woken{}, stop},
+			{2, drain.TimerFired{}, stop},
 		},
-		"running work finishes": {
+		"running work ends before the stop": {
 			{0, offered, admit},
 			{1, drain.StopRequested{}, announce},
-			{4, drain.Woken{}, nil},
+			{4, drain.TimerFired{}, nil},
 			{5, ended, stop},
 		},
-		"work ends within the linger": {
+		"work ends within the linger period": {
 			{0, offered, admit},
 			{1, drain.StopRequested{}, announce},
 			{2, ended, nil},
-			{3, drain.Woken{}, stop},
+			{3, drain.TimerFired{}, stop},
 		},
-		"grace is bounded": {
+		"grace period ends with work running": {
 			{0, offered, admit},
 			{1, drain.StopRequested{}, announce},
-			{11, drain.Woken{}, []drain.Action{drain.Stop{Cut: []string{"a"}}}},
+			{11, drain.TimerFired{}, []drain.Action{drain.Stop{Unfinished: []string{"a"}}}},
 			{12, ended, nil},
 		},
-		"second stop changes nothing": {
+		"second stop request has no effect": {
 			{0, offered, admit},
 			{1, drain.StopRequested{}, announce},
 			{9, drain.StopRequested{}, nil},
-			{11, drain.Woken{}, []drain.Action{drain.Stop{Cut: []string{"a"}}}},
+			{11, drain.TimerFired{}, []drain.Action{drain.Stop{Unfinished: []string{"a"}}}},
 			{12, drain.StopRequested{}, nil},
 			{13, offered, []drain.Action{drain.Refuse{ID: "a"}}},
 		},
@@ -71,87 +71,86 @@
 	}
 }
 
-// All three instances are told to stop within two seconds. After 3 s none of them takes
-// new work, and none is back for three more; an order that takes 1.5 s at the most would
-// end in time at each. It is taken where nobody else does, as long as it surely ends.
-func TestOrdersAreTakenWhileAllStop(t *testing.T) {
+// Three instances are asked to stop within two seconds. After 3 s none of them admits new work, and
+// none is back for another 3 s, although a request that takes 1.5 s at most would end in time on any
+// of them. Such a request is admitted if no other instance takes it and it is certain to end in time.
+func TestLastResortWorkIsAdmittedWhileAllInstancesStop(t *testing.T) {
 	is := is.New(t)
-	i := drain.NewInstance(drain.Settings{Grace: 8 * time.Second, Linger: 3 * time.Second, Admit: 3 * time.Second})
-	order := drain.LastOffered{ID: "order", Bound: 1500 * time.Millisecond}
+	i := drain.NewInstance(drain.Settings{Grace: 8 * time.Second, Linger: 3 * time.Second, AdmitPeriod: 3 * time.Second})
+	request := drain.LastResortOffered{ID: "request", MaxDuration: 1500 * time.Millisecond}
 	i.Step(at(0), drain.WorkOffered{ID: "stream"})
 	i.Step(at(0), drain.StopRequested{})
 	is.Equal(i.Step(at(5), drain.WorkOffered{ID: "a"}), []drain.Action{drain.Refuse{ID: "a"}})
-	is.Equal(i.Step(at(6), order), []drain.Action{drain.Admit{ID: "order"}})
+	is.Equal(i.Step(at(6), request), []drain.Action{drain.Admit{ID: "request"}})
 	i.Step(at(6), drain.WorkEnded{ID: "stream"})
-	is.Equal(i.State(), drain.StateDraining) // the order is under way
-	next := drain.LastOffered{ID: "next", Bound: time.Second}
-	is.Equal(i.Step(at(6), next), []drain.Action{drain.Refuse{ID: "next"}}) // else it would never be back
-	is.Equal(i.Step(at(6), drain.WorkEnded{ID: "order"}), []drain.Action{drain.Stop{Cut: []string{}}})
-	is.Equal(i.Step(at(7), order), []drain.Action{drain.Refuse{ID: "order"}})
+	is.Equal(i.State(), drain.StateDraining) // the request is still running
+	next := drain.LastResortOffered{ID: "next", MaxDuration: time.Second}
+	is.Equal(i.Step(at(6), next), []drain.Action{drain.Refuse{ID: "next"}}) // otherwise the instance might never restart
+	is.Equal(i.Step(at(6), drain.WorkEnded{ID: "request"}), []drain.Action{drain.Stop{Unfinished: []string{}}})
+	is.Equal(i.Step(at(7), request), []drain.Action{drain.Refuse{ID: "request"}})
 }
 
-// Work that might not end within the grace period would be cut, which its caller cannot
-// tell from work that was done.
-func TestWorkThatMightBeCutIsRefused(t *testing.T) {
+// Guards against admitting work that may not end within the grace period: it would be aborted, and its
+// caller could not tell whether it was done.
+func TestWorkThatMayOutlastTheGracePeriodIsRefused(t *testing.T) {
 	is := is.New(t)
-	i := drain.NewInstance(drain.Settings{Grace: 8 * time.Second, Linger: 3 * time.Second, Admit: 3 * time.Second})
+	i := drain.NewInstance(drain.Settings{Grace: 8 * time.Second, Linger: 3 * time.Second, AdmitPeriod: 3 * time.Second})
 	i.Step(at(0), drain.WorkOffered{ID: "stream"})
 	i.Step(at(0), drain.StopRequested{})
-	late := drain.LastOffered{ID: "order", Bound: 1500 * time.Millisecond}
-	is.Equal(i.Step(at(7), late), []drain.Action{drain.Refuse{ID: "order"}})
+	late := drain.LastResortOffered{ID: "request", MaxDuration: 1500 * time.Millisecond}
+	is.Equal(i.Step(at(7), late), []drain.Action{drain.Refuse{ID: "request"}})
 }
 
-// Orders keep failing for seconds after an instance was stopped, or never
-// reach it again after its return. Cause: the news of its leaving comes from
-// several places, late and out of order.
+// Guards against requests that fail for seconds after an instance was stopped, or that no longer reach
+// it after its restart: reports of its leaving come from several sources, late and out of order.
 func TestPeers(t *testing.T) {
 	for name, c := range map[string]struct {
-		tell   func(p *drain.Peers)
-		usable bool
+		observe func(p *drain.Peers)
+		usable  bool
 	}{
-		"unknown":                 {func(p *drain.Peers) {}, true},
-		"list first":              {func(p *drain.Peers) { p.Heard("x", "i1", false); p.Listed("x", true) }, false},
-		"heartbeat first":         {func(p *drain.Peers) { p.Listed("x", false); p.Heard("x", "i1", true) }, false},
-		"refusal first":           {func(p *drain.Peers) { p.Refused("x", "i1") }, false},
-		"earlier heartbeat after": {func(p *drain.Peers) { p.Heard("x", "i1", true); p.Heard("x", "i1", false) }, false},
-		"lagging list after":      {func(p *drain.Peers) { p.Heard("x", "i1", true); p.Listed("x", false) }, false},
-		"back with a new incarnation": {func(p *drain.Peers) {
-			p.Heard("x", "i1", true)
-			p.Heard("x", "i2", false)
+		"unknown instance":                {func(p *drain.Peers) {}, true},
+		"list reports leaving first":      {func(p *drain.Peers) { p.ObserveReport("x", "i1", false); p.ObserveListing("x", true) }, false},
+		"heartbeat reports leaving first": {func(p *drain.Peers) { p.ObserveListing("x", false); p.ObserveReport("x", "i1", true) }, false},
+		"refusal reports leaving first":   {func(p *drain.Peers) { p.ObserveRefusal("x", "i1") }, false},
+		"earlier heartbeat arrives late":  {func(p *drain.Peers) { p.ObserveReport("x", "i1", true); p.ObserveReport("x", "i1", false) }, false},
+		"list lags behind":                {func(p *drain.Peers) { p.ObserveReport("x", "i1", true); p.ObserveListing("x", false) }, false},
+		"restarted with a new incarnation": {func(p *drain.Peers) {
+			p.ObserveReport("x", "i1", true)
+			p.ObserveReport("x", "i2", false)
 		}, true},
-		"back before the list knows": {func(p *drain.Peers) {
-			p.Heard("x", "i1", true)
-			p.Listed("x", true)
-			p.Heard("x", "i2", false)
-			p.Listed("x", true)
+		"restarted while the list still shows it leaving": {func(p *drain.Peers) {
+			p.ObserveReport("x", "i1", true)
+			p.ObserveListing("x", true)
+			p.ObserveReport("x", "i2", false)
+			p.ObserveListing("x", true)
 		}, true},
-		"back, and leaving again by the list": {func(p *drain.Peers) {
-			p.Listed("x", true)
-			p.Heard("x", "i1", true)
-			p.Heard("x", "i2", false)
-			p.Listed("x", false)
-			p.Listed("x", true)
+		"restarted and listed as leaving again": {func(p *drain.Peers) {
+			p.ObserveListing("x", true)
+			p.ObserveReport("x", "i1", true)
+			p.ObserveReport("x", "i2", false)
+			p.ObserveListing("x", false)
+			p.ObserveListing("x", true)
 		}, false},
-		"delayed word of the old incarnation": {func(p *drain.Peers) {
-			p.Heard("x", "i1", false)
-			p.Heard("x", "i2", false)
-			p.Refused("x", "i1")
+		"delayed refusal of the old incarnation": {func(p *drain.Peers) {
+			p.ObserveReport("x", "i1", false)
+			p.ObserveReport("x", "i2", false)
+			p.ObserveRefusal("x", "i1")
 		}, true},
-		"delayed word does not bring the old one back": {func(p *drain.Peers) {
-			p.Heard("x", "i1", false)
-			p.Heard("x", "i2", true)
-			p.Heard("x", "i1", false)
+		"delayed heartbeat of the old incarnation": {func(p *drain.Peers) {
+			p.ObserveReport("x", "i1", false)
+			p.ObserveReport("x", "i2", true)
+			p.ObserveReport("x", "i1", false)
 		}, false},
-		"first contact with one listed as leaving": {func(p *drain.Peers) {
-			p.Listed("x", true)
-			p.Heard("x", "i1", false)
+		"first report of an instance listed as leaving": {func(p *drain.Peers) {
+			p.ObserveListing("x", true)
+			p.ObserveReport("x", "i1", false)
 		}, false},
-		"forgotten": {func(p *drain.Peers) { p.Refused("x", "i1"); p.Gone("x") }, true},
+		"removed": {func(p *drain.Peers) { p.ObserveRefusal("x", "i1"); p.Remove("x") }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p := drain.NewPeers()
-			c.tell(p)
+			c.observe(p)
 			is.Equal(p.Usable("x"), c.usable)
 		})
 	}
--- a/share/decide/drain/instance.go
+++ b/share/decide/drain/instance.go
@@ -1,5 +1,5 @@
-// Package drain decides the graceful stop of an instance and what its peers
-// know of it.
+// Package drain decides how an instance stops gracefully and which of its peers
+// may receive new work while they stop or restart.
 package drain
 
 import (
@@ -7,87 +7,90 @@
 	"time"
 )
 
-// State is how far an instance's stop has come.
+// State is the state of an instance's graceful stop.
 type State string
 
-// The states; they are passed in this order and never backwards.
+// The states. An instance passes through them in this order and never goes back.
 const (
 	StateServing  State = "serving"
 	StateDraining State = "draining"
 	StateStopped  State = "stopped"
 )
 
-// Event is what happened; each type below is one.
+// Event is the input of Instance.Step, one of the event types below.
 type Event interface{ event() }
 
-// Action is what the caller of a decision must do; each type below is one.
+// Action is what the caller of Instance.Step must do, one of the action types below.
 type Action interface{ action() }
 
 // Events of an Instance.
 type (
-	// StopRequested comes by a signal or from an operator, any number of times.
+	// StopRequested reports a signal or an operator's request to stop. It may occur any number of times.
 	StopRequested struct{}
-	// WorkOffered is a request or attempt that arrived.
+	// WorkOffered reports that a request or attempt arrived.
 	WorkOffered struct{ ID string }
-	// LastOffered is work that no other instance takes, and that ends within Bound.
-	LastOffered struct {
-		ID    string
-		Bound time.Duration
+	// LastResortOffered reports work that no other instance takes and that ends within MaxDuration. It
+	// is offered after WorkOffered was refused.
+	LastResortOffered struct {
+		ID          string
+		MaxDuration time.Duration
 	}
-	// WorkEnded says that the work's answer, with its end, was handed to the network.
+	// WorkEnded reports that the work's answer, including its end record, was handed to the network.
 	WorkEnded struct{ ID string }
-	// Woken comes at the time that Wake returns.
-	Woken struct{}
+	// TimerFired reports that the time returned by NextTimer has come. One that occurs early has no effect.
+	TimerFired struct{}
 )
 
 // Actions of an Instance.
 type (
-	// Announce tells every peer that the instance is leaving.
+	// Announce reports to all peers that the instance is leaving.
 	Announce struct{}
-	// Admit lets the work run.
+	// Admit starts the work.
 	Admit struct{ ID string }
-	// Refuse answers "not run, draining".
+	// Refuse answers the work with "not run, draining".
 	Refuse struct{ ID string }
-	// Stop ends the process; Cut lists, sorted, the work that was still running.
-	Stop struct{ Cut []string }
+	// Stop ends the process. Unfinished lists the work that was still running, in sorted order.
+	Stop struct{ Unfinished []string }
 )
 
-func (StopRequested) event() {}
-func (WorkOffered) event()   {}
-func (LastOffered) event()   {}
-func (WorkEnded) event()     {}
-func (Woken) event()         {}
+func (StopRequested) event()     {}
+func (WorkOffered) event()       {}
+func (LastResortOffered) event() {}
+func (WorkEnded) event()         {}
+func (TimerFired) event()        {}
 
 func (Announce) action() {}
 func (Admit) action()    {}
 func (Refuse) action()   {}
 func (Stop) action()     {}
 
-// Settings bound a stop.
+// Settings limit the phases of a graceful stop.
 type Settings struct {
-	// Grace is the longest time that running work gets.
+	// Grace is the longest time from the announcement to the stop, for running work to end.
 	Grace time.Duration
-	// Linger is the shortest time from announcing to stopping, at most Grace and more than a round trip:
-	// the news travels one way and the last work, sent just before it came, the other.
+	// Linger is the shortest time from the announcement to the stop. It must be at most Grace and longer
+	// than a round trip: the announcement travels to a peer, and work that the peer sent just before
+	// receiving it travels back.
 	//
-	// Guards against work sent by a peer that has not heard: it would meet a
-	// closed connection and count as "outcome unknown" instead of "not run".
+	// It guards against work from a peer that has not received the announcement yet: such work would
+	// find the connection closed and count as "outcome unknown" instead of "not run".
 	Linger time.Duration
-	// Admit is how long after announcing new work is still taken; 0: none is.
+	// AdmitPeriod is how long new work is still admitted after the announcement; 0 admits none.
 	//
-	// Guards against refusing callers that a balancer still sends: it notices
-	// the announcement only after some missed questions, and a caller whose
-	// connection was opened before that has no other instance to go to.
-	Admit time.Duration
+	// It guards against refusing callers that a load balancer still sends here: the balancer notices
+	// the announcement only after some failed readiness checks, and a caller whose connection was
+	// opened before that has no other instance to use.
+	AdmitPeriod time.Duration
 }
 
-// Instance is one process's own stop.
+// Instance decides the graceful stop of the process it runs in.
 type Instance struct {
 	settings Settings
 	state    State
-	// since is when draining began; it is set once.
-	since time.Time
-	// running holds the admitted work that has not ended; true but for the last offered.
+	// drainStart is when draining began; it is set once.
+	drainStart time.Time
+	// running holds the admitted work that has not ended, by id. The value is false for work admitted
+	// by LastResortOffered and true for all other work.
 	running map[string]bool
 }
 
@@ -96,54 +99,55 @@
 	return &Instance{settings: s, state: StateServing, running: map[string]bool{}}
 }
 
-// State returns how far the stop has come.
+// State returns the current state.
 func (i *Instance) State() State { return i.state }
 
-// Wake returns when Woken is due, and false while nothing is.
-func (i *Instance) Wake() (time.Time, bool) {
+// NextTimer returns when TimerFired is due, or false while the instance is not draining.
+func (i *Instance) NextTimer() (time.Time, bool) {
 	if i.state != StateDraining {
 		return time.Time{}, false
 	}
 	if len(i.running) == 0 {
-		return i.since.Add(i.settings.Linger), true
+		return i.drainStart.Add(i.settings.Linger), true
 	}
-	return i.since.Add(i.settings.Grace), true
+	return i.drainStart.Add(i.settings.Grace), true
 }
 
-// Step takes one event and returns what is to be done.
+// Step processes one event and returns the actions that follow from it, in order.
 func (i *Instance) Step(now time.Time, e Event) []Action {
 	switch v := e.(type) {
 	case StopRequested:
 		return i.stopRequested(now)
 	case WorkOffered:
-		return i.offered(now, v)
-	case LastOffered:
-		return i.lastOffered(now, v)
+		return i.workOffered(now, v)
+	case LastResortOffered:
+		return i.lastResortOffered(now, v)
 	case WorkEnded:
 		delete(i.running, v.ID)
 		return i.stopIfDue(now)
-	case Woken:
+	case TimerFired:
 		return i.stopIfDue(now)
 	}
 	return nil
 }
 
-// stopRequested begins the drain.
+// stopRequested begins the drain of a serving instance and ignores the request
+// otherwise.
 //
-// Guards against a second stop request that would restart or shorten the
-// grace period, as when an operator and the platform stop an instance at the
-// same time: only a serving instance takes it.
+// It guards against a second stop request that restarts or shortens the grace
+// period, for instance when an operator and the platform stop an instance at
+// the same time.
 func (i *Instance) stopRequested(now time.Time) []Action {
 	if i.state != StateServing {
 		return nil
 	}
 	i.state = StateDraining
-	i.since = now
+	i.drainStart = now
 	return append([]Action{Announce{}}, i.stopIfDue(now)...)
 }
 
-func (i *Instance) offered(now time.Time, e WorkOffered) []Action {
-	admitting := i.state == StateDraining && now.Before(i.since.Add(i.settings.Admit))
+func (i *Instance) workOffered(now time.Time, e WorkOffered) []Action {
+	admitting := i.state == StateDraining && now.Before(i.drainStart.Add(i.settings.AdmitPeriod))
 	if i.state != StateServing && !admitting {
 		return []Action{Refuse(e)}
 	}
@@ -151,41 +155,43 @@
 	return []Action{Admit(e)}
 }
 
-// lastOffered takes work as long as it surely ends within the grace period, and only
-// while the instance stays for other work: taking more and more of it would keep the
-// instance from being back for seconds.
+// lastResortOffered admits work that is certain to end within the grace period, and only while the
+// instance keeps running for other work: admitting one item of last-resort work after the other would
+// delay the restart of the instance by seconds.
 //
-// Guards against a roll in which all instances are stopping at the same time: once each
-// has passed Admit, nobody takes an order for seconds, though it would end in 60 ms.
-func (i *Instance) lastOffered(now time.Time, e LastOffered) []Action {
-	ends := i.since.Add(i.settings.Grace)
-	if i.state != StateDraining || !i.staysAnyway() || now.Add(e.Bound).After(ends) {
+// It guards against a rolling restart in which all instances stop at the same time: once AdmitPeriod
+// has passed on each, no instance would take a request for seconds, not even one that ends in 60 ms.
+func (i *Instance) lastResortOffered(now time.Time, e LastResortOffered) []Action {
+	graceEnd := i.drainStart.Add(i.settings.Grace)
+	if i.state != StateDraining || !i.hasRegularWork() || now.Add(e.MaxDuration).After(graceEnd) {
 		return []Action{Refuse{ID: e.ID}}
 	}
 	i.running[e.ID] = false
 	return []Action{Admit{ID: e.ID}}
 }
 
-// staysAnyway tells whether work is running that was not the last offered.
-func (i *Instance) staysAnyway() bool {
-	for _, keeps := range i.running {
-		if keeps {
+// hasRegularWork reports whether work is running that LastResortOffered did not admit.
+func (i *Instance) hasRegularWork() bool {
+	for _, regular := range i.running {
+		if regular {
 			return true
 		}
 	}
 	return false
 }
 
+// stopIfDue stops the instance when the grace period has ended, or when no work is running and the
+// linger period has ended.
 func (i *Instance) stopIfDue(now time.Time) []Action {
-	due, draining := i.Wake()
+	due, draining := i.NextTimer()
 	if !draining || now.Before(due) {
 		return nil
 	}
 	i.state = StateStopped
-	cut := make([]string, 0, len(i.running))
+	unfinished := make([]string, 0, len(i.running))
 	for id := range i.running {
-		cut = append(cut, id)
+		unfinished = append(unfinished, id)
 	}
-	sort.Strings(cut)
-	return []Action{Stop{Cut: cut}}
+	sort.Strings(unfinished)
+	return []Action{Stop{Unfinished: unfinished}}
 }
--- a/share/decide/drain/peers.go
+++ b/share/decide/drain/peers.go
@@ -1,74 +1,76 @@
 package drain
 
-// keptRetired is how many earlier incarnations of a name are remembered.
-const keptRetired = 8
+// maxRetired is the greatest number of earlier incarnations remembered for each peer.
+const maxRetired = 8
 
-// Peers keeps what is known of the stops of others. News of a leaving
-// incarnation counts from whichever source brings it first, and is never
-// taken back; only a new incarnation of the name takes work again.
+// Peers tracks which other instances are leaving. An instance counts as leaving
+// as soon as one source reports it. What an incarnation has reported itself is
+// never taken back: only a new incarnation of the same name receives work again.
 type Peers struct {
 	peers map[string]*peer
 }
 
 type peer struct {
 	incarnation string
-	// leaving holds for incarnation, and stays.
+	// leaving is set once incarnation has reported that it is leaving; only a new incarnation resets it.
 	leaving bool
-	// listed is the list's flag, which knows names only.
-	listed bool
-	// outdated is set while listed was raised before incarnation was seen: it speaks of an earlier one.
-	outdated bool
-	// retired holds earlier incarnations, the latest last; at most keptRetired.
+	// listedLeaving is the leaving flag of the instance list, which names the instance but not its
+	// incarnation.
+	listedLeaving bool
+	// listingOutdated is set when listedLeaving was set before incarnation was first seen, so that it
+	// is about an earlier incarnation. It is reset when the list no longer shows the instance as leaving.
+	listingOutdated bool
+	// retired holds at most maxRetired earlier incarnations, the latest last.
 	retired []string
 }
 
-// NewPeers returns Peers that know nobody.
+// NewPeers returns Peers without any instance.
 func NewPeers() *Peers {
 	return &Peers{peers: map[string]*peer{}}
 }
 
-// Usable tells whether new work may go to the instance.
+// Usable reports whether new work may be sent to the instance. An unknown instance is usable.
 func (p *Peers) Usable(name string) bool {
 	o, known := p.peers[name]
-	return !known || !o.leaving && (!o.listed || o.outdated)
+	return !known || !o.leaving && (!o.listedLeaving || o.listingOutdated)
 }
 
-// Listed takes the lagging list's word about an instance that it shows.
-func (p *Peers) Listed(name string, leaving bool) {
-	o := p.get(name)
+// ObserveListing records the leaving flag of an instance in the instance list, which may lag behind.
+func (p *Peers) ObserveListing(name string, leaving bool) {
+	o := p.getOrAdd(name)
 	if !leaving {
-		o.outdated = false
+		o.listingOutdated = false
 	}
-	o.listed = leaving
+	o.listedLeaving = leaving
 }
 
-// Gone forgets an instance that the list no longer shows and no session reaches.
-func (p *Peers) Gone(name string) {
+// Remove drops an instance that is no longer listed and has no session.
+func (p *Peers) Remove(name string) {
 	delete(p.peers, name)
 }
 
-// Heard takes the instance's own word, from a hello or heartbeat.
+// ObserveReport records what an instance reports about itself in a hello or heartbeat.
 //
-// Guards against news in the wrong order: a delayed heartbeat of an earlier
-// incarnation says nothing about the present one, and a heartbeat sent before
-// the instance began to leave does not take back that it leaves.
-func (p *Peers) Heard(name, incarnation string, leaving bool) {
-	o := p.get(name)
+// It guards against reports that arrive out of order: a delayed heartbeat of an
+// earlier incarnation is ignored, and a heartbeat sent before the instance began
+// to leave does not reset leaving.
+func (p *Peers) ObserveReport(name, incarnation string, leaving bool) {
+	o := p.getOrAdd(name)
 	if o.isRetired(incarnation) {
 		return
 	}
 	if o.incarnation != incarnation {
-		o.replace(incarnation)
+		o.startIncarnation(incarnation)
 	}
 	o.leaving = o.leaving || leaving
 }
 
-// Refused takes a refusal with codes.Draining as the instance's own word.
-func (p *Peers) Refused(name, incarnation string) {
-	p.Heard(name, incarnation, true)
+// ObserveRefusal records a refusal with codes.Draining as the instance's own report that it is leaving.
+func (p *Peers) ObserveRefusal(name, incarnation string) {
+	p.ObserveReport(name, incarnation, true)
 }
 
-func (p *Peers) get(name string) *peer {
+func (p *Peers) getOrAdd(name string) *peer {
 	o, known := p.peers[name]
 	if !known {
 		o = &peer{}
@@ -86,14 +88,15 @@
 	return false
 }
 
-// replace begins a new incarnation. The list's flag is old news only where
-// an earlier incarnation was seen; else it may speak of this one.
-func (o *peer) replace(incarnation string) {
+// startIncarnation switches the peer to a new incarnation. The list's leaving
+// flag is outdated only if an earlier incarnation was seen; otherwise it may be
+// about this one.
+func (o *peer) startIncarnation(incarnation string) {
 	if o.incarnation != "" {
-		o.outdated = o.listed
+		o.listingOutdated = o.listedLeaving
 		o.retired = append(o.retired, o.incarnation)
 	}
-	if len(o.retired) > keptRetired {
+	if len(o.retired) > maxRetired {
 		o.retired = o.retired[1:]
 	}
 	o.incarnation = incarnation
--- a/share/services/stops/stopper.go
+++ b/share/services/stops/stopper.go
@@ -42,7 +42,7 @@
 // AdmitLast says whether work may run that was not admitted, that no other instance
 // takes, and that ends within a bound.
 func (s *Stopper) AdmitLast(id string, bound time.Duration) bool {
-	return isAdmitted(s.step(drain.LastOffered{ID: id, Bound: bound}))
+	return isAdmitted(s.step(drain.LastResortOffered{ID: id, MaxDuration: bound}))
 }
 
 func isAdmitted(actions []drain.Action) bool {
@@ -97,7 +97,7 @@
 		case drain.Announce:
 			close(s.announced)
 		case drain.Stop:
-			s.cut = a.Cut
+			s.cut = a.Unfinished
 			close(s.stopped)
 		}
 	}
@@ -115,7 +115,7 @@
 		case <-s.stopped:
 			return
 		case <-ticker.C:
-			s.step(drain.Woken{})
+			s.step(drain.TimerFired{})
 		}
 	}
 }
