--- a/entry/services/explan/explan.go
+++ b/entry/services/explan/explan.go
@@ -164,7 +164,7 @@
 	}
 	verdicts := make(map[string][]admapi.RuleVerdict, len(servers))
 	for _, candidate := range rules.Rank(w.caller, w.stage, servers) {
-		for _, t := range candidate.Terms {
+		for _, t := range candidate.RuleVerdicts {
 			verdict := admapi.RuleVerdict{Rule: t.Rule, Effect: t.Effect, Matched: t.Matched, Drops: t.Drops, Weight: t.Weight}
 			verdicts[candidate.Server] = append(verdicts[candidate.Server], verdict)
 		}
--- a/share/decide/match/cache.go
+++ b/share/decide/match/cache.go
@@ -8,10 +8,10 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// Cache remembers the selections of one snapshot's rules; a new snapshot needs a new Cache.
+// Cache caches the selections from one configuration snapshot's rules. Each snapshot needs its own Cache.
 type Cache struct {
 	rules *Rules
-	// limit bounds the entries; the cache is emptied when it is reached.
+	// limit is the greatest number of entries. A full cache is emptied before the next entry is added.
 	limit   int
 	entries map[cacheKey]cacheEntry
 }
@@ -21,20 +21,21 @@
 	stage  uint64
 }
 
-// cacheEntry keeps the labels, since two label sets may share a digest and a
-// mistaken selection would let work run where a rule forbids it.
+// cacheEntry keeps the labels to detect label sets that share a digest: their
+// selections differ, and the wrong one could run work where a rule forbids it.
 type cacheEntry struct {
 	caller    config.Labels
 	stage     config.Labels
 	selection *Selection
 }
 
-// NewCache returns an empty cache of at most limit selections.
+// NewCache returns an empty cache that holds at most limit selections, and at least one.
 func NewCache(rules *Rules, limit int) *Cache {
 	return &Cache{rules: rules, limit: max(limit, 1), entries: make(map[cacheKey]cacheEntry)}
 }
 
-// Select returns what Rules.Select does; it keeps references to both label sets.
+// Select returns the same as Rules.Select. It keeps references to both label sets, which must not
+// change afterwards.
 func (c *Cache) Select(caller, stage config.Labels) *Selection {
 	key := cacheKey{caller: digest(caller), stage: digest(stage)}
 	e, ok := c.entries[key]
@@ -49,10 +50,11 @@
 	return e.selection
 }
 
-// Len returns the number of selections held.
+// Len returns the number of cached selections.
 func (c *Cache) Len() int { return len(c.entries) }
 
-// digest adds the hashes of the pairs, so that the order of iteration does not count.
+// digest returns a hash of the labels. It sums the hashes of the pairs, so that the order of map
+// iteration does not matter.
 func digest(l config.Labels) uint64 {
 	var sum uint64
 	for k, v := range l {
--- a/share/decide/match/check.go
+++ b/share/decide/match/check.go
@@ -6,64 +6,69 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// Caller is a team as the rules see it.
+// Caller holds what the rules need to know about a team.
 type Caller struct {
 	Name   string
 	Labels config.Labels
 }
 
-// Stage is a stage as the rules see it, with the servers of its service.
+// Stage holds what the rules need to know about a stage, and the backend servers of its service.
 type Stage struct {
-	// Name tells the stage to the operator, for instance "pipeline/stage".
+	// Name identifies the stage to the operator, for instance "pipeline/stage".
 	Name    string
 	Labels  config.Labels
 	Servers []Server
 }
 
-// Empty is a stage that no server may run for some caller.
-type Empty struct {
+// EmptyStage is a stage that no server may run for a group of callers.
+type EmptyStage struct {
 	Stage string
-	// Caller is the first caller concerned, in the order given; Callers counts all of them.
-	Caller  string
-	Callers int
-	// Rule is the one that dropped the last server; empty when the stage has no server at all.
+	// Caller is the first affected caller, in the order given to Check; CallerCount counts all of them.
+	Caller      string
+	CallerCount int
+	// Rule names the rule that excluded the last remaining server; it is empty when the stage has no
+	// servers.
 	Rule string
 }
 
-// Check returns the stages that would have no candidate, at most one for each group of callers under the same rules.
-func (r *Rules) Check(callers []Caller, stages []Stage) []Empty {
-	groups := r.group(callers)
-	var empties []Empty
+// Check returns the stages for which the rules leave some callers without a server. Callers to whom
+// the same rules apply in a stage share one result.
+func (r *Rules) Check(callers []Caller, stages []Stage) []EmptyStage {
+	groups := r.groupCallers(callers)
+	var empties []EmptyStage
 	for _, s := range stages {
 		seen := make(map[string]int)
 		for _, g := range groups {
 			selection, key := r.selectGroup(g, s.Labels)
 			if i, ok := seen[key]; ok {
 				if i >= 0 {
-					empties[i].Callers += g.callers
+					empties[i].CallerCount += g.count
 				}
 				continue
 			}
 			seen[key] = -1
-			last, empty := selection.lastDrop(s.Servers)
+			rule, empty := selection.findExcludingRule(s.Servers)
 			if empty {
 				seen[key] = len(empties)
-				empties = append(empties, Empty{Stage: s.Name, Caller: g.first, Callers: g.callers, Rule: last})
+				empties = append(empties, EmptyStage{Stage: s.Name, Caller: g.first, CallerCount: g.count, Rule: rule})
 			}
 		}
 	}
 	return empties
 }
 
-// callerGroup is the callers that the same rules match, so that 19,000 teams cost as much as their few kinds.
+// callerGroup represents the callers that the same rules match, so that the cost of Check depends on
+// the number of groups, which is small even with 19,000 teams.
 type callerGroup struct {
-	first   string
-	callers int
-	// matched has one byte for each rule: 1 where its caller selector matches.
+	// first is the name of the group's first caller.
+	first string
+	count int
+	// matched has one byte for each rule: 1 if its caller selector matches the group, otherwise 0.
 	matched string
 }
 
-func (r *Rules) group(callers []Caller) []callerGroup {
+// groupCallers groups the callers by the rules whose caller selectors match them.
+func (r *Rules) groupCallers(callers []Caller) []callerGroup {
 	var groups []callerGroup
 	index := make(map[string]int)
 	matched := make([]byte, len(r.rules))
@@ -80,12 +85,13 @@
 			index[string(matched)] = i
 			groups = append(groups, callerGroup{first: c.Name, matched: string(matched)})
 		}
-		groups[i].callers++
+		groups[i].count++
 	}
 	return groups
 }
 
-// selectGroup returns the rules for the group in a stage, and a key that is equal for equal selections.
+// selectGroup returns the rules that apply to the group in a stage, and a key that is equal for equal
+// selections.
 func (r *Rules) selectGroup(g callerGroup, stage config.Labels) (*Selection, string) {
 	s := &Selection{}
 	key := []byte(g.matched)
@@ -99,15 +105,16 @@
 	return s, string(key)
 }
 
-// lastDrop applies the rules one after the other and names the one that leaves no server.
-func (s *Selection) lastDrop(servers []Server) (rule string, empty bool) {
-	left := servers
-	if len(left) == 0 {
+// findExcludingRule applies the rules in order and returns the name of the one that excludes the last
+// remaining server. It returns an empty name when there are no servers to begin with.
+func (s *Selection) findExcludingRule(servers []Server) (rule string, empty bool) {
+	remaining := servers
+	if len(remaining) == 0 {
 		return "", true
 	}
 	for _, r := range s.rules {
 		var kept []Server
-		for _, server := range left {
+		for _, server := range remaining {
 			if !r.drops(r.server.Matches(labels.Set(server.Labels))) {
 				kept = append(kept, server)
 			}
@@ -115,7 +122,7 @@
 		if len(kept) == 0 {
 			return r.name, true
 		}
-		left = kept
+		remaining = kept
 	}
 	return "", false
 }
--- a/share/decide/match/rules.go
+++ b/share/decide/match/rules.go
@@ -1,8 +1,8 @@
 // Package match decides by label selectors which backend servers may run a
 // stage for a caller and in what order of preference.
 //
-// Rules is immutable and safe for use from many goroutines. Cache changes on
-// reads and belongs to one goroutine, or is guarded by its caller.
+// Rules is immutable and safe for concurrent use. Cache is not, since Select
+// changes it: it belongs to one goroutine, or its caller locks it.
 package match
 
 import (
@@ -28,12 +28,13 @@
 	weight int
 }
 
-// Rules are the rules of one snapshot, compiled.
+// Rules holds the compiled rules of one configuration snapshot.
 type Rules struct {
 	rules []rule
 }
 
-// Compile parses every selector; the error lists all that cannot be parsed, each with its rule and field.
+// Compile parses the selectors of the rules and checks their effects. The error lists every invalid
+// selector or effect with its rule and field.
 func Compile(documents []config.Rule) (*Rules, error) {
 	r := &Rules{rules: make([]rule, 0, len(documents))}
 	var group errs.Group
@@ -68,7 +69,7 @@
 	}
 }
 
-// Select returns the rules that apply to work of this caller in this stage.
+// Select returns the rules that apply to work of the caller in the stage.
 func (r *Rules) Select(caller, stage config.Labels) *Selection {
 	s := &Selection{}
 	for i := range r.rules {
@@ -79,7 +80,7 @@
 	return s
 }
 
-// Rank judges every server rule by rule: the kept ones first, by falling preference, then by name.
+// Rank selects the rules that apply and ranks the servers by them, as Selection.Rank does.
 func (r *Rules) Rank(caller, stage config.Labels, servers []Server) []Candidate {
 	return r.Select(caller, stage).Rank(servers)
 }
@@ -89,7 +90,8 @@
 	rules []*rule
 }
 
-// Allow reports whether the server may run the work, and the sum of the preferences for it.
+// Allow reports whether the server may run the work, and the sum of the weights of the rules that
+// prefer it.
 func (s *Selection) Allow(server Server) (preference int, allowed bool) {
 	for _, r := range s.rules {
 		matched := r.server.Matches(labels.Set(server.Labels))
@@ -103,7 +105,7 @@
 	return preference, true
 }
 
-// drops reports whether the rule bars a server that did or did not match it.
+// drops reports whether the rule excludes a server, given whether its server selector matches.
 func (r *rule) drops(matched bool) bool {
 	switch r.effect {
 	case config.EffectRequire:
@@ -115,29 +117,31 @@
 	}
 }
 
-// Rank judges every server rule by rule: the kept ones first, by falling preference, then by name.
+// Rank evaluates all rules for each server. It returns the kept servers first, by descending
+// preference and then by name, followed by the dropped ones in the same order.
 func (s *Selection) Rank(servers []Server) []Candidate {
 	candidates := make([]Candidate, 0, len(servers))
 	for _, server := range servers {
-		candidates = append(candidates, s.judge(server))
+		candidates = append(candidates, s.evaluate(server))
 	}
 	slices.SortStableFunc(candidates, compareCandidates)
 	return candidates
 }
 
-func (s *Selection) judge(server Server) Candidate {
-	c := Candidate{Server: server.Name, Verdict: VerdictKept, Terms: make([]Term, 0, len(s.rules))}
+// evaluate returns the verdict of all rules on the server.
+func (s *Selection) evaluate(server Server) Candidate {
+	c := Candidate{Server: server.Name, Verdict: VerdictKept, RuleVerdicts: make([]RuleVerdict, 0, len(s.rules))}
 	for _, r := range s.rules {
-		t := Term{Rule: r.name, Effect: r.effect, Matched: r.server.Matches(labels.Set(server.Labels))}
-		if r.drops(t.Matched) {
-			t.Drops = true
+		v := RuleVerdict{Rule: r.name, Effect: r.effect, Matched: r.server.Matches(labels.Set(server.Labels))}
+		if r.drops(v.Matched) {
+			v.Drops = true
 			c.drop(r.name)
 		}
-		if t.Matched && r.effect == config.EffectPrefer {
-			t.Weight = r.weight
+		if v.Matched && r.effect == config.EffectPrefer {
+			v.Weight = r.weight
 			c.Preference += r.weight
 		}
-		c.Terms = append(c.Terms, t)
+		c.RuleVerdicts = append(c.RuleVerdicts, v)
 	}
 	return c
 }
--- a/share/decide/match/rules_test.go
+++ b/share/decide/match/rules_test.go
@@ -51,12 +51,13 @@
 			is := is.New(t)
 			r, err := match.Compile(rules())
 			is.NoErr(err)
-			is.Equal(render(r.Rank(tc.caller, tc.stage, servers())), tc.want)
+			is.Equal(formatCandidates(r.Rank(tc.caller, tc.stage, servers())), tc.want)
 		})
 	}
 }
 
-func render(candidates []match.Candidate) string {
+// formatCandidates renders a kept candidate as "server+preference" and a dropped one as "server:rule".
+func formatCandidates(candidates []match.Candidate) string {
 	var words []string
 	for _, c := range candidates {
 		if c.Verdict == match.VerdictDropped {
@@ -68,7 +69,7 @@
 	return strings.Join(words, " ")
 }
 
-func TestOwnLabelsGoBeforeGivenOnes(t *testing.T) {
+func TestReservedLabelsOverrideConfiguredOnes(t *testing.T) {
 	is := is.New(t)
 	l := match.CallerLabels(&config.Team{Name: "celje", Labels: config.Labels{"team": "kranj"}})
 	is.Equal(l["team"], "celje")
@@ -86,9 +87,9 @@
 	}
 }
 
-func TestCheckNamesTheRule(t *testing.T) {
+func TestCheckReportsTheExcludingRule(t *testing.T) {
 	is := is.New(t)
-	documents := append(rules(), config.Rule{Name: "shut", Caller: "tier=gold", Server: "region", Effect: config.EffectForbid})
+	documents := append(rules(), config.Rule{Name: "forbid-all", Caller: "tier=gold", Server: "region", Effect: config.EffectForbid})
 	r, err := match.Compile(documents)
 	is.NoErr(err)
 	callers := []match.Caller{
@@ -100,14 +101,14 @@
 		{Name: "notes/draft", Labels: config.Labels{"kind": "generate"}, Servers: servers()},
 		{Name: "notes/embed", Labels: config.Labels{"kind": "encode"}},
 	}
-	is.Equal(r.Check(callers, stages), []match.Empty{
-		{Stage: "notes/draft", Caller: "kranj", Callers: 2, Rule: "shut"},
-		{Stage: "notes/embed", Caller: "celje", Callers: 1},
-		{Stage: "notes/embed", Caller: "kranj", Callers: 2},
+	is.Equal(r.Check(callers, stages), []match.EmptyStage{
+		{Stage: "notes/draft", Caller: "kranj", CallerCount: 2, Rule: "forbid-all"},
+		{Stage: "notes/embed", Caller: "celje", CallerCount: 1},
+		{Stage: "notes/embed", Caller: "kranj", CallerCount: 2},
 	})
 }
 
-func TestCacheAgreesWithRules(t *testing.T) {
+func TestCacheAndRulesAgree(t *testing.T) {
 	r, err := match.Compile(rules())
 	is.New(t).NoErr(err)
 	cache := match.NewCache(r, 3)
@@ -117,13 +118,13 @@
 		want := r.Rank(caller, stage, servers())
 		got := cache.Select(caller, stage).Rank(servers())
 		if !reflect.DeepEqual(want, got) || cache.Len() > 3 {
-			t.Fatalf("cache: %v, rules: %v", got, want)
+			t.Fatalf("cache returned %v, rules returned %v", got, want)
 		}
 		for _, c := range want {
 			for _, s := range servers() {
 				p, ok := cache.Select(caller, stage).Allow(s)
 				if s.Name == c.Server && (ok != (c.Verdict == match.VerdictKept) || ok && p != c.Preference) {
-					t.Fatalf("allow and rank differ on %s", s.Name)
+					t.Fatalf("Allow and Rank disagree on server %s", s.Name)
 				}
 			}
 		}
