--- a/share/decide/spend/bench_test.go
+++ b/share/decide/spend/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 func BenchmarkDecideAdd(b *testing.B) {
-	l := ledger()
+	l := newLedger()
 	u := spend.Use{Pool: "gpu", Stage: "draft", Team: "a", Priority: normal, Cost: 1}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -19,17 +19,18 @@
 	}
 }
 
-// BenchmarkTeams19000 reports what a full window holds when 19,000 teams take turns.
+// BenchmarkTeams19000 reports the memory of a full window in which each of 19,000 teams has a use in
+// every interval.
 func BenchmarkTeams19000(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		l := ledger()
-		for cell := range 12 {
+		l := newLedger()
+		for interval := range 12 {
 			for n := range 19_000 {
 				u := spend.Use{Pool: "gpu", Stage: "draft", Team: fmt.Sprint("team-", n), Priority: normal, Cost: 1}
-				l.Add(start.Add(time.Duration(cell)*5*time.Second), u)
+				l.Add(start.Add(time.Duration(interval)*5*time.Second), u)
 			}
 		}
 		runtime.GC()
--- a/share/decide/spend/spend_test.go
+++ b/share/decide/spend/spend_test.go
@@ -21,8 +21,9 @@
 	batch  = config.PriorityBatch
 )
 
-// ledger has one pool of 10 units a second; only urgent work may go beyond.
-func ledger() *spend.Ledger {
+// newLedger returns a ledger with one pool of 10 cost units per second. Only urgent work may go beyond
+// the committed amount.
+func newLedger() *spend.Ledger {
 	l := spend.New(spend.DefaultSettings())
 	l.SetPools(start, []config.Pool{{Name: "gpu", Committed: 10, Price: 2, BeyondPrice: 5, BeyondPriority: urgent}})
 	return l
@@ -37,40 +38,39 @@
 		verdict  spend.Verdict
 		after    time.Duration
 	}{
-		{"idle capacity takes batch", 0, batch, 5, spend.VerdictCommitted, 0},
-		{"batch leaves a reserve", 40, batch, 5, spend.VerdictRefused, 500 * time.Millisecond},
-		{"normal may use more of it", 40, normal, 5, spend.VerdictCommitted, 0},
-		{"normal may not go beyond", 50, normal, 5, spend.VerdictRefused, time.Second},
-		{"urgent uses the last unit", 45, urgent, 5, spend.VerdictCommitted, 0},
-		{"urgent goes beyond", 50, urgent, 5, spend.VerdictBeyond, 0},
-		{"a large one passes when idle", 0, batch, 500, spend.VerdictCommitted, 0},
+		{"batch uses idle capacity", 0, batch, 5, spend.VerdictCommitted, 0},
+		{"batch must leave a reserve", 40, batch, 5, spend.VerdictRefused, 500 * time.Millisecond},
+		{"normal must leave a smaller reserve", 40, normal, 5, spend.VerdictCommitted, 0},
+		{"normal may not go beyond the committed amount", 50, normal, 5, spend.VerdictRefused, time.Second},
+		{"urgent needs to leave no reserve", 45, urgent, 5, spend.VerdictCommitted, 0},
+		{"urgent may go beyond the committed amount", 50, urgent, 5, spend.VerdictBeyond, 0},
+		{"work above the interval amount is allowed when idle", 0, batch, 500, spend.VerdictCommitted, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			l := ledger()
+			l := newLedger()
 			l.Add(start, spend.Use{Pool: "gpu", Priority: urgent, Cost: tc.used})
 			d := l.Decide(start, "gpu", tc.priority, tc.cost)
 			is.Equal(d.Verdict, tc.verdict)
 			is.Equal(d.RetryAfter, tc.after)
 		})
 	}
-	is.New(t).Equal(ledger().Decide(start, "none", batch, 1).Verdict, spend.VerdictCommitted)
+	is.New(t).Equal(newLedger().Decide(start, "none", batch, 1).Verdict, spend.VerdictCommitted)
 }
 
-// Urgent work goes far beyond the committed amount and stops. If its excess
-// were kept as a debt, batch work would wait while committed capacity, paid
-// for anyway, stands idle.
-func TestWorkBeyondLeavesNoDebt(t *testing.T) {
+// Guards against carrying urgent work far beyond the committed amount forward as a debt: after such
+// work ends, batch work would wait although committed capacity, paid for anyway, is idle.
+func TestWorkBeyondTheCommittedAmountLeavesNoDebt(t *testing.T) {
 	is := is.New(t)
-	l := ledger()
+	l := newLedger()
 	l.Add(start, spend.Use{Pool: "gpu", Priority: urgent, Cost: 5000})
 	is.Equal(l.Decide(start.Add(2*time.Second), "gpu", batch, 5).Verdict, spend.VerdictCommitted)
 }
 
-func TestReportFillsTheCommittedPartByPriority(t *testing.T) {
+func TestReportAssignsTheCommittedAmountByPriority(t *testing.T) {
 	is := is.New(t)
-	l := ledger()
+	l := newLedger()
 	l.Add(start, spend.Use{Pool: "gpu", Stage: "draft", Team: "a", Priority: batch, Cost: 40})
 	l.Add(start.Add(time.Second), spend.Use{Pool: "gpu", Stage: "draft", Team: "b", Priority: urgent, Cost: 30})
 	l.Add(start.Add(6*time.Second), spend.Use{Pool: "gpu", Stage: "embed", Team: "a", Priority: normal, Cost: 10})
@@ -86,19 +86,19 @@
 	is.Equal(len(l.Reports(start.Add(5 * time.Minute))[0].Lines), 0)
 }
 
-func TestShareDividesTheCommittedAmount(t *testing.T) {
+func TestShareScalesTheCommittedAmount(t *testing.T) {
 	is := is.New(t)
-	l := ledger()
+	l := newLedger()
 	l.SetShare(start, 0.25)
 	l.Add(start, spend.Use{Pool: "gpu", Priority: normal, Cost: 12})
 	is.Equal(l.Decide(start, "gpu", normal, 1).Verdict, spend.VerdictRefused)
 	is.Equal(l.Reports(start)[0].Committed, 137.5)
 }
 
-func TestNothingIsLostInTheAccount(t *testing.T) {
+func TestReportAccountsForAllWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := spend.DefaultSettings()
-		s.Lines = 4
+		s.MaxLines = 4
 		l := spend.New(s)
 		l.SetPools(start, []config.Pool{{Name: "gpu", Committed: 3, BeyondPriority: normal}})
 		total := 0.0
@@ -109,42 +109,42 @@
 			u.Team = fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "team"))
 			u.Priority = rapid.SampledFrom([]config.Priority{urgent, normal, batch}).Draw(t, "priority")
 			if d := l.Decide(now, "gpu", u.Priority, u.Cost); (d.Verdict == spend.VerdictRefused) != (d.RetryAfter > 0) {
-				t.Fatalf("%s with retry after %v", d.Verdict, d.RetryAfter)
+				t.Fatalf("verdict %s with retry after %v", d.Verdict, d.RetryAfter)
 			}
 			l.Add(now, u)
 			total += u.Cost
 		}
-		r := l.Reports(now.Add(s.Cell))[0]
+		r := l.Reports(now.Add(s.Interval))[0]
 		if math.Abs(r.Used+r.Beyond-total) > 1e-6 || r.Used > r.Committed+1e-6 {
-			t.Fatalf("used %v and beyond %v of %v", r.Used, r.Beyond, total)
+			t.Fatalf("report has used %v and beyond %v, but work cost %v", r.Used, r.Beyond, total)
 		}
-		cells := int64(now.Sub(start)/s.Cell) + 1
-		if int64(len(r.Lines)) > cells*int64(s.Lines+1) {
-			t.Fatalf("%d lines in %d cells", len(r.Lines), cells)
+		intervals := int64(now.Sub(start)/s.Interval) + 1
+		if int64(len(r.Lines)) > intervals*int64(s.MaxLines+1) {
+			t.Fatalf("%d lines in %d intervals", len(r.Lines), intervals)
 		}
 	})
 }
 
-func TestWindowForgetsAWholeTurnLater(t *testing.T) {
+func TestIntervalIsClearedBeforeReuse(t *testing.T) {
 	is := is.New(t)
-	l := ledger()
+	l := newLedger()
 	u := spend.Use{Pool: "gpu", Stage: "draft", Team: "a", Priority: normal, Cost: 7}
 	l.Add(start, u)
-	l.Add(start.Add(time.Minute), u) // the same cell of the ring
+	l.Add(start.Add(time.Minute), u) // the same element of the ring
 	is.Equal(l.Reports(start.Add(65 * time.Second))[0].Used, 7.0)
 }
 
-func TestTeamsBeyondTheLinesCountTogether(t *testing.T) {
+func TestTeamsBeyondMaxLinesAreCombined(t *testing.T) {
 	is := is.New(t)
 	s := spend.DefaultSettings()
-	s.Lines = 2
+	s.MaxLines = 2
 	l := spend.New(s)
 	l.SetPools(start, []config.Pool{{Name: "gpu", Committed: 10}})
 	for n := range 10 {
 		l.Add(start, spend.Use{Pool: "gpu", Stage: "draft", Team: fmt.Sprint(n), Priority: normal, Cost: 1})
 	}
-	is.Equal(l.Reports(start.Add(s.Cell))[0].Lines, []spend.Line{
-		{Stage: "draft", Team: spend.Other, Used: 8},
+	is.Equal(l.Reports(start.Add(s.Interval))[0].Lines, []spend.Line{
+		{Stage: "draft", Team: spend.OtherTeams, Used: 8},
 		{Stage: "draft", Team: "0", Used: 1},
 		{Stage: "draft", Team: "1", Used: 1},
 	})
