--- a/share/decide/answer/stage.go
+++ b/share/decide/answer/stage.go
@@ -264,6 +264,7 @@
 	return a, nil
 }
 
+// cancelOthers cancels all open attempts except the winner, or all of them for the zero ID.
 func (s *Stage) cancelOthers(winner ID) []Action {
 	var actions []Action
 	for _, id := range s.listOpen() {
@@ -275,6 +276,7 @@
 	return actions
 }
 
+// listOpen returns the IDs of the open attempts, sorted by attempt number.
 func (s *Stage) listOpen() []ID {
 	var found []ID
 	for id, a := range s.attempts {
--- a/share/decide/queue/queue.go
+++ b/share/decide/queue/queue.go
@@ -86,7 +86,8 @@
 	RetryAfter time.Duration
 }
 
-// Load describes the queue and the running set. The agent publishes it in its expvars under these field names.
+// Load describes the queue and the running set. The agent publishes it in its expvars, under the names
+// of these fields.
 type Load struct {
 	Running int
 	Queued  int
