--- a/share/decide/claim/record.go
+++ b/share/decide/claim/record.go
@@ -126,7 +126,7 @@
 
 func (r Record) check() error {
 	if r.Attempt == "" || r.Agent == "" || r.Incarnation == "" || r.BodyDigest == "" {
-		return ErrClaim.New("the record lacks an attempt, agent, incarnation or body digest")
+		return ErrClaim.New("record without attempt, agent, incarnation or body digest")
 	}
 	switch r.State {
 	case StateClaimed, StateTombstoned:
@@ -138,7 +138,7 @@
 		return nil
 	case StateResolved:
 		if r.ResolvedBy == "" || r.Outcome != codes.OutcomeRan && r.Outcome != codes.OutcomeNotRun {
-			return ErrClaim.New("the record is resolved but has no operator, or an outcome other than ran or not-run")
+			return ErrClaim.New("resolved record without an operator or outcome")
 		}
 		return nil
 	default:
@@ -201,14 +201,14 @@
 // frozen or disconnected, starts the attempt that it still holds.
 func Resolve(current Record, r Resolution, now time.Time) (Record, error) {
 	if current.State != StateClaimed {
-		return current, ErrClaim.New("the claim is already %s; nothing to resolve", current.State)
+		return current, ErrClaim.New("the claim is %s; nothing to resolve", current.State)
 	}
 	if r.Reported == ReportedRunning || r.Reported == ReportedDone {
-		return current, ErrClaim.New("the agent reports the attempt as %s; no need to resolve", r.Reported)
+		return current, ErrClaim.New("the agent says %s; no need to resolve", r.Reported)
 	}
 	mayStillStart := r.Reported == ReportedUnreachable || r.Reported == ReportedBusy
 	if mayStillStart && r.Outcome == codes.OutcomeNotRun && !r.InstanceGone {
-		return current, ErrClaim.New("the agent did not report the attempt's state and may still start it")
+		return current, ErrClaim.New("the agent gives no answer and may still start the attempt")
 	}
 	current.State = StateResolved
 	current.SettledAt = now
--- a/share/decide/claim/submission.go
+++ b/share/decide/claim/submission.go
@@ -126,7 +126,7 @@
 // claimKey writes the own claim over the record at index; index 0 creates the record.
 func (s *Submission) claimKey(now time.Time, index uint64) []Action {
 	if !now.Before(s.request.Deadline) {
-		return s.replyNotRun(codes.DeadlineExceeded, "the deadline passed before the key was claimed")
+		return s.replyNotRun(codes.DeadlineExceeded, "the deadline passed before the claim")
 	}
 	if s.swaps == maxSwaps {
 		return s.replyInProgress()
@@ -172,7 +172,7 @@
 	s.current = own
 	s.heldByOther = false
 	if !now.Before(s.request.Deadline) {
-		actions := s.replyNotRun(codes.DeadlineExceeded, "the deadline passed while the key was being claimed")
+		actions := s.replyNotRun(codes.DeadlineExceeded, "the deadline passed during the claim")
 		return append(actions, s.release(now, own.Index))
 	}
 	s.dispatched = true
@@ -215,7 +215,7 @@
 		return s.replyUnknown()
 	}
 	if s.writeUnknown {
-		return s.replyNotRun(codes.ClaimsUnavailable, "the key-value service did not answer the write of the claim")
+		return s.replyNotRun(codes.ClaimsUnavailable, "the claim's write gave no answer")
 	}
 	return s.claimKey(now, 0)
 }
@@ -224,7 +224,7 @@
 func (s *Submission) handleRecord(now time.Time, stored Stored) []Action {
 	r := stored.Record
 	if r.BodyDigest != s.request.BodyDigest {
-		return s.reply(*codes.NewResult(codes.KeyConflict, "the key was already used with another request body"))
+		return s.reply(*codes.NewResult(codes.KeyConflict, "the key is held with another body"))
 	}
 	s.current = stored
 	s.heldByOther = r.State == StateClaimed && r.Attempt != s.request.Choice.Attempt
@@ -235,7 +235,7 @@
 		return s.handleClaimed(now, stored)
 	case StateResolved:
 		if r.Outcome == codes.OutcomeRan {
-			result := codes.NewResult(codes.OutcomeNotKnown, "the attempt was settled as run by operator "+r.ResolvedBy).WithOutcome(codes.OutcomeRan)
+			result := codes.NewResult(codes.OutcomeNotKnown, "settled as run by "+r.ResolvedBy).WithOutcome(codes.OutcomeRan)
 			return s.reply(*result)
 		}
 	case StateTombstoned:
@@ -260,9 +260,9 @@
 func (s *Submission) reclaim(now time.Time, index uint64) []Action {
 	switch {
 	case s.dispatched:
-		return s.replyNotRun(codes.Tombstoned, "the attempt was abandoned before it started")
+		return s.replyNotRun(codes.Tombstoned, "the attempt was given up on before it started")
 	case s.writeUnknown:
-		return s.replyNotRun(codes.ClaimsUnavailable, "the key-value service did not answer the write of the claim")
+		return s.replyNotRun(codes.ClaimsUnavailable, "the claim's write gave no answer")
 	default:
 		return s.claimKey(now, index)
 	}
