--- a/share/services/follow/fetch.go
+++ b/share/services/follow/fetch.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"verbenaroad.example/share/decide/spread"
+	"verbenaroad.example/share/decide/gossip"
 	"verbenaroad.example/share/models/config"
 	"verbenaroad.example/share/modules/pauses"
 	"verbenaroad.example/share/modules/wire"
@@ -17,10 +17,10 @@
 	answer, err := f.options.Store.ReadHead(ctx)
 	if err != nil {
 		f.countFailedRead(err)
-		f.Tell(spread.ReadFailed{AskedAt: asked})
+		f.Tell(gossip.ReadFailed{RequestedAt: asked})
 		return
 	}
-	f.Tell(spread.HeadSeen{Head: answer.Head, AskedAt: asked})
+	f.Tell(gossip.HeadObserved{Head: answer.Head, RequestedAt: asked})
 }
 
 func (f *Follower) countFailedRead(err error) {
@@ -43,7 +43,7 @@
 		}
 		index = answer.Index
 		// The answer may be as old as the request, so the request's time is the safe one.
-		f.Tell(spread.HeadSeen{Head: answer.Head, AskedAt: answer.AskedAt, Watch: true})
+		f.Tell(gossip.HeadObserved{Head: answer.Head, RequestedAt: answer.AskedAt, FromWatch: true})
 		if index == 0 {
 			pauses.Wait(ctx, watchPause)
 		}
@@ -80,10 +80,10 @@
 	f.lock.Unlock()
 	if err != nil {
 		f.options.Log.Info("fetch-failed", zap.Bool("from-store", fromStore), zap.Error(err))
-		f.Tell(spread.FetchFailed{})
+		f.Tell(gossip.FetchFailed{})
 		return
 	}
-	f.Tell(spread.FetchDone{Loaded: loaded})
+	f.Tell(gossip.FetchDone{Loaded: loaded})
 }
 
 // fetchPeer asks a peer for its manifest and then for the chunks that are missing here.
--- a/share/services/follow/follow.go
+++ b/share/services/follow/follow.go
@@ -1,5 +1,5 @@
 // Package follow keeps a process's configuration in force: it runs the
-// decisions of share/decide/spread against the key-value service and the
+// decisions of share/decide/gossip against the key-value service and the
 // sessions to peers. In: heads, heartbeats, the list of instances. Out: the
 // snapshot that traffic decides under.
 package follow
@@ -14,7 +14,7 @@
 	"github.com/zeebo/errs"
 	"go.uber.org/zap"
 
-	"verbenaroad.example/share/decide/spread"
+	"verbenaroad.example/share/decide/gossip"
 	"verbenaroad.example/share/models/config"
 	"verbenaroad.example/share/modules/codes"
 	"verbenaroad.example/share/modules/wire"
@@ -53,8 +53,8 @@
 	Self string
 	// Domain is its failure domain.
 	Domain   string
-	Settings spread.Settings
-	Pick     spread.Pick
+	Settings gossip.Settings
+	Pick     gossip.Pick
 	Store    Store
 	Peers    Peers
 	Log      *zap.Logger
@@ -83,11 +83,11 @@
 // Follower owns the configuration of one process.
 type Follower struct {
 	options Options
-	events  chan spread.Event
+	events  chan gossip.Event
 
 	lock sync.RWMutex
 	// state is changed by loop only, under lock.
-	state *spread.State
+	state *gossip.State
 	// loaded is nil until the first publish; its revision only rises.
 	loaded *config.Loaded
 	// changed is closed and replaced after each event.
@@ -102,8 +102,8 @@
 func NewFollower(options Options) *Follower {
 	return &Follower{
 		options: options,
-		events:  make(chan spread.Event, eventsBuffer),
-		state:   spread.New(options.Self, options.Settings, options.Pick),
+		events:  make(chan gossip.Event, eventsBuffer),
+		state:   gossip.New(options.Self, options.Settings, options.Pick),
 		changed: make(chan struct{}),
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 // Tell hands an event to the control loop; it is dropped when the loop is far behind, as heartbeats repeat.
-func (f *Follower) Tell(event spread.Event) {
+func (f *Follower) Tell(event gossip.Event) {
 	select {
 	case f.events <- event:
 	default:
@@ -150,9 +150,9 @@
 	for {
 		use, snapshot, changed := f.look()
 		switch use {
-		case spread.UseServing:
+		case gossip.StatusServing:
 			return snapshot, nil
-		case spread.UseRefuse:
+		case gossip.StatusStale:
 			return nil, codes.NewResult(codes.StaleConfig, "no contact for longer than stale-after").WithRetryAfter(confirmWait)
 		}
 		left := time.Until(limit)
@@ -173,10 +173,10 @@
 	return codes.NewResult(codes.Canceled, "caller went away").WithOutcome(codes.OutcomeNotRun)
 }
 
-func (f *Follower) look() (spread.Use, *config.Snapshot, <-chan struct{}) {
+func (f *Follower) look() (gossip.Status, *config.Snapshot, <-chan struct{}) {
 	f.lock.RLock()
 	defer f.lock.RUnlock()
-	use := f.state.Usable(time.Now())
+	use := f.state.Status(time.Now())
 	if f.loaded == nil {
 		return use, nil, f.changed
 	}
@@ -238,7 +238,7 @@
 func (f *Follower) loop(ctx context.Context) {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
-	f.handle(ctx, spread.Tick{Random: rand.Float64()}) //nolint:gosec // jitter need not be unguessable
+	f.handle(ctx, gossip.Tick{Random: rand.Float64()}) //nolint:gosec // jitter need not be unguessable
 	for {
 		select {
 		case <-ctx.Done():
@@ -246,17 +246,17 @@
 		case event := <-f.events:
 			f.handle(ctx, event)
 		case <-ticker.C:
-			f.handle(ctx, spread.Tick{Random: rand.Float64()}) //nolint:gosec // jitter need not be unguessable
+			f.handle(ctx, gossip.Tick{Random: rand.Float64()}) //nolint:gosec // jitter need not be unguessable
 		}
 	}
 }
 
-func (f *Follower) handle(ctx context.Context, event spread.Event) {
+func (f *Follower) handle(ctx context.Context, event gossip.Event) {
 	started := time.Now()
 	f.lock.Lock()
 	actions := f.state.Handle(event, started)
 	for _, action := range actions {
-		if publish, ok := action.(spread.Publish); ok {
+		if publish, ok := action.(gossip.Publish); ok {
 			f.loaded = publish.Loaded
 			f.counts.Published++
 			f.options.Log.Info("configuration-in-force", zap.Uint64("revision", publish.Loaded.Place.Revision))
@@ -271,19 +271,19 @@
 	}
 }
 
-func (f *Follower) act(ctx context.Context, action spread.Action) {
+func (f *Follower) act(ctx context.Context, action gossip.Action) {
 	switch a := action.(type) {
-	case spread.PollStore:
+	case gossip.PollStore:
 		go f.runPoll(ctx)
-	case spread.FetchFromStore:
+	case gossip.FetchFromStore:
 		go f.runFetchStore(ctx)
-	case spread.FetchFromPeer:
+	case gossip.FetchFromPeer:
 		go f.runFetchPeer(ctx, a.Peer)
-	case spread.StartWatch:
+	case gossip.StartWatch:
 		watch, cancel := context.WithCancel(ctx)
 		f.stopWatch = cancel
 		go f.loopWatch(watch)
-	case spread.StopWatch:
+	case gossip.StopWatch:
 		if f.stopWatch != nil {
 			f.stopWatch()
 		}
--- a/share/services/follow/meter_test.go
+++ b/share/services/follow/meter_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"verbenaroad.example/share/decide/spread"
+	"verbenaroad.example/share/decide/gossip"
 	"verbenaroad.example/share/modules/rhash"
 	"verbenaroad.example/share/modules/wire"
 	"verbenaroad.example/share/services/follow"
@@ -14,7 +14,7 @@
 
 func TestCountsOfControlWork(t *testing.T) {
 	is := is.New(t)
-	f := follow.NewFollower(follow.Options{Self: "entry-1", Settings: spread.DefaultSettings(), Pick: rhash.Pick})
+	f := follow.NewFollower(follow.Options{Self: "entry-1", Settings: gossip.DefaultSettings(), Pick: rhash.Pick})
 	f.NewBeat(false)
 	f.OnPeerBeat("agent-1", &wire.Beat{}, time.Time{})
 	f.OnPeerBeat("agent-1", &wire.Beat{}, time.Time{})
--- a/share/services/follow/watch.go
+++ b/share/services/follow/watch.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"verbenaroad.example/share/decide/spread"
+	"verbenaroad.example/share/decide/gossip"
 	"verbenaroad.example/share/models/config"
 	"verbenaroad.example/share/models/member"
 	"verbenaroad.example/share/modules/wire"
@@ -15,7 +15,7 @@
 // OnPeerBeat takes what a peer's heartbeat says of its configuration.
 func (f *Follower) OnPeerBeat(peer string, beat *wire.Beat, notBefore time.Time) {
 	f.meter.beatsReceived.Add(1)
-	f.Tell(spread.PeerBeat{
+	f.Tell(gossip.PeerReport{
 		Peer:         peer,
 		Revision:     beat.GetRevision(),
 		ConfirmedAge: time.Duration(beat.GetConfirmedAgeNanos()),
@@ -31,7 +31,7 @@
 	if call.GetRevision() <= known {
 		return
 	}
-	f.Tell(spread.PeerBeat{
+	f.Tell(gossip.PeerReport{
 		Peer:         peer,
 		Revision:     call.GetRevision(),
 		ConfirmedAge: time.Duration(call.GetConfirmedAgeNanos()),
@@ -45,12 +45,12 @@
 	if revision <= known {
 		return
 	}
-	f.Tell(spread.PeerBeat{Peer: peer, Revision: revision, ConfirmedAge: neverConfirmed})
+	f.Tell(gossip.PeerReport{Peer: peer, Revision: revision, ConfirmedAge: neverConfirmed})
 }
 
 // OnPeerGone notes that the session with a peer ended.
 func (f *Follower) OnPeerGone(peer string) {
-	f.Tell(spread.PeerGone{Peer: peer})
+	f.Tell(gossip.PeerDisconnected{Peer: peer})
 }
 
 // OnInstances takes the list and passes on the instances of the own failure domain, which share its watches.
@@ -63,7 +63,7 @@
 			names = append(names, instance.Name)
 		}
 	}
-	f.Tell(spread.Listed{Domain: names})
+	f.Tell(gossip.InstancesListed{DomainInstances: names})
 }
 
 // NewBeat returns the heartbeat of this process, without a load report.
@@ -80,5 +80,5 @@
 // was back. The one that made the change has every part, and its peers take it
 // from there.
 func (f *Follower) Adopt(loaded *config.Loaded) {
-	f.Tell(spread.FetchDone{Loaded: loaded})
+	f.Tell(gossip.FetchDone{Loaded: loaded})
 }
--- a/share/services/procs/procs.go
+++ b/share/services/procs/procs.go
@@ -9,7 +9,7 @@
 	"github.com/zeebo/errs"
 	"go.uber.org/zap"
 
-	"verbenaroad.example/share/decide/spread"
+	"verbenaroad.example/share/decide/gossip"
 	"verbenaroad.example/share/modules/link"
 	"verbenaroad.example/share/modules/rhash"
 	"verbenaroad.example/share/modules/wire"
@@ -30,7 +30,7 @@
 	return follow.NewFollower(follow.Options{
 		Self:     name,
 		Domain:   domain,
-		Settings: spread.DefaultSettings(),
+		Settings: gossip.DefaultSettings(),
 		Pick:     rhash.Pick,
 		Store:    store.NewReader(port, store.DefaultPrefix),
 		Peers:    peers,
