--- a/entry/services/change/change.go
+++ b/entry/services/change/change.go
@@ -71,10 +71,10 @@
 		return head.Answer{Verdict: head.VerdictInvalid, Problems: problems}
 	}
 	answer := s.submit(ctx, o.Author, head.Submission{
-		Change: o.ChangeID,
-		Patch:  patch,
-		Base:   o.Base,
-		DryRun: o.DryRun,
+		ChangeID: o.ChangeID,
+		Patch:    patch,
+		Base:     o.Base,
+		DryRun:   o.DryRun,
 	})
 	if len(answer.Problems) > 0 {
 		answer.Problems = config.NewSource(admapi.BodyName, o.Text).Locate(answer.Problems)
@@ -88,7 +88,7 @@
 func (s *Service) submit(ctx context.Context, author Author, submission head.Submission) head.Answer {
 	submission.Operator = author.Operator
 	submission.TokenSHA256 = author.TokenSHA256
-	submission.First = author.First
+	submission.Bootstrap = author.First
 	submission.InForce = s.inForce.GetLoaded()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), defaultTimeout)
 	defer cancel()
@@ -114,10 +114,10 @@
 		base = loaded.Place.Revision
 	}
 	return s.submit(ctx, author, head.Submission{
-		Change: l.ChangeID,
-		Patch:  patch,
-		Base:   base,
-		Digest: digestLabels(l),
+		ChangeID: l.ChangeID,
+		Patch:    patch,
+		Base:     base,
+		Digest:   digestLabels(l),
 	})
 }
 
--- a/entry/services/change/drain.go
+++ b/entry/services/change/drain.go
@@ -54,7 +54,7 @@
 // SetDrain drains an agent or lets it in again.
 func (d *DrainService) SetDrain(ctx context.Context, author Author, instance string, c admapi.DrainChange) head.Answer {
 	rule := DrainRule(instance)
-	submission := head.Submission{Change: c.ChangeID}
+	submission := head.Submission{ChangeID: c.ChangeID}
 	if c.Undo {
 		submission.Patch.Remove = []config.Reference{{Kind: config.KindRule, Name: rule.Name}}
 		return d.changes.submit(ctx, author, submission)
--- a/share/decide/head/head.go
+++ b/share/decide/head/head.go
@@ -1,5 +1,5 @@
-// Package head decides how a writer moves the configuration's head by
-// compare-and-swap. A writer serves one change; it is pure and does no I/O.
+// Package head decides how a change updates the configuration's head in the store (the platform's
+// key-value service) by compare-and-swap. One Writer serves one change. The package does no I/O.
 package head
 
 import (
@@ -8,132 +8,138 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// maxAttempts bounds the reads and the swaps of one submission while the
-// key-value service doesn't answer.
+// maxAttempts limits the consecutive reads and the swaps of one submission when the store does not
+// respond.
 const maxAttempts = 3
 
-// lossMargin is skipped after a loss of data, since other processes may have
-// adopted revisions that this one had not heard of.
-const lossMargin = 1000
+// dataLossMargin is the number of revisions that are skipped after the store lost data, because
+// other processes may have adopted revisions that this process does not know.
+const dataLossMargin = 1000
 
-// Verdict is what a writer tells the operator.
+// Verdict is the result of a submission as reported to the operator.
 type Verdict string
 
 // The verdicts.
 const (
-	// VerdictAccepted means that the head moved under this change id.
+	// VerdictAccepted means that the head was updated with this change ID.
 	VerdictAccepted Verdict = "accepted"
-	// VerdictChecked means that a dry run passed; nothing was written.
+	// VerdictChecked means that a dry run passed the checks; nothing was written.
 	VerdictChecked Verdict = "checked"
 	// VerdictConflict means that another change came first; this one never takes effect.
 	VerdictConflict Verdict = "conflict"
-	// VerdictInvalid means that the checks refused the change.
+	// VerdictInvalid means that the change failed the checks.
 	VerdictInvalid Verdict = "invalid"
-	// VerdictForbidden means that the operator may no longer change anything.
+	// VerdictForbidden means that the operator is no longer allowed to make changes.
 	VerdictForbidden Verdict = "forbidden"
-	// VerdictUnavailable means that this submission asked for no swap, since the service did not answer.
+	// VerdictUnavailable means that the store did not respond and this submission requested no
+	// swap.
 	VerdictUnavailable Verdict = "unavailable"
-	// VerdictUnknown means that a swap may have taken or may still take effect.
+	// VerdictUnknown means that a swap may have taken effect or may still do so.
 	VerdictUnknown Verdict = "unknown"
 )
 
-// Submission is one change as the operator sent it.
+// Submission is one change as an operator submitted it.
 type Submission struct {
-	// Change is the operator's id of the change; the same id is accepted at most once.
-	Change   string
+	// ChangeID is the operator's ID of the change; a change with the same ID is accepted at most
+	// once.
+	ChangeID string
 	Operator string
 	Patch    config.Patch
-	// Base is the revision that the change was made for; 0: the one found first.
+	// Base is the revision that the change was made for; 0: the current one when the head is first
+	// read.
 	Base   uint64
 	DryRun bool
-	// First refuses the change unless no configuration exists: a bootstrap
-	// operator's rights end with the first change, also where the process that
-	// checked the token has not heard of it yet.
-	First bool
-	// Digest stands in for that of Patch where the patch was worked out from
-	// the configuration and would differ when asked again; empty: the patch's.
+	// Bootstrap means that the change is accepted only if no configuration exists. The bootstrap
+	// token is valid only for the first change, even if the process that checked it has not
+	// received that change yet.
+	Bootstrap bool
+	// Digest replaces the digest of Patch if the patch was computed from the configuration and
+	// would differ in a retry; empty: the digest of Patch.
 	Digest config.Hash
-	// TokenSHA256 must belong to an operator of role change in the very
-	// configuration that the change is made on; empty: not checked.
+	// TokenSHA256 must belong to an operator with the role change in the configuration that the
+	// change is applied to; empty: not checked.
 	TokenSHA256 string
-	// InForce is the configuration of the process that submits; nil: none. It
-	// stands in for the head where the key-value service lost its data.
+	// InForce is the configuration in force in the submitting process; nil: none. The change is
+	// applied to it instead of the head if the store lost its data.
 	InForce *config.Loaded
 }
 
-// Event is something that happened to a writer.
+// Event is an input of Writer.Handle.
 type Event interface{ isEvent() }
 
-// Started begins the submission; it is the first event.
+// Started is the first event of a submission.
 type Started struct{}
 
-// Fetched brings what the key-value service holds.
-type Fetched struct {
-	// Index is the service's index of the head's key; 0 where there is no head.
+// ReadDone carries the result of ReadHead.
+type ReadDone struct {
+	// Index is the store's index of the head's key; 0 if there is no head.
 	Index uint64
 	Head  config.Head
-	// Loaded is the configuration of Head; nil where there is none.
+	// Loaded is the configuration of Head; nil if there is none.
 	Loaded *config.Loaded
-	// Base is the configuration of the revision asked for; nil where it is no longer known.
+	// Base is the configuration of the requested base revision; nil if it is no longer known.
 	Base *config.Loaded
 }
 
-// FetchFailed means that no answer came to a read.
-type FetchFailed struct{}
+// ReadFailed means that ReadHead got no response.
+type ReadFailed struct{}
 
-// ChunksWritten means that every value of the plan is stored.
+// ChunksWritten means that the store has every chunk of WriteChunks.
 type ChunksWritten struct{}
 
-// ChunksFailed means that some value may not be stored.
-type ChunksFailed struct{}
+// ChunkWriteFailed means that the store may lack a chunk of WriteChunks.
+type ChunkWriteFailed struct{}
 
-// SwapOutcome is what the service answered to a compare-and-swap.
+// SwapOutcome is the outcome of a compare-and-swap as observed by the writer.
 type SwapOutcome string
 
 // The outcomes of a swap.
 const (
-	SwapDone    SwapOutcome = "done"
-	SwapLost    SwapOutcome = "lost"
+	SwapDone SwapOutcome = "done"
+	SwapLost SwapOutcome = "lost"
+	// SwapUnknown means that no response came: the swap may have taken effect or may still do so.
 	SwapUnknown SwapOutcome = "unknown"
 )
 
-// SwapAnswered brings the outcome of SwapHead.
-type SwapAnswered struct{ Outcome SwapOutcome }
+// SwapResult carries the outcome of SwapHead.
+type SwapResult struct{ Outcome SwapOutcome }
 
-func (Started) isEvent()       {}
-func (Fetched) isEvent()       {}
-func (FetchFailed) isEvent()   {}
-func (ChunksWritten) isEvent() {}
-func (ChunksFailed) isEvent()  {}
-func (SwapAnswered) isEvent()  {}
+func (Started) isEvent()          {}
+func (ReadDone) isEvent()         {}
+func (ReadFailed) isEvent()       {}
+func (ChunksWritten) isEvent()    {}
+func (ChunkWriteFailed) isEvent() {}
+func (SwapResult) isEvent()       {}
 
-// Action is what the shell has to do next.
+// Action is an output of Writer.Handle that the caller must carry out.
 type Action interface{ isAction() }
 
-// ReadHead asks for a consistent read of the head and its configuration, and
-// for the configuration of revision Base where it is not 0.
+// ReadHead requests a consistent read of the head and its configuration, and also the configuration
+// of revision Base unless that is 0.
 type ReadHead struct{ Base uint64 }
 
-// WriteChunks asks to store values under their hashes.
-type WriteChunks struct{ Values []config.Chunk }
+// WriteChunks requests that the chunks be stored under their hashes.
+type WriteChunks struct{ Chunks []config.Chunk }
 
-// SwapHead asks to put Record in the place of the head that has Index.
+// SwapHead requests that the head be replaced by Record if its index is still Index.
 type SwapHead struct {
 	Index  uint64
 	Record []byte
 }
 
-// Answer ends the submission.
+// Answer is the last action of a submission and carries its result.
 type Answer struct {
 	Verdict Verdict
-	// Revision is the accepted one, or the winner's on conflict; 0 where none is known.
+	// Revision is the accepted revision, the winner's on a conflict, the earlier change's if the
+	// change ID was reused, or else the one that the change was checked against; 0: not known.
 	Revision uint64
 	Problems []config.Problem
-	// Changes is the submission's own effect, or on conflict what others changed since the base.
+	// Changes lists what this submission changes, or on a conflict what others changed since the
+	// base.
 	Changes []config.Change
 	Detail  string
-	// Loaded is the whole accepted configuration where this submission's own swap
-	// is known to have moved the head; nil otherwise.
+	// Loaded is the complete accepted configuration if this submission's own swap is known to have
+	// updated the head; nil otherwise.
 	Loaded *config.Loaded
 }
 
@@ -142,25 +148,27 @@
 func (SwapHead) isAction()    {}
 func (Answer) isAction()      {}
 
-// Writer is the state of one submission.
+// Writer is the state machine of one submission.
 type Writer struct {
 	submission Submission
 	digest     config.Hash
-	// base is the configuration that the change was worked out against.
+	// base is the configuration that the change is applied to.
 	base *config.Loaded
 	plan *config.Plan
-	// swap is what was or will be asked for; its Index never changes once sent.
+	// swap is the swap of the plan; it is set once, so that every attempt names the same index
+	// and record.
 	swap SwapHead
-	// next is the place that the swap leads to.
-	next config.Place
-	// doubtful is set once a swap was sent whose outcome is unknown.
-	doubtful bool
-	reads    int
-	swaps    int
-	answered bool
+	// nextVersion is the version of the configuration after the swap.
+	nextVersion config.Place
+	// outcomeUnknown is set once the outcome of a swap is unknown.
+	outcomeUnknown bool
+	// readAttempts counts the reads since the last one that succeeded.
+	readAttempts int
+	swapAttempts int
+	answered     bool
 }
 
-// NewWriter returns the writer of a submission.
+// NewWriter returns a writer for one submission.
 func NewWriter(s Submission) *Writer {
 	digest := s.Digest
 	if digest == "" {
@@ -169,7 +177,7 @@
 	return &Writer{submission: s, digest: digest}
 }
 
-// Handle takes an event and returns what to do; nothing follows an Answer.
+// Handle applies an event and returns the actions to carry out; none follow an Answer.
 func (w *Writer) Handle(event Event, now time.Time) []Action {
 	if w.answered {
 		return nil
@@ -177,24 +185,24 @@
 	switch e := event.(type) {
 	case Started:
 		return w.read(w.submission.Base)
-	case Fetched:
-		return w.handleHead(e, now)
-	case FetchFailed:
-		return w.handleHeadFailed()
+	case ReadDone:
+		return w.handleReadDone(e, now)
+	case ReadFailed:
+		return w.handleReadFailed()
 	case ChunksWritten:
-		w.swaps++
+		w.swapAttempts++
 		return []Action{w.swap}
-	case ChunksFailed:
+	case ChunkWriteFailed:
 		return w.answer(Answer{Verdict: VerdictUnavailable, Detail: "the configuration's parts could not be stored; the head was not asked to move"})
-	case SwapAnswered:
-		return w.handleSwap(e.Outcome)
+	case SwapResult:
+		return w.handleSwapResult(e.Outcome)
 	default:
 		return nil
 	}
 }
 
 func (w *Writer) read(base uint64) []Action {
-	w.reads++
+	w.readAttempts++
 	return []Action{ReadHead{Base: base}}
 }
 
@@ -203,94 +211,94 @@
 	return []Action{a}
 }
 
-func (w *Writer) handleHead(e Fetched, now time.Time) []Action {
-	w.reads = 0
-	move := e.Head.FindMove(w.submission.Change)
-	if move != nil {
-		return w.answerMove(move)
+func (w *Writer) handleReadDone(e ReadDone, now time.Time) []Action {
+	w.readAttempts = 0
+	accepted := e.Head.FindMove(w.submission.ChangeID)
+	if accepted != nil {
+		return w.answerKnownChange(accepted)
 	}
 	if w.plan == nil {
-		return w.begin(e, now)
+		return w.planChange(e, now)
 	}
 	if e.Index != w.swap.Index {
-		// The head moved on without this change. Its swap names an index that
-		// is gone, so that even a late one cannot take effect: the conflict is final.
+		// The head was updated without this change. The swap names the previous index, so it cannot
+		// take effect any more, however late it arrives: the conflict is final.
 		return w.answerConflict(e)
 	}
-	return w.swapAgain()
+	return w.retrySwap()
 }
 
-// answerMove tells the verdict of a change that the head remembers, be it
-// from this submission's lost answer or from an earlier submission.
-func (w *Writer) answerMove(move *config.Move) []Action {
-	if move.Digest != w.digest {
+// answerKnownChange answers for a change ID that the head's history already contains: either the
+// response to this submission's swap was lost, or an earlier submission had the same ID.
+func (w *Writer) answerKnownChange(accepted *config.Move) []Action {
+	if accepted.Digest != w.digest {
 		return w.answer(Answer{
 			Verdict:  VerdictInvalid,
-			Revision: move.Revision,
+			Revision: accepted.Revision,
 			Problems: []config.Problem{{Field: "change-id", Detail: "was used for other documents"}},
 		})
 	}
-	a := Answer{Verdict: VerdictAccepted, Revision: move.Revision}
+	a := Answer{Verdict: VerdictAccepted, Revision: accepted.Revision}
 	if w.plan != nil {
 		a.Changes = w.plan.Changes
 	}
 	return w.answer(a)
 }
 
-func (w *Writer) begin(e Fetched, now time.Time) []Action {
-	if w.submission.First && e.Index != 0 {
+func (w *Writer) planChange(e ReadDone, now time.Time) []Action {
+	if w.submission.Bootstrap && e.Index != 0 {
 		return w.answer(Answer{Verdict: VerdictConflict, Revision: e.Head.Revision, Detail: "a configuration exists; the bootstrap token no longer counts"})
 	}
-	last, lost := e.Head, w.isLost(e.Head)
+	current, dataLost := e.Head, w.hasStoreLostData(e.Head)
 	w.base = e.Loaded
-	if lost {
-		last.Place = w.submission.InForce.Place
+	if dataLost {
+		current.Place = w.submission.InForce.Place
 		w.base = w.submission.InForce
 	}
-	if !w.mayChange(w.base) {
-		return w.answer(Answer{Verdict: VerdictForbidden, Revision: last.Revision, Detail: "the operator may no longer change anything"})
+	if !w.isOperatorAllowed(w.base) {
+		return w.answer(Answer{Verdict: VerdictForbidden, Revision: current.Revision, Detail: "the operator may no longer change anything"})
 	}
-	if w.submission.Base != 0 && w.submission.Base != last.Revision {
+	if w.submission.Base != 0 && w.submission.Base != current.Revision {
 		w.base = e.Base
 		return w.answerConflict(e)
 	}
 	plan, problems := config.NewPlan(w.base, w.submission.Patch)
 	if len(problems) > 0 {
-		return w.answer(Answer{Verdict: VerdictInvalid, Revision: last.Revision, Problems: problems})
+		return w.answer(Answer{Verdict: VerdictInvalid, Revision: current.Revision, Problems: problems})
 	}
 	if w.submission.DryRun {
-		return w.answer(Answer{Verdict: VerdictChecked, Revision: last.Revision, Changes: plan.Changes})
+		return w.answer(Answer{Verdict: VerdictChecked, Revision: current.Revision, Changes: plan.Changes})
 	}
 	w.plan = plan
-	values := plan.Values()
-	if lost {
-		last.Revision += lossMargin
-		values = plan.AllValues()
+	chunks := plan.Values()
+	if dataLost {
+		current.Revision += dataLossMargin
+		chunks = plan.AllValues()
 	}
-	head := last.Next(plan.Next.Place.Manifest, w.digest, w.submission.Change, w.submission.Operator, now)
-	w.next = head.Place
+	head := current.Next(plan.Next.Place.Manifest, w.digest, w.submission.ChangeID, w.submission.Operator, now)
+	w.nextVersion = head.Place
 	w.swap = SwapHead{Index: e.Index, Record: head.Encode()}
-	return []Action{WriteChunks{Values: values}}
+	return []Action{WriteChunks{Chunks: chunks}}
 }
 
-// isLost guards against a service that lost its data or was put back to an
-// older state. It shows as a head below the revision in force here, which
-// cannot be otherwise: a process adopts only what the head held, and heads
-// rise. The change is then made on the configuration in force, with all of its
-// parts, so that accepted changes don't revert.
-func (w *Writer) isLost(head config.Head) bool {
+// hasStoreLostData reports whether the store lost its data or was restored to an older state. Only
+// then can the head be below the revision in force here, because a process adopts only revisions
+// that the head had, and the head's revision only increases. The change is then applied to the
+// configuration in force and all its chunks are written, so that accepted changes are not reverted.
+func (w *Writer) hasStoreLostData(head config.Head) bool {
 	return w.submission.InForce != nil && head.Revision < w.submission.InForce.Place.Revision
 }
 
-// mayChange guards against a process that has not heard of an operator's
-// removal and still takes the token: the change would be put on top of the
-// very configuration that removed the operator. The swap names that
-// configuration's index, so that a removal after this check makes it fail.
-func (w *Writer) mayChange(l *config.Loaded) bool {
-	if w.submission.TokenSHA256 == "" || l == nil {
+// isOperatorAllowed reports whether the operator may still make changes in the configuration that
+// the change is applied to. A process that has not received the operator's removal yet still
+// accepts the token; without this check the change would be applied on top of the configuration
+// that removed the operator. The swap names the index of that configuration, so a removal after
+// this check makes it fail.
+func (w *Writer) isOperatorAllowed(loaded *config.Loaded) bool {
+	if w.submission.TokenSHA256 == "" || loaded == nil {
 		return true
 	}
-	for _, o := range l.Snapshot.Set.Operators {
+	for _, o := range loaded.Snapshot.Set.Operators {
 		if o.TokenSHA256 == w.submission.TokenSHA256 {
 			return o.Role == config.RoleChange
 		}
@@ -298,7 +306,7 @@
 	return false
 }
 
-func (w *Writer) answerConflict(e Fetched) []Action {
+func (w *Writer) answerConflict(e ReadDone) []Action {
 	a := Answer{Verdict: VerdictConflict, Revision: e.Head.Revision}
 	if w.base == nil && w.submission.Base != 0 {
 		a.Detail = "the base revision is no longer known, so what changed since cannot be told"
@@ -315,21 +323,23 @@
 	return w.answer(a)
 }
 
-func (w *Writer) handleHeadFailed() []Action {
-	if w.reads < maxAttempts {
+func (w *Writer) handleReadFailed() []Action {
+	if w.readAttempts < maxAttempts {
 		return w.read(w.baseToRead())
 	}
-	if w.doubtful {
+	if w.outcomeUnknown {
 		return w.answerUnknown()
 	}
-	if w.swaps > 0 {
-		// The swap was answered as lost: the change cannot take effect, only the winner isn't known.
+	if w.swapAttempts > 0 {
+		// Every swap was answered as lost, so the change cannot take effect; only the winner is
+		// unknown.
 		return w.answer(Answer{Verdict: VerdictConflict, Detail: "another change came first; which could not be read"})
 	}
 	return w.answer(Answer{Verdict: VerdictUnavailable, Detail: "the key-value service does not answer; nothing was asked to change"})
 }
 
-// baseToRead asks for the base only as long as it can still be needed.
+// baseToRead returns the base revision to read, or 0 once the change is planned and its base is not
+// needed any more.
 func (w *Writer) baseToRead() uint64 {
 	if w.plan != nil {
 		return 0
@@ -337,43 +347,43 @@
 	return w.submission.Base
 }
 
-// loadNext returns the accepted configuration at its place. Every part is at hand, since it was just written.
+// loadNext returns the accepted configuration. All its chunks are already loaded in the plan.
 func (w *Writer) loadNext() *config.Loaded {
-	loaded, err := config.Load(w.plan.Next, w.next, w.plan.Manifest, nil)
+	loaded, err := config.Load(w.plan.Next, w.nextVersion, w.plan.Manifest, nil)
 	if err != nil {
-		return nil // the process fetches it as others do
+		return nil // the process then fetches the configuration like all others
 	}
 	return loaded
 }
 
-func (w *Writer) handleSwap(outcome SwapOutcome) []Action {
+func (w *Writer) handleSwapResult(outcome SwapOutcome) []Action {
 	switch outcome {
 	case SwapDone:
 		return w.answer(Answer{
 			Verdict:  VerdictAccepted,
-			Revision: w.next.Revision,
+			Revision: w.nextVersion.Revision,
 			Changes:  w.plan.Changes,
 			Loaded:   w.loadNext(),
 		})
 	case SwapLost:
-		// After a doubtful swap the loss may be to that one's own late effect,
-		// so the head's moves decide and not this answer.
+		// If the outcome of an earlier attempt is unknown, this one may have lost to that attempt's
+		// late effect. The head's history therefore decides, not this outcome.
 		return w.read(0)
 	default:
-		// The answer was lost, before or after the effect: the head tells.
-		w.doubtful = true
+		// The swap may or may not have taken effect; the head's history shows which.
+		w.outcomeUnknown = true
 		return w.read(0)
 	}
 }
 
-// swapAgain repeats the very same swap after an unknown outcome. It names the
-// same index and record, so that at most one of the two takes effect and no
-// change of another writer can be overwritten.
-func (w *Writer) swapAgain() []Action {
-	if w.swaps >= maxAttempts {
+// retrySwap requests the same swap again after an unknown outcome. It names the same index and
+// record, so that at most one of the attempts takes effect and no other writer's change is
+// overwritten.
+func (w *Writer) retrySwap() []Action {
+	if w.swapAttempts >= maxAttempts {
 		return w.answerUnknown()
 	}
-	w.swaps++
+	w.swapAttempts++
 	return []Action{w.swap}
 }
 
--- a/share/decide/head/head_test.go
+++ b/share/decide/head/head_test.go
@@ -12,26 +12,29 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// world is the key-value service's head with the writers that race for it.
+// world simulates the head in the store and the clients that compete to update it.
 type world struct {
-	index   uint64
-	head    config.Head
-	loaded  *config.Loaded
-	history map[uint64]*config.Loaded
-	// chain holds the change ids of all heads, in order.
-	chain []string
-	// late holds swaps that were sent, unanswered, and may still take effect.
-	late    []head.SwapHead
-	writers []*session
-	pending map[string]*config.Loaded
+	// index is the store's index of the head's key; 0 while there is no head.
+	index  uint64
+	head   config.Head
+	loaded *config.Loaded
+	// byRevision holds the configuration of each revision.
+	byRevision map[uint64]*config.Loaded
+	// acceptedChangeIDs holds the change IDs of all updates of the head, in order.
+	acceptedChangeIDs []string
+	// lateSwaps holds swaps that got no response and may still take effect.
+	lateSwaps []head.SwapHead
+	clients   []*client
+	// planned maps the record of a swap to the configuration that it leads to.
+	planned map[string]*config.Loaded
 }
 
-// session is a writer with the action that it waits for.
-type session struct {
-	submission head.Submission
-	writer     *head.Writer
-	next       head.Action
-	answer     *head.Answer
+// client is a writer with the action whose result it waits for.
+type client struct {
+	submission    head.Submission
+	writer        *head.Writer
+	pendingAction head.Action
+	answer        *head.Answer
 }
 
 func start() time.Time {
@@ -48,35 +51,35 @@
 
 func newSubmission(change string, base uint64, price float64) head.Submission {
 	patch := config.Patch{Set: config.Set{Pools: []config.Pool{newPool("gpu", price)}, Operators: []config.Operator{newOperator()}}}
-	return head.Submission{Change: change, Operator: "ana", Patch: patch, Base: base}
+	return head.Submission{ChangeID: change, Operator: "ana", Patch: patch, Base: base}
 }
 
 func newWorld() *world {
-	return &world{history: map[uint64]*config.Loaded{}, pending: map[string]*config.Loaded{}}
+	return &world{byRevision: map[uint64]*config.Loaded{}, planned: map[string]*config.Loaded{}}
 }
 
-func (w *world) submit(s head.Submission) *session {
-	n := &session{submission: s, writer: head.NewWriter(s)}
-	w.writers = append(w.writers, n)
-	w.feed(n, head.Started{})
-	return n
+func (w *world) submit(s head.Submission) *client {
+	c := &client{submission: s, writer: head.NewWriter(s)}
+	w.clients = append(w.clients, c)
+	w.deliver(c, head.Started{})
+	return c
 }
 
-// feed hands an event to a writer and keeps what it wants next.
-func (w *world) feed(s *session, event head.Event) {
-	s.next = nil
-	for _, action := range s.writer.Handle(event, start()) {
+// deliver passes an event to a client's writer and keeps the action that follows.
+func (w *world) deliver(c *client, event head.Event) {
+	c.pendingAction = nil
+	for _, action := range c.writer.Handle(event, start()) {
 		switch a := action.(type) {
 		case head.Answer:
-			s.answer = &a
+			c.answer = &a
 		default:
-			s.next = a
+			c.pendingAction = a
 		}
 	}
 }
 
-// swap takes effect when the index still stands.
-func (w *world) swap(swap head.SwapHead) bool {
+// applySwap updates the head if the index of the swap is still current, and reports whether it did.
+func (w *world) applySwap(swap head.SwapHead) bool {
 	if swap.Index != w.index {
 		return false
 	}
@@ -84,44 +87,46 @@
 	if err != nil {
 		panic(err)
 	}
-	loaded := w.pending[string(swap.Record)]
+	loaded := w.planned[string(swap.Record)]
 	w.index += 3
 	w.head = next
 	w.loaded = loaded
-	w.history[next.Revision] = loaded
-	w.chain = append(w.chain, next.Moves[0].Change)
+	w.byRevision[next.Revision] = loaded
+	w.acceptedChangeIDs = append(w.acceptedChangeIDs, next.Moves[0].Change)
 	return true
 }
 
-// step carries out the action a writer waits for; fault says how it goes wrong.
-func (w *world) step(s *session, fault string) {
-	switch a := s.next.(type) {
+// step carries out the action that a client waits for; a fault other than "" makes it fail in that
+// way.
+func (w *world) step(c *client, fault string) {
+	switch a := c.pendingAction.(type) {
 	case head.ReadHead:
 		if fault != "" {
-			w.feed(s, head.FetchFailed{})
+			w.deliver(c, head.ReadFailed{})
 			return
 		}
-		w.feed(s, head.Fetched{Index: w.index, Head: w.head, Loaded: w.loaded, Base: w.history[a.Base]})
+		w.deliver(c, head.ReadDone{Index: w.index, Head: w.head, Loaded: w.loaded, Base: w.byRevision[a.Base]})
 	case head.WriteChunks:
 		if fault != "" {
-			w.feed(s, head.ChunksFailed{})
+			w.deliver(c, head.ChunkWriteFailed{})
 			return
 		}
 		base := w.loaded
-		w.feed(s, head.ChunksWritten{})
-		w.remember(s, base)
+		w.deliver(c, head.ChunksWritten{})
+		w.storePlanned(c, base)
 	case head.SwapHead:
-		w.stepSwap(s, a, fault)
+		w.stepSwap(c, a, fault)
 	}
 }
 
-// remember keeps what a record leads to; only a swap on the same index uses it.
-func (w *world) remember(s *session, base *config.Loaded) {
-	swap, ok := s.next.(head.SwapHead)
+// storePlanned keeps the configuration that the record of the client's swap leads to. It is used
+// only if the head is still at the same index when the swap takes effect.
+func (w *world) storePlanned(c *client, base *config.Loaded) {
+	swap, ok := c.pendingAction.(head.SwapHead)
 	if !ok {
 		return
 	}
-	plan, _ := config.NewPlan(base, s.submission.Patch)
+	plan, _ := config.NewPlan(base, c.submission.Patch)
 	next, err := config.DecodeHead(swap.Record)
 	if err != nil || plan == nil {
 		return
@@ -129,39 +134,39 @@
 	loaded := *plan.Next
 	loaded.Place = next.Place
 	if loaded.Place.Manifest == plan.Next.Place.Manifest {
-		w.pending[string(swap.Record)] = &loaded
+		w.planned[string(swap.Record)] = &loaded
 	}
 }
 
-func (w *world) stepSwap(s *session, swap head.SwapHead, fault string) {
+func (w *world) stepSwap(c *client, swap head.SwapHead, fault string) {
 	switch fault {
 	case "":
-		if w.swap(swap) {
-			w.feed(s, head.SwapAnswered{Outcome: head.SwapDone})
+		if w.applySwap(swap) {
+			w.deliver(c, head.SwapResult{Outcome: head.SwapDone})
 			return
 		}
-		w.feed(s, head.SwapAnswered{Outcome: head.SwapLost})
+		w.deliver(c, head.SwapResult{Outcome: head.SwapLost})
 	case "lost-after-effect":
-		w.swap(swap)
-		w.feed(s, head.SwapAnswered{Outcome: head.SwapUnknown})
+		w.applySwap(swap)
+		w.deliver(c, head.SwapResult{Outcome: head.SwapUnknown})
 	case "late":
-		w.late = append(w.late, swap)
-		w.feed(s, head.SwapAnswered{Outcome: head.SwapUnknown})
+		w.lateSwaps = append(w.lateSwaps, swap)
+		w.deliver(c, head.SwapResult{Outcome: head.SwapUnknown})
 	default:
-		w.feed(s, head.SwapAnswered{Outcome: head.SwapUnknown})
+		w.deliver(c, head.SwapResult{Outcome: head.SwapUnknown})
 	}
 }
 
-func (w *world) run(s *session) head.Answer {
-	for s.answer == nil {
-		w.step(s, "")
+func (w *world) run(c *client) head.Answer {
+	for c.answer == nil {
+		w.step(c, "")
 	}
-	return *s.answer
+	return *c.answer
 }
 
 func (w *world) count(change string) int {
 	n := 0
-	for _, c := range w.chain {
+	for _, c := range w.acceptedChangeIDs {
 		if c == change {
 			n++
 		}
@@ -175,12 +180,13 @@
 	answer := w.run(w.submit(newSubmission("one", 0, 1)))
 	is.Equal(answer.Verdict, head.VerdictAccepted)
 	is.Equal(answer.Revision, uint64(1))
-	is.Equal(w.chain, []string{"one"})
+	is.Equal(w.acceptedChangeIDs, []string{"one"})
 }
 
-// A change is accepted and the key-value service goes down at once. The process
-// that made the change has it whole, at its revision, and need not fetch it.
-func TestAcceptedChangeComesWhole(t *testing.T) {
+// Guards against an accepted change that no process can fetch because the store fails immediately
+// afterwards: the answer carries the complete configuration at its revision, so that the submitting
+// process need not fetch it.
+func TestAcceptedAnswerCarriesCompleteConfiguration(t *testing.T) {
 	is := is.New(t)
 	w := newWorld()
 	answer := w.run(w.submit(newSubmission("first", 0, 1)))
@@ -191,23 +197,22 @@
 	is.Equal(answer.Loaded.Snapshot.Set.Count(), len(answer.Loaded.FindChunks(answer.Loaded.Manifest.Hashes())))
 }
 
-// An operator applies a change, the write takes effect and its answer is lost.
-// She sees "accepted", not an error and not a second revision: the writer
-// reads the head back and finds its own change id.
-func TestLostAnswerIsReadBack(t *testing.T) {
+// Guards against an error or a second revision when the swap takes effect but its response is lost.
+// The writer reads the head, finds its own change ID there and answers "accepted".
+func TestLostSwapResponseIsAccepted(t *testing.T) {
 	is := is.New(t)
 	w := newWorld()
-	s := w.submit(newSubmission("one", 0, 1))
-	w.step(s, "")
-	w.step(s, "")
-	w.step(s, "lost-after-effect")
-	answer := w.run(s)
+	c := w.submit(newSubmission("one", 0, 1))
+	w.step(c, "")
+	w.step(c, "")
+	w.step(c, "lost-after-effect")
+	answer := w.run(c)
 	is.Equal(answer.Verdict, head.VerdictAccepted)
 	is.Equal(w.count("one"), 1)
 }
 
-// Two operators change the same pool at once. The slower one sees a conflict
-// that names the winner's revision and price; her own change is not put over it.
+// Guards against one operator overwriting another's concurrent change of the same pool. The slower
+// one gets a conflict with the winner's revision and price.
 func TestLostRaceIsConflictWithDiff(t *testing.T) {
 	is := is.New(t)
 	w := newWorld()
@@ -222,39 +227,39 @@
 	is.Equal(w.count("slow"), 0)
 }
 
-// The key-value service goes silent after the swap was sent. The operator
-// sees "unknown"; later the write takes effect, and asking again with the same
-// change id tells "accepted" without a second revision.
-func TestUnknownThenAskedAgain(t *testing.T) {
+// Guards against a second revision when the store stops responding after the swap was sent: the
+// answer is "unknown", the write takes effect later, and a retry with the same change ID gets
+// "accepted".
+func TestRetryAfterUnknownIsAccepted(t *testing.T) {
 	is := is.New(t)
 	w := newWorld()
-	s := w.submit(newSubmission("one", 0, 1))
-	w.step(s, "")
-	w.step(s, "")
-	w.step(s, "late")
-	for s.answer == nil {
-		w.step(s, "down")
+	c := w.submit(newSubmission("one", 0, 1))
+	w.step(c, "")
+	w.step(c, "")
+	w.step(c, "late")
+	for c.answer == nil {
+		w.step(c, "down")
 	}
-	is.Equal(s.answer.Verdict, head.VerdictUnknown)
-	is.True(w.swap(w.late[0]))
+	is.Equal(c.answer.Verdict, head.VerdictUnknown)
+	is.True(w.applySwap(w.lateSwaps[0]))
 	answer := w.run(w.submit(newSubmission("one", 0, 1)))
 	is.Equal(answer.Verdict, head.VerdictAccepted)
 	is.Equal(w.count("one"), 1)
 }
 
-// The first swap is slow and the second, sent after a read that did not show
-// it, is answered as lost, since the first took effect in between. The
-// operator must see "accepted" and not "conflict" with herself.
+// Guards against a conflict of a change with itself. The first swap is delayed and takes effect
+// after a read that does not show it yet, so that the second attempt loses to it. The answer must
+// be "accepted".
 func TestLossToOwnLateSwapIsAccepted(t *testing.T) {
 	is := is.New(t)
 	w := newWorld()
-	s := w.submit(newSubmission("one", 0, 1))
-	w.step(s, "")
-	w.step(s, "")
-	w.step(s, "late")
-	w.step(s, "")
-	is.True(w.swap(w.late[0]))
-	is.Equal(w.run(s).Verdict, head.VerdictAccepted)
+	c := w.submit(newSubmission("one", 0, 1))
+	w.step(c, "")
+	w.step(c, "")
+	w.step(c, "late")
+	w.step(c, "")
+	is.True(w.applySwap(w.lateSwaps[0]))
+	is.Equal(w.run(c).Verdict, head.VerdictAccepted)
 }
 
 func TestChangeIDWithOtherDocumentsIsInvalid(t *testing.T) {
@@ -264,19 +269,18 @@
 	is.Equal(w.run(w.submit(newSubmission("one", 0, 9))).Verdict, head.VerdictInvalid)
 }
 
-func TestBootstrapIsRefusedOnceAConfigurationExists(t *testing.T) {
+func TestBootstrapIsRefusedIfConfigurationExists(t *testing.T) {
 	is := is.New(t)
 	w := newWorld()
 	w.run(w.submit(newSubmission("one", 0, 1)))
 	s := newSubmission("two", 0, 9)
-	s.First = true
+	s.Bootstrap = true
 	is.Equal(w.run(w.submit(s)).Verdict, head.VerdictConflict)
-	is.Equal(w.chain, []string{"one"})
+	is.Equal(w.acceptedChangeIDs, []string{"one"})
 }
 
-// An operator is removed, but one process is cut off from its peers and still
-// takes the token. The change must be refused although that process reaches
-// the key-value service.
+// Guards against a change by a removed operator through a process that still accepts the operator's
+// token, because it is disconnected from its peers but reaches the store.
 func TestRemovedOperatorIsRefused(t *testing.T) {
 	is := is.New(t)
 	w := newWorld()
@@ -287,13 +291,13 @@
 	s = newSubmission("three", 0, 3)
 	s.TokenSHA256 = config.DigestToken("removed")
 	is.Equal(w.run(w.submit(s)).Verdict, head.VerdictForbidden)
-	is.Equal(w.chain, []string{"one", "two"})
+	is.Equal(w.acceptedChangeIDs, []string{"one", "two"})
 }
 
-// The key-value service lost its data while processes hold revision 1. An
-// operator changes a price; nothing else may revert, and the revision must lie
-// above every one that some process may have adopted.
-func TestLostDataIsRestoredByTheNextChange(t *testing.T) {
+// Guards against accepted changes being reverted after the store lost its data while processes have
+// revision 1 in force. The next change must alter nothing else, and its revision must be above
+// every revision that a process may have adopted.
+func TestNextChangeRestoresLostData(t *testing.T) {
 	is := is.New(t)
 	before := newWorld()
 	before.run(before.submit(newSubmission("one", 0, 1)))
@@ -301,14 +305,14 @@
 	s := newSubmission("two", 1, 9)
 	s.Patch.Operators = nil
 	s.InForce = before.loaded
-	n := w.submit(s)
-	w.step(n, "")
-	values := n.next.(head.WriteChunks).Values
-	is.Equal(len(values), 3) // the manifest, the pools and the operators
-	for _, value := range values {
-		is.NoErr(value.Hash.Check(value.Data))
+	c := w.submit(s)
+	w.step(c, "")
+	chunks := c.pendingAction.(head.WriteChunks).Chunks
+	is.Equal(len(chunks), 3) // the manifest, the pools and the operators
+	for _, chunk := range chunks {
+		is.NoErr(chunk.Hash.Check(chunk.Data))
 	}
-	answer := w.run(n)
+	answer := w.run(c)
 	is.Equal(answer.Verdict, head.VerdictAccepted)
 	is.True(answer.Revision > 1000)
 	is.Equal(len(answer.Changes), 1)
@@ -322,12 +326,12 @@
 	answer := w.run(w.submit(s))
 	is.Equal(answer.Verdict, head.VerdictChecked)
 	is.True(len(answer.Changes) > 0)
-	is.Equal(len(w.chain), 0)
+	is.Equal(len(w.acceptedChangeIDs), 0)
 }
 
-// Several writers race with faults, late effects and restarts (a writer that
-// is dropped and submitted again). Whatever comes: a change is in the chain at
-// most once, an accepted one is in it, and a refused one never gets into it.
+// Guards against a change that takes effect twice, is answered as accepted without effect, or takes
+// effect although it was refused, while clients compete under faults, delayed swaps and restarts (a
+// client is abandoned and its change submitted again).
 func TestWritersUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
@@ -337,63 +341,65 @@
 			submissions = append(submissions, newSubmission(fmt.Sprint("c", i), base, float64(i+1)))
 		}
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
-			w.move(t, submissions)
+			w.randomStep(t, submissions)
 			w.check(t)
 		}
-		for len(w.late) > 0 {
-			w.swap(w.late[0])
-			w.late = w.late[1:]
+		for len(w.lateSwaps) > 0 {
+			w.applySwap(w.lateSwaps[0])
+			w.lateSwaps = w.lateSwaps[1:]
 			w.check(t)
 		}
 	})
 }
 
-func (w *world) move(t *rapid.T, submissions []head.Submission) {
+func (w *world) randomStep(t *rapid.T, submissions []head.Submission) {
 	switch rapid.IntRange(0, 9).Draw(t, "move") {
 	case 0, 1:
 		w.submit(rapid.SampledFrom(submissions).Draw(t, "submission"))
 	case 2:
-		if len(w.late) > 0 {
-			i := rapid.IntRange(0, len(w.late)-1).Draw(t, "late")
-			w.swap(w.late[i])
-			w.late = append(w.late[:i], w.late[i+1:]...)
+		if len(w.lateSwaps) > 0 {
+			i := rapid.IntRange(0, len(w.lateSwaps)-1).Draw(t, "late")
+			w.applySwap(w.lateSwaps[i])
+			w.lateSwaps = append(w.lateSwaps[:i], w.lateSwaps[i+1:]...)
 		}
 	default:
-		if len(w.writers) == 0 {
+		if len(w.clients) == 0 {
 			return
 		}
-		s := rapid.SampledFrom(w.writers).Draw(t, "writer")
+		c := rapid.SampledFrom(w.clients).Draw(t, "writer")
 		fault := rapid.SampledFrom([]string{"", "", "", "down", "late", "lost-after-effect"}).Draw(t, "fault")
-		w.step(s, fault)
+		w.step(c, fault)
 	}
 }
 
 func (w *world) check(t *rapid.T) {
-	if uint64(len(w.chain)) != w.head.Revision {
-		t.Fatalf("revision %d after %v", w.head.Revision, w.chain)
+	if uint64(len(w.acceptedChangeIDs)) != w.head.Revision {
+		t.Fatalf("the head has revision %d after the changes %v", w.head.Revision, w.acceptedChangeIDs)
 	}
-	for _, s := range w.writers {
-		n := w.count(s.submission.Change)
+	for _, c := range w.clients {
+		n := w.count(c.submission.ChangeID)
 		if n > 1 {
-			t.Fatalf("change %s took effect %d times", s.submission.Change, n)
+			t.Fatalf("change %s took effect %d times", c.submission.ChangeID, n)
 		}
-		if s.answer == nil {
+		if c.answer == nil {
 			continue
 		}
-		accepted := s.answer.Verdict == head.VerdictAccepted
-		if accepted && (n == 0 || w.chain[s.answer.Revision-1] != s.submission.Change) {
-			t.Fatalf("accepted change %s is not in %v", s.submission.Change, w.chain)
+		accepted := c.answer.Verdict == head.VerdictAccepted
+		if accepted && (n == 0 || w.acceptedChangeIDs[c.answer.Revision-1] != c.submission.ChangeID) {
+			t.Fatalf("accepted change %s is not in %v", c.submission.ChangeID, w.acceptedChangeIDs)
 		}
-		// Another submission of the same change may win later, so only the last submission's refusal binds.
-		if s.answer.Verdict == head.VerdictConflict && n > 0 && w.only(s) {
-			t.Fatalf("refused change %s is in %v", s.submission.Change, w.chain)
+		// Another submission of the same change may be accepted later, so only the refusal of a
+		// change that was submitted once is final.
+		if c.answer.Verdict == head.VerdictConflict && n > 0 && w.isOnlySubmission(c) {
+			t.Fatalf("refused change %s is in %v", c.submission.ChangeID, w.acceptedChangeIDs)
 		}
 	}
 }
 
-func (w *world) only(s *session) bool {
-	for _, other := range w.writers {
-		if other != s && other.submission.Change == s.submission.Change {
+// isOnlySubmission reports whether no other client submitted the same change.
+func (w *world) isOnlySubmission(c *client) bool {
+	for _, other := range w.clients {
+		if other != c && other.submission.ChangeID == c.submission.ChangeID {
 			return false
 		}
 	}
--- a/share/decide/head/main_test.go
+++ b/share/decide/head/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed, so that a run can be repeated.
+// TestMain fixes the seed, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/share/services/store/store_test.go
+++ b/share/services/store/store_test.go
@@ -71,7 +71,7 @@
 	pool := config.Pool{Name: "gpu", Committed: 1, Price: price, BeyondPrice: 2, BeyondPriority: config.PriorityUrgent}
 	operator := config.Operator{Name: "ana", TokenSHA256: config.DigestToken("a"), Role: config.RoleChange}
 	patch := config.Patch{Set: config.Set{Pools: []config.Pool{pool}, Operators: []config.Operator{operator}}}
-	return head.Submission{Change: change, Operator: "ana", Patch: patch}
+	return head.Submission{ChangeID: change, Operator: "ana", Patch: patch}
 }
 
 func newWriter(kv *fakeKV) (*store.Writer, *store.Reader) {
--- a/share/services/store/writer.go
+++ b/share/services/store/writer.go
@@ -65,7 +65,7 @@
 	case head.ReadHead:
 		return w.readHead(ctx, a.Base)
 	case head.WriteChunks:
-		return w.writeChunks(ctx, a.Values)
+		return w.writeChunks(ctx, a.Chunks)
 	case head.SwapHead:
 		return w.swapHead(ctx, a)
 	default:
@@ -76,15 +76,15 @@
 func (w *Writer) readHead(ctx context.Context, base uint64) head.Event {
 	answer, err := w.reader.ReadHead(ctx)
 	if err != nil {
-		return head.FetchFailed{}
+		return head.ReadFailed{}
 	}
-	event := head.Fetched{Index: answer.Index, Head: answer.Head}
+	event := head.ReadDone{Index: answer.Index, Head: answer.Head}
 	if answer.Index == 0 {
 		return event
 	}
 	event.Loaded, err = w.load(ctx, answer.Head.Place)
 	if err != nil {
-		return head.FetchFailed{}
+		return head.ReadFailed{}
 	}
 	if place := answer.Head.FindPlace(base); base != 0 && base != answer.Head.Revision && place.Manifest != "" {
 		event.Base, err = w.reader.Load(ctx, event.Loaded, place)
@@ -117,7 +117,7 @@
 func (w *Writer) writeChunks(ctx context.Context, values []config.Chunk) head.Event {
 	for _, value := range values {
 		if !w.writeChunk(ctx, value) {
-			return head.ChunksFailed{}
+			return head.ChunkWriteFailed{}
 		}
 	}
 	return head.ChunksWritten{}
@@ -140,10 +140,10 @@
 	done, err := w.kv.CompareAndSwap(ctx, w.reader.prefix+headKey, swap.Record, swap.Index)
 	switch {
 	case err != nil:
-		return head.SwapAnswered{Outcome: head.SwapUnknown}
+		return head.SwapResult{Outcome: head.SwapUnknown}
 	case done:
-		return head.SwapAnswered{Outcome: head.SwapDone}
+		return head.SwapResult{Outcome: head.SwapDone}
 	default:
-		return head.SwapAnswered{Outcome: head.SwapLost}
+		return head.SwapResult{Outcome: head.SwapLost}
 	}
 }
