--- a/fakes/services/roster/list_test.go
+++ b/fakes/services/roster/list_test.go
@@ -97,5 +97,5 @@
 	agents, err := list.FindInstances(ctx, member.RoleAgent)
 	is.NoErr(err)
 	is.Equal(agents, []member.Instance{newAgent()})
-	is.Equal(list.CountUnreadable(), uint64(1))
+	is.Equal(list.CountInvalid(), uint64(1))
 }
--- a/share/models/roster/catalog.go
+++ b/share/models/roster/catalog.go
@@ -9,7 +9,7 @@
 	"verbenaroad.example/share/models/member"
 )
 
-// Keys of ServiceMeta.
+// The keys of ServiceMeta.
 const (
 	metaRole    = "role"
 	metaService = "service"
@@ -19,7 +19,7 @@
 	metaLabel   = "label-"
 )
 
-// catalogNode is one element of the catalog's answer; the names are the format's own.
+// catalogNode is one element of the catalog's response. Its field names are those of the API.
 type catalogNode struct {
 	Node           string
 	Address        string
@@ -56,7 +56,7 @@
 	}
 	ip, err := netip.ParseAddr(address)
 	if err != nil {
-		return member.Instance{}, ErrRoster.New("instance %s: %v", n.ServiceID, err)
+		return member.Instance{}, ErrRoster.New("instance %s has an invalid address: %v", n.ServiceID, err)
 	}
 	instance := member.Instance{
 		Name:    n.ServiceID,
--- a/share/models/roster/client.go
+++ b/share/models/roster/client.go
@@ -1,5 +1,5 @@
-// Package roster is the client of the platform's lagging list of instances,
-// which is reached in the format of Consul's catalog.
+// Package roster implements a client of the platform's instance list. The list has the format of
+// Consul's catalog API and lags behind the actual instances by some seconds.
 package roster
 
 import (
@@ -20,44 +20,45 @@
 
 const (
 	defaultCallTimeout = 2 * time.Second
-	maxAnswerBytes     = 64 << 20
+	maxResponseBytes   = 64 << 20
 )
 
 // ErrRoster is the class of errors of the instance list.
 var ErrRoster = errs.Class("instance list") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// Options holds the settings of a Client.
+// Options are the settings of a Client.
 type Options struct {
-	// Address is where the list is served.
+	// Address is the address of the list's HTTP server.
 	Address netip.AddrPort
-	// CallTimeout bounds every call; 0 stands for two seconds.
+	// CallTimeout limits the duration of every call; 0: two seconds.
 	CallTimeout time.Duration
 }
 
-// Client reads the instance list; its methods may be used by many goroutines.
+// Client reads the instance list. Its methods are safe for concurrent use.
 type Client struct {
 	options Options
 	http    *http.Client
-	// unreadable counts the elements left out since the client was made.
-	unreadable atomic.Uint64
+	// invalid counts the elements that were skipped since the client was created.
+	invalid atomic.Uint64
 }
 
-// NewClient returns a client of the list at the options' address.
+// NewClient returns a client of the list at options.Address.
 func NewClient(options Options) *Client {
 	if options.CallTimeout <= 0 {
 		options.CallTimeout = defaultCallTimeout
 	}
 	dialer := &net.Dialer{Timeout: options.CallTimeout}
-	// The list is read every few seconds; a new connection each time cannot have gone silent in between.
+	// Every call opens a new connection: calls are seconds apart, and a connection kept open could
+	// be lost unnoticed in between.
 	transport := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
 	return &Client{options: options, http: &http.Client{Transport: transport}}
 }
 
-// FindInstances returns the instances of a role as the list shows them, which may be some seconds old.
+// FindInstances returns the instances of a role as the list shows them, which may be some seconds
+// old.
 //
-// An element whose address cannot be read is left out and counted: one bad
-// registration would otherwise hide every instance, and routing would lose
-// all its backend servers at once.
+// It skips and counts elements with an invalid address. Otherwise a single bad registration would
+// hide every instance, and routing would lose all its backend servers at once.
 func (c *Client) FindInstances(ctx context.Context, role member.Role) ([]member.Instance, error) {
 	body, err := c.call(ctx, http.MethodGet, "/v1/catalog/service/"+string(role), nil)
 	if err != nil {
@@ -71,7 +72,7 @@
 	for _, n := range nodes {
 		instance, err := n.toInstance()
 		if err != nil {
-			c.unreadable.Add(1)
+			c.invalid.Add(1)
 			continue
 		}
 		instances = append(instances, instance)
@@ -79,12 +80,13 @@
 	return instances, nil
 }
 
-// CountUnreadable returns how many elements were left out since the client was made.
-func (c *Client) CountUnreadable() uint64 {
-	return c.unreadable.Load()
+// CountInvalid returns the number of elements that were skipped since the client was created.
+func (c *Client) CountInvalid() uint64 {
+	return c.invalid.Load()
 }
 
-// RegisterInstance puts an instance on a stand-in's list; the platform keeps its own.
+// RegisterInstance adds an instance to the list of a fake platform, or replaces it there. The real
+// platform maintains its list itself.
 func (c *Client) RegisterInstance(ctx context.Context, instance member.Instance) error {
 	body, err := json.Marshal(newRegistration(instance))
 	if err != nil {
@@ -94,7 +96,7 @@
 	return err
 }
 
-// DeregisterInstance takes an instance off a stand-in's list.
+// DeregisterInstance removes an instance from the list of a fake platform.
 func (c *Client) DeregisterInstance(ctx context.Context, name string) error {
 	body, err := json.Marshal(deregistration{Node: name, ServiceID: name})
 	if err != nil {
@@ -117,12 +119,12 @@
 		return nil, ErrRoster.Wrap(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, ErrRoster.Wrap(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, ErrRoster.New("%s %s: status %d", method, path, response.StatusCode)
+		return nil, ErrRoster.New("%s %s: unexpected status %d", method, path, response.StatusCode)
 	}
 	return data, nil
 }
