--- a/share/models/member/instance.go
+++ b/share/models/member/instance.go
@@ -1,5 +1,5 @@
-// Package member describes the instances that the platform's list and the
-// sessions between processes show.
+// Package member defines the instances of the system, as the platform's instance list and the
+// processes themselves describe them.
 package member
 
 import (
@@ -8,7 +8,7 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// Role says which program an instance runs.
+// Role is the program that an instance runs.
 type Role string
 
 // The roles.
@@ -22,15 +22,18 @@
 	// Name is unique in the deployment and survives restarts.
 	Name string
 	Role Role
-	// Service is the service of the backend server behind an agent; empty for entries.
+	// Service is the service that the agent's backend server provides; empty for entries.
 	Service string
-	// Region and Domain place the instance; a failure domain lies within one region.
+	// Region and Domain are the region and the failure domain of the instance. A failure domain
+	// lies within one region.
 	Region string
 	Domain string
-	// Address is where the instance accepts sessions of its peers.
+	// Address is where the instance accepts sessions from its peers.
 	Address netip.AddrPort
-	// Labels are matched by the server selectors of rules, with region, domain, service and name added.
+	// Labels are matched by the server selectors of rules, together with the region, domain,
+	// service and name of the instance.
 	Labels config.Labels
-	// Leaving is set once the list or the instance itself says that it takes no new work.
+	// Leaving is set once the list shows that the instance takes no new work. The instance's own
+	// announcement in its heartbeats is not recorded here.
 	Leaving bool
 }
