--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -135,7 +135,7 @@
 		Pools: pools.Client{HTTP: client, Heads: heads.Codec{}}, Meter: i.meters, Repeats: s.Repeats.Settings, Log: i.log,
 		Regions: s.Place.Regions, Region: s.Place.Region,
 		Discard: func(service string, handles []string) { i.maker.Discard(service, handles) },
-		OnCrash: func(c batch.Crash) { i.screen.NoteBroken(poison.ID(c.RequestDigest), c.Server, c.SentAt) },
+		OnCrash: func(c batch.Crash) { i.screen.RecordCrash(poison.ID(c.RequestDigest), c.Server, c.SentAt) },
 	})
 	i.placer = assign.NewPlacer(s.Place.Regions, s.Cold.Settings)
 	i.desk = assign.NewDesk(i.mesh, i.book, i.placer, i.log)
@@ -145,8 +145,8 @@
 	})
 	i.maker = pieces.NewMaker(i.mesh, i.owner, i.log)
 	i.flow = flow.NewServer(flow.Options{
-		Views: i.book, Sender: client, Maker: i.maker, Desk: i.desk, Screen: i.screen, Meter: i.meters, Log: i.log,
-		Domain: s.Place.Domain, Region: s.Place.Region, Regions: s.Place.Regions, Repeats: s.Repeats.Settings,
+		Views: i.book, Sender: client, StageRunner: i.maker, EnginePlacer: i.desk, Screen: i.screen, Meter: i.meters, Log: i.log,
+		Domain: s.Place.Domain, Region: s.Place.Region, Regions: s.Place.Regions, Retries: s.Repeats.Settings,
 		Cold: s.Cold.Settings, Peers: i.mesh,
 	})
 }
@@ -171,12 +171,12 @@
 }
 
 func (i *Ingress) takeView(v *state.View) {
-	i.flow.TakeView(v)
+	i.flow.SetView(v)
 	i.placer.TakeView(v)
 	i.maker.TakeView(v)
 	i.owner.TakeView(v)
 	i.mesh.TakeView(v)
-	i.screen.TakeView(v)
+	i.screen.SetView(v)
 	i.meters.SetVersion(v.Version())
 }
 
@@ -304,7 +304,7 @@
 		return
 	}
 	i.lines.SetLevel(s.Log.Level)
-	i.flow.SetRepeats(s.Repeats.Settings)
+	i.flow.SetRetries(s.Repeats.Settings)
 	i.owner.SetRepeats(s.Repeats.Settings)
 	i.meters.CountReload("applied")
 	i.log.Info("reload", zap.String("outcome", "applied"), zap.String("log-level", s.Log.Level),
--- a/ingress/routers/public/public.go
+++ b/ingress/routers/public/public.go
@@ -131,7 +131,7 @@
 // admitLast takes a request of a plain service while all ingresses are stopping. It has
 // its final answer by its route's time; a stream that has begun has no such bound.
 func (t *Router) admitLast(work string, q *flow.Request) bool {
-	route := q.Grant.Route
+	route := q.Decision.Route
 	bound := route.Timeout
 	if q.CallerTimeout > 0 && (bound == 0 || q.CallerTimeout < bound) {
 		bound = q.CallerTimeout
@@ -167,15 +167,15 @@
 	flow.StripConnection(header)
 	t.options.Codec.StripRequest(header)
 	return &flow.Request{
-		Request: request,
-		Method:  r.Method,
-		Target:  target,
-		Host:    r.Host,
-		Header:  header,
-		Body:    body,
-		Arrived: arrived,
-		Grant:   grant,
-		View:    view,
+		Request:  request,
+		Method:   r.Method,
+		Target:   target,
+		Host:     r.Host,
+		Header:   header,
+		Body:     body,
+		Arrived:  arrived,
+		Decision: grant,
+		View:     view,
 	}, nil
 }
 
--- a/ingress/services/flow/answer.go
+++ b/ingress/services/flow/answer.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// briefPause is told to callers of a request that another ingress or server may take at once.
-	briefPause = 100 * time.Millisecond
-	// noServerPause is told to callers of a service without servers: about a heartbeat of theirs.
-	noServerPause = time.Second
+	// shortRetryAfter is the Retry-After for requests that may be accepted on an immediate retry.
+	shortRetryAfter = 100 * time.Millisecond
+	// noServerRetryAfter is the Retry-After for a service without available servers: about one
+	// heartbeat interval of the servers.
+	noServerRetryAfter = time.Second
 )
 
 // WriteResult writes the final answer to a request that no backend server answered.
@@ -27,31 +28,31 @@
 		"code": uint32(r.Code), "name": r.Code.Name(), "outcome": r.Outcome, "detail": r.Detail,
 	})
 	if err != nil {
-		body = nil // a map of texts and numbers is always encoded
+		body = nil // cannot happen: a map of strings and numbers can always be encoded
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(statusOf(r))
-	_, _ = w.Write(body) // a caller that has gone needs no answer
+	_, _ = w.Write(body) // fails only if the caller has disconnected
 }
 
-// statusOf keeps 429 and 503 for requests that have not run and never will:
-// callers take them for a promise and send the request again.
+// statusOf returns the HTTP status for a result. It uses 429 and 503 only for requests that did not
+// run and never will, because callers retry after these statuses.
 func statusOf(r *codes.Result) int {
 	status := codes.GetEntry(r.Code).Status
-	promise := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-	if promise && r.Outcome != codes.OutcomeNotRun {
+	notRun := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+	if notRun && r.Outcome != codes.OutcomeNotRun {
 		return http.StatusBadGateway
 	}
 	return status
 }
 
-// connectionHeaders concern one connection only and are not forwarded.
+// connectionHeaders are the hop-by-hop headers, which are not forwarded.
 var connectionHeaders = []string{ //nolint:gochecknoglobals // a table that does not change
 	"Connection", "Proxy-Connection", "Keep-Alive", "Transfer-Encoding", "Te", "Trailer", "Upgrade",
 	"Proxy-Authenticate", "Proxy-Authorization", "Content-Length",
 }
 
-// StripConnection removes the headers that concern one connection, those that Connection names among them.
+// StripConnection removes hop-by-hop headers, including those listed in the Connection header.
 func StripConnection(h http.Header) {
 	for _, line := range h.Values("Connection") {
 		for _, name := range splitList(line) {
--- a/ingress/services/flow/events.go
+++ b/ingress/services/flow/events.go
@@ -13,70 +13,72 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// callerError says that the caller could not be written to.
+// callerError is an error in writing to the caller.
 type callerError struct{ cause error }
 
-func (e *callerError) Error() string { return "caller: " + e.cause.Error() }
+func (e *callerError) Error() string { return "write to caller: " + e.cause.Error() }
 
 const (
-	relayBytes = 16 << 10
-	// maxEventBytes bounds one event; a longer one breaks the stream.
+	relayBufferBytes = 16 << 10
+	// maxEventBytes limits the length of an event. The stream fails if an event is longer.
 	maxEventBytes = 1 << 20
-	// writeTimeout bounds a write to a caller that does not read.
+	// writeTimeout limits how long a write waits for a caller that does not read.
 	writeTimeout = 20 * time.Second
 )
 
-// forward relays whole events as they come.
+// forward relays the answer to the caller. Events are only written complete.
 func (r *relay) forward(server site.Server, reply *reach.Reply) error {
-	if !r.headed {
+	if !r.headSent {
 		copyHeader(r.writer.Header(), reply.Header)
 		r.writer.WriteHeader(reply.Status)
-		r.headed = true
+		r.headSent = true
 	}
 	control := http.NewResponseController(r.writer)
-	buffer := make([]byte, relayBytes)
+	buffer := make([]byte, relayBufferBytes)
 	pending := []byte{}
-	begun := false
+	started := false
 	for {
 		n, err := reply.Body.Read(buffer)
-		if n > 0 && !begun {
-			begun = true
-			r.noteFirst(server)
+		if n > 0 && !started {
+			started = true
+			r.observeFirstEvent(server)
 		}
 		pending = append(pending, buffer[:n]...)
-		whole := wholeEvents(pending)
-		if whole > 0 {
-			if failed := r.write(control, pending[:whole]); failed != nil {
+		complete := completeLength(pending)
+		if complete > 0 {
+			if failed := r.write(control, pending[:complete]); failed != nil {
 				return failed
 			}
-			pending = append(pending[:0], pending[whole:]...)
+			pending = append(pending[:0], pending[complete:]...)
 		}
 		switch {
 		case errors.Is(err, io.EOF) && len(pending) == 0:
 			return nil
 		case errors.Is(err, io.EOF):
-			return io.ErrUnexpectedEOF // it ended in the middle of an event
+			return io.ErrUnexpectedEOF // the stream ended in the middle of an event
 		case err != nil:
 			return err
 		case len(pending) > maxEventBytes:
-			return errors.New("an event is too long")
+			return errors.New("event exceeds the length limit of 1 MiB")
 		}
 	}
 }
 
-func (r *relay) noteFirst(server site.Server) {
-	r.releaseResults() // the engine has fetched its inputs
-	r.seat.Begun()
+// observeFirstEvent records that the engine has begun to send events.
+func (r *relay) observeFirstEvent(server site.Server) {
+	r.releaseResults() // the engine has fetched the results of the stages
+	r.reservation.Begun()
 	took := time.Since(r.Arrived)
 	r.log.Info("stream-begun", zap.String("server", server.ID), zap.Duration("took", took))
 	r.server.options.Meter.CountFirstEvent(r.route.Name, took)
 }
 
+// write writes complete events to the caller.
 func (r *relay) write(control *http.ResponseController, events []byte) error {
 	if id, found := lastEventID(events); found {
 		r.lastID = id
 	}
-	_ = control.SetWriteDeadline(time.Now().Add(writeTimeout)) // not all writers have one
+	_ = control.SetWriteDeadline(time.Now().Add(writeTimeout)) // not all writers support it
 	if _, err := r.writer.Write(events); err != nil {
 		return &callerError{cause: err}
 	}
@@ -86,8 +88,8 @@
 	return nil
 }
 
-// wholeEvents returns the length of the whole events at the begin of data.
-func wholeEvents(data []byte) int {
+// completeLength returns the total length of the complete events at the start of data.
+func completeLength(data []byte) int {
 	n := bytes.LastIndex(data, []byte("\n\n"))
 	if n < 0 {
 		return 0
--- a/ingress/services/flow/flow.go
+++ b/ingress/services/flow/flow.go
@@ -1,6 +1,5 @@
-// Package flow takes one request from its admission to its final answer. In:
-// a caller's request. Out: the backend server's answer unchanged, or a refusal
-// that says whether the request ran.
+// Package flow serves a request from its admission to its final answer. The caller receives the
+// answer of a backend server unchanged, or an error that states whether the request ran.
 package flow
 
 import (
@@ -27,129 +26,133 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Views tells what is known of the deployment.
+// Views provides the current view of the deployment.
 type Views interface {
 	View() *state.View
 }
 
-// Sender sends one attempt.
+// Sender sends requests to backend servers.
 type Sender interface {
+	// Send makes one attempt.
 	Send(ctx context.Context, r reach.Request) (*reach.Reply, error)
-	// Warm opens a connection ahead for the next attempt at a server.
+	// Warm opens a connection in advance for the next attempt at a server.
 	Warm(address netip.AddrPort)
 }
 
-// Maker has the results of stages made.
-type Maker interface {
+// StageRunner produces the results of a request's stages.
+type StageRunner interface {
 	MakeChain(ctx context.Context, c pieces.Chain) (*pieces.Results, *codes.Result)
 }
 
-// Desk gives requests to engines their places.
-type Desk interface {
-	// Place returns nil where no engine takes the request.
+// EnginePlacer chooses the engine for a request and reserves capacity there.
+type EnginePlacer interface {
+	// Place returns nil if no engine is eligible for the request.
 	Place(ctx context.Context, service string, q place.Query) *assign.Seat
 }
 
-// Peers tells which ingresses can be reached.
+// Peers lists the ingresses that can be reached.
 type Peers interface {
-	// Rank lists them by their score for a key.
+	// Rank orders the names of the ingresses by their score for a key.
 	Rank(key string) []string
+	// Self returns the name of this ingress.
 	Self() string
 }
 
-// Screen knows the requests that crash the servers that run them.
+// Screen quarantines requests that crash the servers that run them.
 type Screen interface {
-	// IsQuarantined tells whether a request is to reach no server.
+	// IsQuarantined reports whether a request must not be sent to any server.
 	IsQuarantined(id poison.ID) bool
-	// TakeTrial tells whether a quarantined request is to be sent to one server after all.
+	// TakeTrial reports whether a quarantined request is to be sent to a single server as a trial.
+	// Each trial is granted once.
 	TakeTrial(ctx context.Context, id poison.ID) bool
-	// NoteBroken notes an attempt that broke off its server, NoteServed a request that was answered whole.
-	NoteBroken(id poison.ID, server site.Server, sent time.Time)
-	NoteServed(id poison.ID)
+	// RecordCrash records an attempt that broke and may have crashed its server. RecordServed
+	// records a request that received a complete answer.
+	RecordCrash(id poison.ID, server site.Server, sent time.Time)
+	RecordServed(id poison.ID)
 }
 
-// Meter counts what is served.
+// Meter records metrics of requests.
 type Meter interface {
 	CountAnswer(route, outcome string, took time.Duration)
 	CountFirstEvent(route string, took time.Duration)
-	CountRepeat(service, reason string)
+	CountRetry(service, reason string)
 }
 
 // Options are the settings of a Server.
 type Options struct {
-	Views  Views
-	Sender Sender
-	Maker  Maker
-	Desk   Desk
-	Screen Screen
-	Meter  Meter
-	Log    *zap.Logger
-	// Domain and Region are where this ingress stands, Regions where each failure domain does.
+	Views        Views
+	Sender       Sender
+	StageRunner  StageRunner
+	EnginePlacer EnginePlacer
+	Screen       Screen
+	Meter        Meter
+	Log          *zap.Logger
+	// Domain and Region locate this ingress. Regions maps failure domains to their regions.
 	Domain  string
 	Region  string
 	Regions map[string]string
-	// Repeats bounds what is sent once more, Cold what reaches a cold server.
-	Repeats budget.Settings
+	// Retries is the retry budget. Cold limits the requests to a cold server.
+	Retries budget.Settings
 	Cold    cold.Settings
 	Peers   Peers
 }
 
-// Server serves requests; its methods may be used by many goroutines.
+// Server serves requests. It is safe for concurrent use.
 type Server struct {
 	options Options
 
 	lock sync.Mutex
-	// pools are by the name of their service.
-	pools map[string]*pool
-	// ingresses is the highest number of them seen lately.
+	// services is keyed by the name of the service.
+	services map[string]*serviceState
+	// ingresses is the highest number of ingresses in any view so far.
 	ingresses int
 }
 
-// pool is what this ingress knows of one service.
-type pool struct {
+// serviceState is what this ingress tracks about one service.
+type serviceState struct {
 	chooser *place.Chooser
-	repeats *budget.Budget
+	retries *budget.Budget
 }
 
-// NewServer returns a server that knows no backend servers.
+// NewServer returns a server without backend servers.
 func NewServer(options Options) *Server {
-	return &Server{options: options, pools: map[string]*pool{}}
+	return &Server{options: options, services: map[string]*serviceState{}}
 }
 
-// SetRepeats takes a new bound of repeats.
-func (s *Server) SetRepeats(settings budget.Settings) {
+// SetRetries replaces the settings of the retry budgets.
+func (s *Server) SetRetries(settings budget.Settings) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.options.Repeats = settings
-	for _, p := range s.pools {
-		p.repeats.SetSettings(settings)
+	s.options.Retries = settings
+	for _, p := range s.services {
+		p.retries.SetSettings(settings)
 	}
 }
 
-// TakeView takes the backend servers of a new view.
-func (s *Server) TakeView(v *state.View) {
+// SetView updates the backend servers and the number of ingresses from a new view.
+func (s *Server) SetView(v *state.View) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.ingresses = max(s.ingresses, len(v.Ingresses))
 	for name := range v.Servers {
-		s.getPool(name)
+		s.getService(name)
 	}
-	for name, p := range s.pools {
+	for name, p := range s.services {
 		p.chooser.SetServers(v.Servers[name])
 	}
 }
 
-// getPool returns what is known of a service; called under the lock.
-func (s *Server) getPool(service string) *pool {
-	p := s.pools[service]
+// getService returns the state of a service and creates it if necessary. The caller holds the lock.
+func (s *Server) getService(service string) *serviceState {
+	p := s.services[service]
 	if p == nil {
-		p = &pool{chooser: place.NewChooser(s.options.Regions), repeats: budget.NewBudget(s.options.Repeats)}
-		s.pools[service] = p
+		p = &serviceState{chooser: place.NewChooser(s.options.Regions), retries: budget.NewBudget(s.options.Retries)}
+		s.services[service] = p
 	}
 	return p
 }
 
-// Request is what the router read of a caller's request.
+// Request is a caller's request as parsed by the router.
 type Request struct {
 	site.Request
 	Method  string
@@ -158,38 +161,38 @@
 	Header  http.Header
 	Body    []byte
 	Arrived time.Time
-	// Grant is what the request may do, under the view that it was checked with.
-	Grant access.Decision
-	View  *state.View
+	// Decision is the result of the access check, which was made against View.
+	Decision access.Decision
+	View     *state.View
 }
 
-// exchange is one request under way.
+// exchange is a request in flight.
 type exchange struct {
 	*Request
 	server  *Server
 	route   *site.Route
 	service string
-	// digest is the same for all attempts of a request.
+	// digest identifies the request across all its attempts.
 	digest poison.ID
-	// trial is set where a quarantined request is sent to one server.
+	// trial is set if the request is quarantined and is sent to a single server as a trial.
 	trial bool
 	log   *zap.Logger
-	// ends is when the request must have its final answer.
-	ends time.Time
-	// seat is the place at an engine; nil for plain services.
-	seat *assign.Seat
-	// tried holds the servers that had the request.
+	// deadline is when the request must have its final answer.
+	deadline time.Time
+	// reservation is the reserved place at an engine; nil for plain services.
+	reservation *assign.Seat
+	// tried holds the IDs of the servers that were tried.
 	tried []string
-	// runs counts the attempts that ran or may have.
+	// runs counts the attempts that ran or may have run.
 	runs int
-	// sends counts what was sent to the service, refused attempts included.
+	// sends counts all attempts, including those that were refused or could not be sent.
 	sends int
 }
 
-// defaultPatience stands for that of a caller that does not say how long it waits.
-const defaultPatience = 30 * time.Second
+// defaultCallerTimeout applies if the caller does not state how long it waits.
+const defaultCallerTimeout = 30 * time.Second
 
-// Serve answers one request.
+// Serve serves one request and writes its final answer.
 func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, q *Request) {
 	x := s.newExchange(q)
 	x.trial = s.options.Screen.IsQuarantined(x.digest) && s.options.Screen.TakeTrial(ctx, x.digest)
@@ -204,7 +207,8 @@
 	x.finish(ctx, w, result)
 }
 
-// refuseQuarantined returns the answer to a request that crashes servers; nil for any other.
+// refuseQuarantined returns the error for a quarantined request. It returns nil if the request is
+// not quarantined or if this is the first attempt of a trial.
 func (x *exchange) refuseQuarantined() *codes.Result {
 	if x.trial && x.sends == 0 || !x.server.options.Screen.IsQuarantined(x.digest) {
 		return nil
@@ -213,32 +217,33 @@
 }
 
 func (s *Server) newExchange(q *Request) *exchange {
-	r := q.Grant.Route
-	patience := q.CallerTimeout
-	if patience == 0 {
-		patience = defaultPatience
+	r := q.Decision.Route
+	timeout := q.CallerTimeout
+	if timeout == 0 {
+		timeout = defaultCallerTimeout
 	}
 	if r.Timeout > 0 {
-		patience = min(patience, r.Timeout)
+		timeout = min(timeout, r.Timeout)
 	}
 	service := access.PickService(r, rand.Float64()) //nolint:gosec // a share of traffic, no secret
 	path, _, _ := strings.Cut(q.Target, "?")
 	return &exchange{
-		Request: q,
-		server:  s,
-		route:   r,
-		service: service,
-		digest:  poison.NewID(q.Grant.Team, q.Host, path, q.Body),
-		ends:    q.Arrived.Add(patience),
+		Request:  q,
+		server:   s,
+		route:    r,
+		service:  service,
+		digest:   poison.NewID(q.Decision.Team, q.Host, path, q.Body),
+		deadline: q.Arrived.Add(timeout),
 		log: s.options.Log.With(zap.String("request", q.AttemptID), zap.String("route", r.Name),
 			zap.String("service", service), zap.Uint64("config", q.View.Version())),
 	}
 }
 
-// finish answers what got no answer of a backend server, and logs the outcome.
+// finish logs the outcome of the request. If no backend server's answer was delivered, it writes
+// result as the answer.
 func (x *exchange) finish(ctx context.Context, w http.ResponseWriter, result *codes.Result) {
 	took := time.Since(x.Arrived)
-	result = x.tellRuns(result)
+	result = x.correctOutcome(result)
 	if result == nil {
 		x.log.Info("answered", zap.Duration("took", took), zap.Int("sends", x.sends), zap.Strings("servers", x.tried))
 		x.server.options.Meter.CountAnswer(x.route.Name, "answered", took)
@@ -256,24 +261,25 @@
 	WriteResult(w, result)
 }
 
-// tellRuns keeps a refusal true: after an attempt that ran or may have, whatever
-// ended the request later, it is not answered as one that did not run.
-func (x *exchange) tellRuns(result *codes.Result) *codes.Result {
+// correctOutcome replaces a result that states that the request did not run if an earlier attempt
+// ran or may have run.
+func (x *exchange) correctOutcome(result *codes.Result) *codes.Result {
 	if result == nil || x.runs == 0 || result.Outcome != codes.OutcomeNotRun {
 		return result
 	}
 	return codes.NewResult(codes.BackendLost, "an attempt may have run; then: "+result.Detail)
 }
 
-// left returns how long the request still has.
-func (x *exchange) left() time.Duration { return time.Until(x.ends) }
+// remaining returns the time until the deadline of the request.
+func (x *exchange) remaining() time.Duration { return time.Until(x.deadline) }
 
-// pick chooses the next backend server of a plain service and counts the request there.
+// pick chooses the next backend server of a plain service and records that the request is sent to
+// it.
 func (x *exchange) pick() (site.Server, bool) {
 	s := x.server
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	p := s.getPool(x.service)
+	p := s.getService(x.service)
 	now := time.Now()
 	server, found := p.chooser.Pick(now, x.newQuery())
 	if found {
@@ -298,7 +304,7 @@
 	}
 }
 
-// isStaged tells whether results are to be made for the request.
+// isStaged reports whether the request needs results of stages.
 func (x *exchange) isStaged() bool {
 	for i := range min(len(x.route.Stages), len(x.ItemCounts)) {
 		if x.ItemCounts[i] > 0 {
@@ -308,16 +314,17 @@
 	return false
 }
 
-// mayRepeat takes one further arrival from the budget that all ingresses share.
-func (x *exchange) mayRepeat(reason string) bool {
+// mayRetry takes one retry from this ingress's part of the service's retry budget. It returns false
+// if the budget is exhausted.
+func (x *exchange) mayRetry(reason string) bool {
 	s := x.server
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if !s.getPool(x.service).repeats.TakeRetries(time.Now(), 1, s.ingresses) {
+	if !s.getService(x.service).retries.TakeRetries(time.Now(), 1, s.ingresses) {
 		x.log.Info("repeat-denied", zap.String("reason", reason), zap.Int("ingresses", s.ingresses))
 		return false
 	}
-	s.options.Meter.CountRepeat(x.service, reason)
+	s.options.Meter.CountRetry(x.service, reason)
 	return true
 }
 
@@ -325,17 +332,17 @@
 	s := x.server
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.getPool(x.service).repeats.CountRequest(time.Now())
+	s.getService(x.service).retries.CountRequest(time.Now())
 }
 
-// end notes how an attempt ended at its server.
+// end records the result of an attempt at its server.
 func (x *exchange) end(server site.Server, result place.Result, took time.Duration, load *site.Load) {
-	if x.seat != nil {
-		x.seat.Ended(result)
+	if x.reservation != nil {
+		x.reservation.Ended(result)
 		return
 	}
 	s := x.server
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.getPool(x.service).chooser.End(time.Now(), server.ID, result, took, load)
+	s.getService(x.service).chooser.End(time.Now(), server.ID, result, took, load)
 }
--- a/ingress/services/flow/places.go
+++ b/ingress/services/flow/places.go
@@ -9,18 +9,19 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// residency returns where the request may be served by the newest configuration.
+// residency returns the regions in which the request may be served under the newest configuration.
 func (x *exchange) residency() site.Residency {
 	table := x.server.options.Views.View().Table
 	if table == nil {
-		return x.Grant.Residency
+		return x.Decision.Residency
 	}
-	return table.FindResidency(x.Grant)
+	return table.FindResidency(x.Decision)
 }
 
-// coldLimit divides the bound of a cold server over the ingresses without a word between
-// them: as many of them as the bound allows may send it a request a second, by their
-// score for it. It returns nil where the service has no bound.
+// coldLimit returns this ingress's share of the rate limit of a cold server, as a function of the
+// server. The limit is divided among the ingresses without communication. If there are more of them
+// than the limit, those with the highest scores for the server may send it one request per second
+// each. coldLimit returns nil if the service has no limit.
 func (x *exchange) coldLimit() func(*site.Server) int {
 	table := x.server.options.Views.View().Table
 	if table == nil {
@@ -30,22 +31,22 @@
 	if service == nil {
 		return nil
 	}
-	limit, bound := x.server.options.Cold.Limit(service.ColdRate)
-	if !bound {
+	limit, limited := x.server.options.Cold.Limit(service.ColdRate)
+	if !limited {
 		return nil
 	}
 	peers := x.server.options.Peers
 	return func(s *site.Server) int {
-		ranked := peers.Rank(coldPrefix + s.ID)
+		ranked := peers.Rank(coldRankPrefix + s.ID)
 		return cold.Share(slices.Index(ranked, peers.Self()), len(ranked), limit)
 	}
 }
 
-// coldPrefix has the ingresses that may send to a cold server chosen apart from those
-// that place and batch.
-const coldPrefix = "cold/"
+// coldRankPrefix makes the ranking of the ingresses for a cold server independent of the rankings
+// that choose the placer and the batcher of a service.
+const coldRankPrefix = "cold/"
 
-// describeNoServer says why no server of the service may take the request.
+// describeNoServer states why no server of the service may receive the request.
 func (x *exchange) describeNoServer() string {
 	v := x.server.options.Views.View()
 	detail := fmt.Sprintf("no server of %s takes work, of %d that do", x.service, len(v.Servers[x.service]))
--- a/ingress/services/flow/places_test.go
+++ b/ingress/services/flow/places_test.go
@@ -27,61 +27,62 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// scene is a deployment of two regions whose view changes while results are made.
-type scene struct {
-	screen screen
+// deployment simulates a deployment of two regions whose view may change while the results of the
+// stages are produced.
+type deployment struct {
+	screen fakeScreen
 	lock   sync.Mutex
 	view   *state.View
-	// next is the view from when the first results are made; nil: it does not change.
-	next   *state.View
-	placer *assign.Placer
-	placed int
-	sent   []string
-	// fetchFrom is the engine that the placer names, fetched where requests were told to
-	// fetch from.
-	fetchFrom string
-	fetched   []netip.AddrPort
+	// viewAfterStages replaces view when results are produced; nil: the view does not change.
+	viewAfterStages *state.View
+	placer          *assign.Placer
+	placements      int
+	sentTo          []string
+	// fetchFrom is the ID of the engine from which the placer lets engines fetch. fetchSources are
+	// the addresses that were sent to the engines.
+	fetchFrom    string
+	fetchSources []netip.AddrPort
 }
 
-func (s *scene) Place(_ context.Context, service string, q place.Query) *assign.Seat {
-	s.placed++
-	seat := s.placer.Place(service, q)
-	if seat != nil {
-		seat.FetchFrom = s.fetchFrom
+func (s *deployment) Place(_ context.Context, service string, q place.Query) *assign.Seat {
+	s.placements++
+	reservation := s.placer.Place(service, q)
+	if reservation != nil {
+		reservation.FetchFrom = s.fetchFrom
 	}
-	return seat
+	return reservation
 }
 
-func (s *scene) View() *state.View {
+func (s *deployment) View() *state.View {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.view
 }
 
-func (s *scene) MakeChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
+func (s *deployment) MakeChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.next != nil {
-		s.view = s.next
+	if s.viewAfterStages != nil {
+		s.view = s.viewAfterStages
 		s.placer.TakeView(s.view)
 	}
 	return pieces.NewResults([]string{"10.0.0.1:1/a"}, func() {}), nil
 }
 
-func (*scene) Warm(netip.AddrPort) {}
+func (*deployment) Warm(netip.AddrPort) {}
 
-func (s *scene) Send(_ context.Context, r reach.Request) (*reach.Reply, error) {
+func (s *deployment) Send(_ context.Context, r reach.Request) (*reach.Reply, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.sent = append(s.sent, r.Server.ID)
-	s.fetched = append(s.fetched, r.Forward.FetchFrom)
-	answer := site.Answer{Status: http.StatusOK, Signed: true, AttemptID: r.Forward.AttemptID, Header: http.Header{}}
+	s.sentTo = append(s.sentTo, r.Server.ID)
+	s.fetchSources = append(s.fetchSources, r.UpstreamHeaders.FetchFrom)
+	answer := site.Answer{Status: http.StatusOK, Signed: true, AttemptID: r.UpstreamHeaders.AttemptID, Header: http.Header{}}
 	return &reach.Reply{Answer: answer, Body: io.NopCloser(strings.NewReader("id: 1\ndata: x\n\n")), Length: -1}, nil
 }
 
-var sceneRegions = map[string]string{"n1": "north", "s1": "south"} //nolint:gochecknoglobals // a constant in all but syntax
+var regions = map[string]string{"n1": "north", "s1": "south"} //nolint:gochecknoglobals // a constant in all but syntax
 
-func sceneRoute(allowed ...string) site.Route {
+func newRoute(allowed ...string) site.Route {
 	return site.Route{
 		Name: "reviews", Kind: site.KindStream, Timeout: 5 * time.Second, LatencyTarget: time.Second, MaxAttempts: 2,
 		Backends: []site.Backend{{Service: "engines", Weight: 1}}, Stages: []site.Stage{{Service: "drawings"}},
@@ -89,7 +90,7 @@
 	}
 }
 
-func sceneView(version uint64, route site.Route, servers ...site.Server) *state.View {
+func newView(version uint64, route site.Route, servers ...site.Server) *state.View {
 	return &state.View{
 		Table: access.NewTable(&site.Config{Version: version, Routes: []site.Route{route}, Services: []site.Service{
 			{Name: "engines", Engine: &site.Engine{Slots: 8, CacheTokens: 1000}, ColdRate: 9, ColdTime: 3 * time.Second},
@@ -98,91 +99,93 @@
 	}
 }
 
-func engine(id, domain string, address string) site.Server {
+func newEngine(id, domain string, address string) site.Server {
 	return site.Server{ID: id, Domain: domain, Address: netip.MustParseAddrPort(address), State: site.ServerReady}
 }
 
-func (s *scene) serve(route site.Route) *httptest.ResponseRecorder {
-	s.placer = assign.NewPlacer(sceneRegions, cold.Settings{Overage: 1.5, Slack: 5})
+func (s *deployment) serve(route site.Route) *httptest.ResponseRecorder {
+	s.placer = assign.NewPlacer(regions, cold.Settings{Overage: 1.5, Slack: 5})
 	s.placer.TakeView(s.view)
 	server := flow.NewServer(flow.Options{
-		Views: s, Sender: s, Maker: s, Desk: s, Screen: &s.screen, Meter: noMeter{}, Log: zap.NewNop(),
-		Domain: "n1", Region: "north", Regions: sceneRegions, Cold: cold.Settings{Overage: 1.5, Slack: 5},
-		Repeats: budget.Settings{Ratio: 1, Slack: 10, Window: time.Second},
+		Views: s, Sender: s, StageRunner: s, EnginePlacer: s, Screen: &s.screen, Meter: noMeter{}, Log: zap.NewNop(),
+		Domain: "n1", Region: "north", Regions: regions, Cold: cold.Settings{Overage: 1.5, Slack: 5},
+		Retries: budget.Settings{Ratio: 1, Slack: 10, Window: time.Second},
 	})
-	grant := access.Decision{Verdict: access.Granted, Route: &route, Residency: site.NewResidency(route.AllowedRegions)}
+	decision := access.Decision{Verdict: access.Granted, Route: &route, Residency: site.NewResidency(route.AllowedRegions)}
 	answer := httptest.NewRecorder()
 	server.Serve(context.Background(), answer, &flow.Request{
 		Request: site.Request{AttemptID: "a", CallerTimeout: 5 * time.Second, ItemCounts: []int{2}},
-		Method:  http.MethodPost, Target: "/", Arrived: time.Now(), Header: http.Header{}, Grant: grant, View: s.view,
+		Method:  http.MethodPost, Target: "/", Arrived: time.Now(), Header: http.Header{}, Decision: decision, View: s.view,
 	})
 	return answer
 }
 
-// Guards against a request that is sent to an evacuated domain since it was placed before.
-func TestRequestLeavesADomainThatIsEvacuatedMeanwhile(t *testing.T) {
+// Guards against a request being sent to an evacuated failure domain because it was placed there
+// before the evacuation.
+func TestRequestIsPlacedAgainIfItsDomainIsEvacuated(t *testing.T) {
 	is := is.New(t)
-	north, south := engine("n", "n1", "10.0.0.8:1"), engine("s", "s1", "10.0.0.9:1")
-	route := sceneRoute()
-	s := &scene{view: sceneView(1, route, north, south), next: sceneView(1, route, south)}
+	north, south := newEngine("n", "n1", "10.0.0.8:1"), newEngine("s", "s1", "10.0.0.9:1")
+	route := newRoute()
+	s := &deployment{view: newView(1, route, north, south), viewAfterStages: newView(1, route, south)}
 	is.Equal(s.serve(route).Code, http.StatusOK)
-	is.Equal(s.sent, []string{"s"})
+	is.Equal(s.sentTo, []string{"s"})
 }
 
-// Guards against a request that is sent outside the regions that a newer configuration
-// allows since it was placed under an older one.
-func TestRequestFollowsANewerResidency(t *testing.T) {
+// Guards against a request being sent outside the regions that the newest configuration allows
+// because it was placed under an older one.
+func TestRequestIsPlacedAgainIfResidencyChanges(t *testing.T) {
 	is := is.New(t)
-	north, south := engine("n", "n1", "10.0.0.8:1"), engine("s", "s1", "10.0.0.9:1")
-	s := &scene{view: sceneView(1, sceneRoute(), north, south), next: sceneView(2, sceneRoute("south"), north, south)}
-	is.Equal(s.serve(sceneRoute()).Code, http.StatusOK)
-	is.Equal(s.sent, []string{"s"})
+	north, south := newEngine("n", "n1", "10.0.0.8:1"), newEngine("s", "s1", "10.0.0.9:1")
+	s := &deployment{view: newView(1, newRoute(), north, south), viewAfterStages: newView(2, newRoute("south"), north, south)}
+	is.Equal(s.serve(newRoute()).Code, http.StatusOK)
+	is.Equal(s.sentTo, []string{"s"})
 }
 
-// Guards against a request that waits for a region without servers, or goes elsewhere.
-func TestRequestWithoutServerInItsRegionsIsRefusedAtOnce(t *testing.T) {
+// Guards against a request that waits although its regions have no servers, or that is sent to
+// another region.
+func TestRequestWithoutServerInAllowedRegionsIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	s := &scene{view: sceneView(1, sceneRoute("south"), engine("n", "n1", "10.0.0.8:1"))}
+	s := &deployment{view: newView(1, newRoute("south"), newEngine("n", "n1", "10.0.0.8:1"))}
 	began := time.Now()
-	answer := s.serve(sceneRoute("south"))
+	answer := s.serve(newRoute("south"))
 	is.Equal(answer.Code, http.StatusServiceUnavailable)
 	is.True(answer.Header().Get("Retry-After") != "")
 	is.True(time.Since(began) < time.Second)
-	is.Equal(len(s.sent), 0)
+	is.Equal(len(s.sentTo), 0)
 }
 
-// Guards against requests that were placed at a warm engine and reach it together after it
-// turned cold: nobody has counted them against its bound.
-func TestRequestIsPlacedAgainAfterItsEngineTurnedCold(t *testing.T) {
+// Guards against requests that were placed at a warm engine reaching it all at once after it became
+// cold, because they were not counted against its rate limit.
+func TestRequestIsPlacedAgainIfItsEngineBecomesCold(t *testing.T) {
 	is := is.New(t)
-	north, south := engine("n", "n1", "10.0.0.8:1"), engine("s", "s1", "10.0.0.9:1")
+	north, south := newEngine("n", "n1", "10.0.0.8:1"), newEngine("s", "s1", "10.0.0.9:1")
 	coldNorth := north
 	coldNorth.ColdUntil = time.Now().Add(time.Minute)
-	route := sceneRoute()
-	s := &scene{view: sceneView(1, route, north), next: sceneView(1, route, coldNorth, south)}
+	route := newRoute()
+	s := &deployment{view: newView(1, route, north), viewAfterStages: newView(1, route, coldNorth, south)}
 	is.Equal(s.serve(route).Code, http.StatusOK)
-	is.Equal(s.placed, 2)
-	is.Equal(len(s.sent), 1)
+	is.Equal(s.placements, 2)
+	is.Equal(len(s.sentTo), 1)
 }
 
-// Guards against an engine that is told to fetch from one that has left, or from outside
-// the regions in which the request's data may be held.
-func TestEngineFetchesOnlyFromWhereItMay(t *testing.T) {
-	north, south := engine("n", "n1", "10.0.0.8:1"), engine("s", "s1", "10.0.0.9:1")
+// Guards against an engine being instructed to fetch from an engine that has left, or from one
+// outside the regions in which the request's data may be held.
+func TestEngineFetchesOnlyFromAvailableEnginesInAllowedRegions(t *testing.T) {
+	north, south := newEngine("n", "n1", "10.0.0.8:1"), newEngine("s", "s1", "10.0.0.9:1")
 	for name, c := range map[string]struct {
 		next *state.View
 		want netip.AddrPort
 	}{
-		"still there":  {sceneView(1, sceneRoute(), north, south), south.Address},
-		"left":         {sceneView(1, sceneRoute(), north), netip.AddrPort{}},
-		"kept outside": {sceneView(2, sceneRoute("north"), north, south), netip.AddrPort{}},
+		"present":                     {newView(1, newRoute(), north, south), south.Address},
+		"left":                        {newView(1, newRoute(), north), netip.AddrPort{}},
+		"outside the allowed regions": {newView(2, newRoute("north"), north, south), netip.AddrPort{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := &scene{view: sceneView(1, sceneRoute(), north, south), next: c.next, fetchFrom: "s"}
-			is.Equal(s.serve(sceneRoute()).Code, http.StatusOK)
-			is.Equal(s.sent, []string{"n"})
-			is.Equal(s.fetched, []netip.AddrPort{c.want})
+			s := &deployment{view: newView(1, newRoute(), north, south), viewAfterStages: c.next, fetchFrom: "s"}
+			is.Equal(s.serve(newRoute()).Code, http.StatusOK)
+			is.Equal(s.sentTo, []string{"n"})
+			is.Equal(s.fetchSources, []netip.AddrPort{c.want})
 		})
 	}
 }
--- a/ingress/services/flow/plain.go
+++ b/ingress/services/flow/plain.go
@@ -20,27 +20,29 @@
 )
 
 const (
-	// maxSends bounds the servers that are asked in turn while each says that it did not run the request.
+	// maxSends limits how many servers are tried in turn while none of them runs the request.
 	maxSends = 3
-	// answerGrace is how much longer than the request's time an answer is waited for: the
-	// server's own word that time is up needs the way back.
+	// answerGrace is added to the timeout of an attempt: a server that stops at the deadline
+	// states so itself, and its answer takes time to arrive.
 	answerGrace = 150 * time.Millisecond
-	// maxHeldBytes is how much of a plain answer is held back until it is whole.
-	maxHeldBytes = 1 << 20
-	// silencePart is the part of the remaining time after which an idempotent request
-	// that got no answer is sent to another server.
-	silencePart = 3
+	// maxBufferedBytes limits how much of a plain answer is buffered before any of it is
+	// delivered. A shorter answer is only delivered complete.
+	maxBufferedBytes = 1 << 20
+	// attemptDivisor determines when an idempotent request without an answer is sent to another
+	// server: after one third of the remaining time.
+	attemptDivisor = 3
 )
 
-// verdict is what is done after one attempt.
+// verdict is the decision after an attempt.
 type verdict struct {
-	// result is the final answer unless the request goes on; nil: a backend server's answer was delivered.
+	// result is the final answer unless the request is retried. It is nil if a backend server's
+	// answer was delivered.
 	result *codes.Result
-	// again sends to another server.
-	again bool
+	// retry is set if the request is to be sent to another server.
+	retry bool
 }
 
-// servePlain asks one server after the other until one answers.
+// servePlain tries servers in turn until one of them answers or no further attempt is allowed.
 func (x *exchange) servePlain(ctx context.Context, w http.ResponseWriter) *codes.Result {
 	x.countRequest()
 	for {
@@ -52,10 +54,10 @@
 			return x.refuseNoServer()
 		}
 		v := x.tryPlain(ctx, w, server)
-		if !v.again {
+		if !v.retry {
 			return v.result
 		}
-		if x.left() <= 0 {
+		if x.remaining() <= 0 {
 			return v.result
 		}
 	}
@@ -63,39 +65,40 @@
 
 func (x *exchange) refuseNoServer() *codes.Result {
 	if x.sends > 0 {
-		return codes.NewResult(codes.Overloaded, "every server that may take it refused").WithRetryAfter(briefPause)
+		return codes.NewResult(codes.Overloaded, "every server that may take it refused").WithRetryAfter(shortRetryAfter)
 	}
-	return codes.NewResult(codes.NoBackend, x.describeNoServer()).WithRetryAfter(noServerPause)
+	return codes.NewResult(codes.NoBackend, x.describeNoServer()).WithRetryAfter(noServerRetryAfter)
 }
 
-// tryPlain sends the request to one server and delivers its answer once it is whole.
+// tryPlain sends the request to one server and delivers its answer once it is complete or exceeds
+// the buffer.
 func (x *exchange) tryPlain(ctx context.Context, w http.ResponseWriter, server site.Server) verdict {
 	x.tried = append(x.tried, server.ID)
 	x.sends++
-	sendCtx, cancel := context.WithTimeout(ctx, x.attemptTime()+answerGrace)
+	sendCtx, cancel := context.WithTimeout(ctx, x.attemptTimeout()+answerGrace)
 	defer cancel()
 	began := time.Now()
-	reply, err := x.server.options.Sender.Send(sendCtx, x.newSend(server, nil))
-	var held []byte
+	reply, err := x.server.options.Sender.Send(sendCtx, x.newAttempt(server, nil))
+	var buffered []byte
 	if err == nil {
 		defer func() { _ = reply.Body.Close() }()
-		held, err = io.ReadAll(io.LimitReader(reply.Body, maxHeldBytes))
+		buffered, err = io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
 	}
 	took := time.Since(began)
 	if err != nil {
-		return x.judgeError(ctx, server, err, took)
+		return x.handleError(ctx, server, err, took)
 	}
-	if v, unusable := x.judgeHead(server, reply, took); unusable {
+	if v, unusable := x.checkHead(server, reply, took); unusable {
 		return v
 	}
 	x.runs++
-	x.server.options.Screen.NoteServed(x.digest)
+	x.server.options.Screen.RecordServed(x.digest)
 	served := reply.Status < http.StatusInternalServerError
 	x.end(server, outcomeOf(served), took, reply.Load)
 	if !served && x.route.Kind == site.KindIdempotent && x.mayRunAgain("server-error") {
-		return verdict{again: true}
+		return verdict{retry: true}
 	}
-	x.deliver(w, reply, held)
+	x.deliver(w, reply, buffered)
 	return verdict{}
 }
 
@@ -106,16 +109,17 @@
 	return place.ResultFailed
 }
 
-// attemptTime is how long this attempt may take.
-func (x *exchange) attemptTime() time.Duration {
-	left := x.left()
+// attemptTimeout returns how long the next attempt may take. If another attempt may follow, it is
+// part of the remaining time, but not less than the latency target of the route.
+func (x *exchange) attemptTimeout() time.Duration {
+	remaining := x.remaining()
 	if x.route.Kind == site.KindIdempotent && x.runs+1 < x.route.MaxAttempts {
-		return max(left/silencePart, min(left, x.route.LatencyTarget))
+		return max(remaining/attemptDivisor, min(remaining, x.route.LatencyTarget))
 	}
-	return left
+	return remaining
 }
 
-func (x *exchange) newSend(server site.Server, handles []string) reach.Request {
+func (x *exchange) newAttempt(server site.Server, handles []string) reach.Request {
 	return reach.Request{
 		Method: x.Method,
 		Target: x.Target,
@@ -123,19 +127,19 @@
 		Header: x.Header,
 		Body:   x.Body,
 		Server: server,
-		Forward: site.UpstreamHeaders{
+		UpstreamHeaders: site.UpstreamHeaders{
 			AttemptID: x.AttemptID,
-			Remaining: x.left(),
+			Remaining: x.remaining(),
 			ServerID:  server.ID,
-			Team:      x.Grant.Team,
+			Team:      x.Decision.Team,
 			Handles:   handles,
 			HasStages: len(x.route.Stages) > 0,
 		},
 	}
 }
 
-// judgeError decides after an attempt that brought no whole answer.
-func (x *exchange) judgeError(ctx context.Context, server site.Server, err error, took time.Duration) verdict {
+// handleError records an attempt without a complete answer and decides how to proceed.
+func (x *exchange) handleError(ctx context.Context, server site.Server, err error, took time.Duration) verdict {
 	notSent := errors.Is(err, reach.ErrNotSent)
 	x.log.Warn("attempt-broken", zap.String("digest", string(x.digest)), zap.String("server", server.ID), zap.Stringer("address", server.Address),
 		zap.Bool("not-sent", notSent), zap.Duration("took", took), logs.Err(err))
@@ -146,42 +150,44 @@
 	if notSent {
 		x.end(server, place.ResultUnreachable, took, nil)
 		if x.sends < maxSends {
-			return verdict{again: true, result: x.refuseNoServer()}
+			return verdict{retry: true, result: x.refuseNoServer()}
 		}
 		return verdict{result: x.refuseNoServer()}
 	}
 	x.end(server, place.ResultBroken, took, nil)
-	x.noteBroken(server, took)
+	x.recordCrash(server, took)
 	x.runs++
 	if x.route.Kind == site.KindIdempotent && x.mayRunAgain("broken") {
-		return verdict{again: true, result: codes.NewResult(codes.DeadlineExceeded, "no whole answer in time")}
+		return verdict{retry: true, result: codes.NewResult(codes.DeadlineExceeded, "no whole answer in time")}
 	}
-	if x.left() <= 0 {
+	if x.remaining() <= 0 {
 		return verdict{result: codes.NewResult(codes.DeadlineExceeded, "no whole answer in time")}
 	}
 	return verdict{result: codes.NewResult(codes.BackendLost, "the connection to "+server.ID+" broke")}
 }
 
-// noteBroken notes an attempt that broke off a given time after it was sent.
-func (x *exchange) noteBroken(server site.Server, took time.Duration) {
-	x.server.options.Screen.NoteBroken(x.digest, server, time.Now().Add(-took))
+// recordCrash records an attempt that broke now, took after it was sent.
+func (x *exchange) recordCrash(server site.Server, took time.Duration) {
+	x.server.options.Screen.RecordCrash(x.digest, server, time.Now().Add(-took))
 }
 
-// mayRunAgain tells whether an idempotent request may run at one more server.
+// mayRunAgain reports whether a request that may already have run may be sent to another server.
+// If so, it takes a retry from the budget.
 func (x *exchange) mayRunAgain(reason string) bool {
-	return x.runs < x.route.MaxAttempts && x.left() > 0 && x.mayRepeat(reason)
+	return x.runs < x.route.MaxAttempts && x.remaining() > 0 && x.mayRetry(reason)
 }
 
-// judgeHead decides on answers that are not to be delivered.
-func (x *exchange) judgeHead(server site.Server, reply *reach.Reply, took time.Duration) (verdict, bool) {
+// checkHead checks the status and headers of an answer. If the answer must not be delivered, it
+// returns true and the decision how to proceed.
+func (x *exchange) checkHead(server site.Server, reply *reach.Reply, took time.Duration) (verdict, bool) {
 	if reply.NotRun {
-		return x.judgeRefusal(server, reply, took), true
+		return x.handleRefusal(server, reply, took), true
 	}
-	// An answer to another attempt, or without the signature, is not this
-	// request's: the server sent something else, and may have run the request.
+	// An answer to another attempt, or a successful one that is unsigned or has a content encoding,
+	// is not the answer to this request. The server may have run the request nevertheless.
 	foreign := reply.AttemptID != x.AttemptID
 	success := reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices
-	if !foreign && (!success || reply.Signed && !reply.Encoded) && !isPromise(reply.Status) {
+	if !foreign && (!success || reply.Signed && !reply.Encoded) && !impliesNotRun(reply.Status) {
 		return verdict{}, false
 	}
 	x.log.Warn("answer-unusable", zap.String("server", server.ID), zap.Int("status", reply.Status),
@@ -189,14 +195,15 @@
 	x.end(server, place.ResultFailed, took, reply.Load)
 	x.runs++
 	if x.route.Kind == site.KindIdempotent && x.mayRunAgain("unusable") {
-		return verdict{again: true, result: codes.NewResult(codes.BackendFailed, "the answers were not to this request")}, true
+		return verdict{retry: true, result: codes.NewResult(codes.BackendFailed, "the answers were not to this request")}, true
 	}
 	return verdict{result: codes.NewResult(codes.BackendLost, "the answer of "+server.ID+" is not to this request")}, true
 }
 
-// isPromise tells statuses that say "not run": without the server's own word for it
-// they must not reach the caller, who would send the request again.
-func isPromise(status int) bool {
+// impliesNotRun reports whether callers take a status to mean that the request did not run. Unless
+// the server itself states that it did not run the request, such a status must not be delivered,
+// because the caller would retry the request.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -205,42 +212,45 @@
 	}
 }
 
-// judgeRefusal decides after a server's word that it did not run the request.
-func (x *exchange) judgeRefusal(server site.Server, reply *reach.Reply, took time.Duration) verdict {
+// handleRefusal records an answer that states that the server did not run the request, and decides
+// how to proceed.
+func (x *exchange) handleRefusal(server site.Server, reply *reach.Reply, took time.Duration) verdict {
 	x.log.Info("attempt-refused", zap.String("server", server.ID), zap.Int("status", reply.Status), zap.Stringer("load", reply.Load))
 	x.end(server, place.ResultRefused, took, reply.Load)
-	refused := codes.NewResult(codes.Overloaded, "the servers of "+x.service+" are full").WithRetryAfter(x.overloadPause())
+	refused := codes.NewResult(codes.Overloaded, "the servers of "+x.service+" are full").WithRetryAfter(x.overloadRetryAfter())
 	if reply.Status == http.StatusConflict {
-		// A result has gone; any other engine would miss it as well.
-		return verdict{result: codes.NewResult(codes.Overloaded, "a result of the stages has gone").WithRetryAfter(briefPause)}
+		// A result of the stages is no longer available, so no other engine could fetch it either.
+		return verdict{result: codes.NewResult(codes.Overloaded, "a result of the stages has gone").WithRetryAfter(shortRetryAfter)}
 	}
-	if x.sends < maxSends && x.mayRepeat("refused") {
-		return verdict{again: true, result: refused}
+	if x.sends < maxSends && x.mayRetry("refused") {
+		return verdict{retry: true, result: refused}
 	}
 	return verdict{result: refused}
 }
 
-// overloadPause is when a full service likely takes a request: about one latency objective.
-func (x *exchange) overloadPause() time.Duration {
-	return max(x.route.LatencyTarget, briefPause)
+// overloadRetryAfter returns the Retry-After for a service whose servers are full: about the latency
+// target, after which it likely accepts requests again.
+func (x *exchange) overloadRetryAfter() time.Duration {
+	return max(x.route.LatencyTarget, shortRetryAfter)
 }
 
-// deliver writes a whole answer, or the rest of one that is too long to be held.
-func (x *exchange) deliver(w http.ResponseWriter, reply *reach.Reply, held []byte) {
+// deliver writes the buffered answer. If it fills the buffer, deliver then copies the rest of the
+// body as it arrives.
+func (x *exchange) deliver(w http.ResponseWriter, reply *reach.Reply, buffered []byte) {
 	copyHeader(w.Header(), reply.Header)
-	if len(held) < maxHeldBytes {
-		w.Header().Set("Content-Length", strconv.Itoa(len(held)))
+	if len(buffered) < maxBufferedBytes {
+		w.Header().Set("Content-Length", strconv.Itoa(len(buffered)))
 		w.WriteHeader(reply.Status)
-		_, _ = w.Write(held) // a caller that has gone needs no answer
+		_, _ = w.Write(buffered) // fails only if the caller has disconnected
 		return
 	}
 	if reply.Length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 	}
 	w.WriteHeader(reply.Status)
-	if _, err := io.Copy(w, io.MultiReader(bytes.NewReader(held), reply.Body)); err != nil {
+	if _, err := io.Copy(w, io.MultiReader(bytes.NewReader(buffered), reply.Body)); err != nil {
 		x.log.Warn("answer-broken", logs.Err(err))
-		panic(http.ErrAbortHandler) // what is incomplete must not look whole
+		panic(http.ErrAbortHandler) // an incomplete answer must not look complete
 	}
 }
 
--- a/ingress/services/flow/quarantine_test.go
+++ b/ingress/services/flow/quarantine_test.go
@@ -13,68 +13,69 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// screen quarantines every request from the given question on; 0: none.
-type screen struct {
-	from int
-	// tried is set where a quarantined request is to be sent once.
-	tried bool
+// fakeScreen counts what is recorded, and quarantines all requests from a given check on.
+type fakeScreen struct {
+	// quarantinedFrom is the number of the first call of IsQuarantined that returns true; 0: none.
+	quarantinedFrom int
+	// allowTrial is the result of TakeTrial.
+	allowTrial bool
 
-	lock  sync.Mutex
-	asked int
-	// served and broken count what it was told.
-	served, broken int
+	lock   sync.Mutex
+	checks int
+	// served and crashes count the recorded requests and attempts.
+	served, crashes int
 }
 
-func (s *screen) IsQuarantined(poison.ID) bool {
+func (s *fakeScreen) IsQuarantined(poison.ID) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.asked++
-	return s.from > 0 && s.asked >= s.from
+	s.checks++
+	return s.quarantinedFrom > 0 && s.checks >= s.quarantinedFrom
 }
 
-func (s *screen) TakeTrial(context.Context, poison.ID) bool { return s.tried }
+func (s *fakeScreen) TakeTrial(context.Context, poison.ID) bool { return s.allowTrial }
 
-func (s *screen) NoteBroken(poison.ID, site.Server, time.Time) {
+func (s *fakeScreen) RecordCrash(poison.ID, site.Server, time.Time) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.broken++
+	s.crashes++
 }
 
-func (s *screen) NoteServed(poison.ID) {
+func (s *fakeScreen) RecordServed(poison.ID) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.served++
 }
 
-// Guards against a quarantined request that reaches a server: one that arrives, and one whose
-// results were being made when it was quarantined.
+// Guards against a quarantined request reaching a server, whether it is quarantined on arrival or
+// while the results of its stages are produced.
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	for _, from := range []int{1, 2} {
 		is := is.New(t)
-		route := sceneRoute()
-		s := &scene{view: sceneView(1, route, engine("n", "n1", "10.0.0.8:1")), screen: screen{from: from}}
+		route := newRoute()
+		s := &deployment{view: newView(1, route, newEngine("n", "n1", "10.0.0.8:1")), screen: fakeScreen{quarantinedFrom: from}}
 		answer := s.serve(route)
 		is.Equal(answer.Code, http.StatusServiceUnavailable)
-		is.Equal(len(s.sent), 0)
+		is.Equal(len(s.sentTo), 0)
 	}
 }
 
-// Guards against a bystander that is held to have crashed servers though it was served.
-func TestServedRequestIsNoted(t *testing.T) {
+// Guards against a harmless request being counted as crashing servers although it was served.
+func TestServedRequestIsRecorded(t *testing.T) {
 	is := is.New(t)
-	route := sceneRoute()
-	s := &scene{view: sceneView(1, route, engine("n", "n1", "10.0.0.8:1"))}
+	route := newRoute()
+	s := &deployment{view: newView(1, route, newEngine("n", "n1", "10.0.0.8:1"))}
 	is.Equal(s.serve(route).Code, http.StatusOK)
 	is.Equal(s.screen.served, 1)
-	is.Equal(s.screen.broken, 0)
+	is.Equal(s.screen.crashes, 0)
 }
 
-// Guards against a quarantine that nothing can end: a trial reaches one server.
+// Guards against a quarantine that can never end because trials do not reach a server.
 func TestTrialIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	route := sceneRoute()
-	s := &scene{view: sceneView(1, route, engine("n", "n1", "10.0.0.8:1")), screen: screen{from: 1, tried: true}}
+	route := newRoute()
+	s := &deployment{view: newView(1, route, newEngine("n", "n1", "10.0.0.8:1")), screen: fakeScreen{quarantinedFrom: 1, allowTrial: true}}
 	is.Equal(s.serve(route).Code, http.StatusOK)
-	is.Equal(len(s.sent), 1)
+	is.Equal(len(s.sentTo), 1)
 	is.Equal(s.screen.served, 1)
 }
--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -19,71 +19,74 @@
 	"verbenaroad.example/share/modules/logs"
 )
 
-// serveStream has the stages' results made and relays the events of an engine.
+// serveStream has the results of the stages produced and relays the events of an engine.
 func (x *exchange) serveStream(ctx context.Context, w http.ResponseWriter) *codes.Result {
-	ctx, cancel := context.WithDeadline(ctx, x.ends)
+	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
-	defer x.giveUpSeat()
-	// The engine is chosen first, so that results are made where they will be used.
-	if !x.takeSeat(ctx) {
-		return x.leftOr(ctx, x.refuseNoServer())
+	defer x.cancelReservation()
+	// The engine is chosen first, so that the results are produced in its failure domain.
+	if !x.reserveEngine(ctx) {
+		return x.resolveCancellation(ctx, x.refuseNoServer())
 	}
 	r := &relay{exchange: x, writer: w}
 	defer r.releaseResults()
-	if result := r.makeResults(ctx); result != nil {
-		return x.leftOr(ctx, result)
+	if result := r.produceResults(ctx); result != nil {
+		return x.resolveCancellation(ctx, result)
 	}
 	x.countRequest()
-	return x.leftOr(ctx, r.run(ctx))
+	return x.resolveCancellation(ctx, r.run(ctx))
 }
 
-// takeSeat asks for a place at an engine.
-func (x *exchange) takeSeat(ctx context.Context) bool {
-	x.giveUpSeat()
-	x.seat = x.server.options.Desk.Place(ctx, x.service, x.newQuery())
-	if x.seat == nil {
+// reserveEngine replaces the reservation by one for a newly chosen engine. It returns false if no
+// engine is eligible.
+func (x *exchange) reserveEngine(ctx context.Context) bool {
+	x.cancelReservation()
+	x.reservation = x.server.options.EnginePlacer.Place(ctx, x.service, x.newQuery())
+	if x.reservation == nil {
 		return false
 	}
-	x.log.Info("placed", zap.String("server", x.seat.Server().ID), zap.String("by", x.seat.By),
-		zap.Duration("predicted-wait", x.seat.Wait), zap.String("fetch-from", x.seat.FetchFrom))
+	x.log.Info("placed", zap.String("server", x.reservation.Server().ID), zap.String("by", x.reservation.By),
+		zap.Duration("predicted-wait", x.reservation.Wait), zap.String("fetch-from", x.reservation.FetchFrom))
 	return true
 }
 
-// fetchFrom returns the engine from which the chosen one fetches what it lacks of the
-// prompt. It may have left since the request was placed; the prompt is read then.
+// fetchFrom returns the engine from which the chosen one fetches the prompt parts that it lacks. If
+// that engine has left since the placement, or the request's data must not be in its region, the
+// address is not valid and the chosen engine prefills the prompt itself.
 func (x *exchange) fetchFrom() netip.AddrPort {
-	if x.seat.FetchFrom == "" {
+	if x.reservation.FetchFrom == "" {
 		return netip.AddrPort{}
 	}
-	source, found := assign.FindServer(x.server.options.Views.View(), x.service, x.seat.FetchFrom)
+	source, found := assign.FindServer(x.server.options.Views.View(), x.service, x.reservation.FetchFrom)
 	if !found || !x.residency().Allows(x.server.options.Regions[source.Domain]) {
 		return netip.AddrPort{}
 	}
 	return source.Address
 }
 
-// giveUpSeat frees the place of a request that did not get to its end there.
-func (x *exchange) giveUpSeat() {
-	if x.seat != nil {
-		x.seat.Ended(place.ResultCanceled)
+// cancelReservation releases the reservation as canceled. It does nothing if the reservation has
+// already ended.
+func (x *exchange) cancelReservation() {
+	if x.reservation != nil {
+		x.reservation.Ended(place.ResultCanceled)
 	}
 }
 
-// isSeatGood tells whether the engine may still take the request: while the results were
-// made it may have begun to leave, its failure domain may be evacuated, the route may be
-// kept out of its region, or it may have turned cold, so that nobody counted the
-// requests that were placed there before.
-func (x *exchange) isSeatGood() bool {
-	server, found := assign.FindServer(x.server.options.Views.View(), x.service, x.seat.Server().ID)
+// isReservationUsable reports whether the request may still be sent to the reserved engine. While
+// the results were produced, the engine may have begun to leave, its failure domain may have been
+// evacuated, or a new configuration may exclude its region. It may also have become cold, in which
+// case the requests placed there before were not counted against its rate limit.
+func (x *exchange) isReservationUsable() bool {
+	server, found := assign.FindServer(x.server.options.Views.View(), x.service, x.reservation.Server().ID)
 	if !found || !x.residency().Allows(x.server.options.Regions[server.Domain]) {
 		return false
 	}
-	return !server.IsCold(time.Now()) || x.seat.WasCold
+	return !server.IsCold(time.Now()) || x.reservation.WasCold
 }
 
-// leftOr tells a request whose caller left from one whose time ran out: work that
-// is given up looks alike in both.
-func (x *exchange) leftOr(ctx context.Context, result *codes.Result) *codes.Result {
+// resolveCancellation distinguishes whether the caller disconnected or the deadline passed: an
+// abandoned operation returns codes.Canceled in both cases.
+func (x *exchange) resolveCancellation(ctx context.Context, result *codes.Result) *codes.Result {
 	switch {
 	case result == nil:
 		return nil
@@ -96,39 +99,41 @@
 	}
 }
 
-// relay forwards the events of one stream, over more than one engine where the route allows it.
+// relay forwards the events of one stream. If the route is resumable, the stream may continue at
+// another engine.
 type relay struct {
 	*exchange
 	writer http.ResponseWriter
-	// results are what the engine fetches; nil where the route has no stages, and
-	// once the engine has fetched them.
+	// results are the stage results that the engine fetches; nil if the route has no stages, and
+	// after releaseResults.
 	results *pieces.Results
-	// keepsResults is set once an engine had not fetched them in fetchTime.
-	keepsResults bool
-	// headed is set once the head of the answer went to the caller.
-	headed bool
-	// lastID is the ID of the last event that went to the caller.
+	// keepResults is set after an engine failed to fetch the results within fetchTime. They are
+	// then kept until the first event.
+	keepResults bool
+	// headSent is set once the status and headers of the answer were written to the caller.
+	headSent bool
+	// lastID is the ID of the last event that was written to the caller.
 	lastID string
 }
 
-// makeResults has the stages' results made, unless they are there.
-func (r *relay) makeResults(ctx context.Context) *codes.Result {
+// produceResults has the results of the stages produced unless they exist already.
+func (r *relay) produceResults(ctx context.Context) *codes.Result {
 	if len(r.route.Stages) == 0 || r.results != nil {
 		return nil
 	}
-	results, failed := r.server.options.Maker.MakeChain(ctx, pieces.Chain{
+	results, failed := r.server.options.StageRunner.MakeChain(ctx, pieces.Chain{
 		AttemptID: r.AttemptID,
 		Request:   string(r.digest),
 		Key:       r.ItemKey,
 		Items:     r.ItemCounts,
 		Stages:    r.route.Stages,
-		Rank:      r.Grant.Rank,
+		Rank:      r.Decision.Rank,
 		Target:    r.Arrived.Add(r.route.LatencyTarget),
-		Ends:      r.route.FirstEventDeadline(r.Arrived, r.ends),
-		Domain:    r.seat.Server().Domain,
+		Ends:      r.route.FirstEventDeadline(r.Arrived, r.deadline),
+		Domain:    r.reservation.Server().Domain,
 		Residency: r.residency(),
 		Refuse:    r.refuseQuarantined,
-		OnLast:    func() { r.server.options.Sender.Warm(r.seat.Server().Address) },
+		OnLast:    func() { r.server.options.Sender.Warm(r.reservation.Server().Address) },
 		Log:       r.log,
 	})
 	if failed != nil {
@@ -138,27 +143,28 @@
 	return nil
 }
 
-// fetchTime is how long after it was sent a request's engine has fetched the results.
-// Engines fetch them before they read the prompt.
+// fetchTime is the time after which an engine is expected to have fetched the results of a request
+// that was sent to it. Engines fetch them before they prefill the prompt.
 const fetchTime = 200 * time.Millisecond
 
-// releaseSoon gives up the results when the engine has surely fetched them. Held until
-// the first event they take their pool's memory for as long as the engine reads the
-// prompt, and in a burst of large results that memory binds. Stop ends it.
-func (r *relay) releaseSoon() (stop func()) {
-	if r.results == nil || r.keepsResults {
+// scheduleRelease releases the results after fetchTime unless stop is called before. If they were
+// kept until the first event, they would occupy memory of their pool while the engine prefills the
+// prompt, and in a burst of large results this memory is the bottleneck.
+func (r *relay) scheduleRelease() (stop func()) {
+	if r.results == nil || r.keepResults {
 		return func() {}
 	}
 	t := time.AfterFunc(fetchTime, r.results.Release)
 	return func() { t.Stop() }
 }
 
-// isReleasedEarly tells whether an engine missed a result that was given up before it
-// fetched it. The results are made again then, and kept until the first event.
-func (r *relay) isReleasedEarly(reply *reach.Reply) bool {
-	return reply.NotRun && reply.Status == http.StatusConflict && r.results != nil && r.results.IsReleased() && !r.keepsResults
+// wasReleasedEarly reports whether an engine refused the request because the results were released
+// before it fetched them. They are then produced again and kept until the first event.
+func (r *relay) wasReleasedEarly(reply *reach.Reply) bool {
+	return reply.NotRun && reply.Status == http.StatusConflict && r.results != nil && r.results.IsReleased() && !r.keepResults
 }
 
+// releaseResults releases the results at their pool, if that has not been done yet.
 func (r *relay) releaseResults() {
 	if r.results != nil {
 		r.results.Release()
@@ -166,36 +172,38 @@
 	}
 }
 
-// run relays until the stream is complete or cannot go on.
+// run relays events until the stream is complete or cannot continue.
 func (r *relay) run(ctx context.Context) *codes.Result {
 	r.lastID = r.LastEventID
 	for {
-		if len(r.tried) > 0 || !r.isSeatGood() {
-			if !r.takeSeat(ctx) {
-				return r.stop(r.refuseNoServer())
+		if len(r.tried) > 0 || !r.isReservationUsable() {
+			if !r.reserveEngine(ctx) {
+				return r.endStream(r.refuseNoServer())
 			}
 		}
-		// A stream that goes on at another engine needs its inputs there as well, and
-		// they were released when the first one had fetched them.
-		if result := r.makeResults(ctx); result != nil {
-			return r.stop(result)
+		// A stream that continues at another engine needs the results there as well, and they
+		// were released after the first engine had fetched them.
+		if result := r.produceResults(ctx); result != nil {
+			return r.endStream(result)
 		}
-		// While the results were made it may have crashed servers elsewhere.
+		// The request may have been quarantined while the results were produced, because it
+		// crashed servers when sent by other ingresses.
 		if quarantined := r.refuseQuarantined(); quarantined != nil {
-			return r.stop(quarantined)
+			return r.endStream(quarantined)
 		}
-		r.seat.Sent()
-		v := r.try(ctx, r.seat.Server())
-		if !v.again || r.left() <= 0 {
-			return r.stop(v.result)
+		r.reservation.Sent()
+		v := r.try(ctx, r.reservation.Server())
+		if !v.retry || r.remaining() <= 0 {
+			return r.endStream(v.result)
 		}
 	}
 }
 
-// stop ends the answer. One whose head went out cannot be refused any more; the
-// connection is cut, so that the caller sees that the stream is incomplete.
-func (r *relay) stop(result *codes.Result) *codes.Result {
-	if result == nil || !r.headed {
+// endStream returns the result with which the request ends. If the answer has begun, it can no
+// longer be replaced by an error; endStream then closes the connection, so that the caller sees
+// that the stream is incomplete.
+func (r *relay) endStream(result *codes.Result) *codes.Result {
+	if result == nil || !r.headSent {
 		return result
 	}
 	r.log.Warn("stream-cut", zap.String("code", result.Code.Name()), zap.String("detail", result.Detail),
@@ -204,6 +212,7 @@
 	panic(http.ErrAbortHandler)
 }
 
+// try sends the request to one engine and relays its events.
 func (r *relay) try(ctx context.Context, server site.Server) verdict {
 	r.tried = append(r.tried, server.ID)
 	r.sends++
@@ -213,84 +222,84 @@
 	if r.results != nil {
 		handles = r.results.Handles
 	}
-	send := r.newSend(server, handles)
-	send.Forward.LastEventID = r.lastID
-	send.Forward.FetchFrom = r.fetchFrom()
-	stop := r.releaseSoon()
-	defer stop()
+	attempt := r.newAttempt(server, handles)
+	attempt.UpstreamHeaders.LastEventID = r.lastID
+	attempt.UpstreamHeaders.FetchFrom = r.fetchFrom()
+	stopRelease := r.scheduleRelease()
+	defer stopRelease()
 	began := time.Now()
-	reply, err := r.server.options.Sender.Send(ctx, send)
+	reply, err := r.server.options.Sender.Send(ctx, attempt)
 	if err != nil {
-		return r.judgeBreak(ctx, server, err, time.Since(began))
+		return r.handleBreak(ctx, server, err, time.Since(began))
 	}
 	defer func() { _ = reply.Body.Close() }()
-	if v, unusable := r.judgeHead(server, reply, time.Since(began)); unusable {
-		if r.isReleasedEarly(reply) && r.mayRepeat("results-gone") {
-			r.keepsResults = true
+	if v, unusable := r.checkHead(server, reply, time.Since(began)); unusable {
+		if r.wasReleasedEarly(reply) && r.mayRetry("results-gone") {
+			r.keepResults = true
 			r.releaseResults()
-			v.again = true
+			v.retry = true
 		}
 		return v
 	}
 	if reply.Status >= http.StatusMultipleChoices {
-		return r.takeFailure(ctx, server, reply, time.Since(began))
+		return r.handleFailure(ctx, server, reply, time.Since(began))
 	}
 	r.runs++
 	err = r.forward(server, reply)
 	took := time.Since(began)
 	if err != nil {
-		r.runs-- // counted by judgeBreak
-		return r.judgeBreak(ctx, server, err, took)
+		r.runs-- // handleBreak counts it again
+		return r.handleBreak(ctx, server, err, took)
 	}
 	r.end(server, place.ResultServed, took, reply.Load)
-	r.server.options.Screen.NoteServed(r.digest)
+	r.server.options.Screen.RecordServed(r.digest)
 	return verdict{}
 }
 
-// takeFailure delivers an engine's own failure, which is no stream of events, whole
-// as it came. A stream that may be resumed is tried at another engine first, and one
-// whose head went to the caller can only go on there or be cut.
-func (r *relay) takeFailure(ctx context.Context, server site.Server, reply *reach.Reply, took time.Duration) verdict {
-	held, err := io.ReadAll(io.LimitReader(reply.Body, maxHeldBytes))
+// handleFailure handles an engine's answer with a status of 300 or above, which is not a stream of
+// events. A resumable stream is first tried at another engine. Otherwise the engine's answer is
+// delivered unchanged, unless the answer to the caller has already begun; the stream then fails.
+func (r *relay) handleFailure(ctx context.Context, server site.Server, reply *reach.Reply, took time.Duration) verdict {
+	buffered, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
 	if err != nil {
-		return r.judgeBreak(ctx, server, err, took)
+		return r.handleBreak(ctx, server, err, took)
 	}
 	r.log.Warn("stream-refused", zap.String("server", server.ID), zap.Int("status", reply.Status), zap.Duration("took", took))
 	r.runs++
-	r.server.options.Screen.NoteServed(r.digest)
+	r.server.options.Screen.RecordServed(r.digest)
 	r.end(server, outcomeOf(reply.Status < http.StatusInternalServerError), took, reply.Load)
 	if r.route.Resumable && r.mayRunAgain("server-error") {
-		return verdict{again: true, result: codes.NewResult(codes.BackendFailed, server.ID+" failed")}
+		return verdict{retry: true, result: codes.NewResult(codes.BackendFailed, server.ID+" failed")}
 	}
-	if r.headed {
+	if r.headSent {
 		return verdict{result: codes.NewResult(codes.BackendFailed, server.ID+" failed")}
 	}
-	r.deliver(r.writer, reply, held)
+	r.deliver(r.writer, reply, buffered)
 	return verdict{}
 }
 
-// judgeBreak decides after a stream that broke off or never began. Only a
-// resumable one may go on, at another server, after the last event that arrived.
-func (r *relay) judgeBreak(ctx context.Context, server site.Server, err error, took time.Duration) verdict {
+// handleBreak records a stream that broke off or never began, and decides how to proceed. Only a
+// resumable stream may continue at another server, after the last event that was received.
+func (r *relay) handleBreak(ctx context.Context, server site.Server, err error, took time.Duration) verdict {
 	var caller *callerError
 	if errors.As(err, &caller) {
 		r.end(server, place.ResultCanceled, took, nil)
 		return verdict{result: codes.NewResult(codes.Canceled, "the caller left")}
 	}
-	left := errors.Is(ctx.Err(), context.Canceled)
-	if left || errors.Is(err, reach.ErrNotSent) || ctx.Err() == nil && !r.route.Resumable {
-		return r.judgeError(ctx, server, err, took)
+	callerLeft := errors.Is(ctx.Err(), context.Canceled)
+	if callerLeft || errors.Is(err, reach.ErrNotSent) || ctx.Err() == nil && !r.route.Resumable {
+		return r.handleError(ctx, server, err, took)
 	}
 	r.log.Warn("stream-broken", zap.String("digest", string(r.digest)), zap.String("server", server.ID), zap.String("last-event", r.lastID),
 		zap.Duration("took", took), logs.Err(err))
 	r.end(server, place.ResultBroken, took, nil)
-	r.noteBroken(server, took)
+	r.recordCrash(server, took)
 	r.runs++
-	if ctx.Err() != nil || r.left() <= 0 {
+	if ctx.Err() != nil || r.remaining() <= 0 {
 		return verdict{result: codes.NewResult(codes.DeadlineExceeded, "the stream did not end in time")}
 	}
 	if r.route.Resumable && r.mayRunAgain("resume") {
-		return verdict{again: true, result: codes.NewResult(codes.AnswerIncomplete, "the stream broke off")}
+		return verdict{retry: true, result: codes.NewResult(codes.AnswerIncomplete, "the stream broke off")}
 	}
 	return verdict{result: codes.NewResult(codes.AnswerIncomplete, "the stream broke off")}
 }
--- a/ingress/services/flow/stream_test.go
+++ b/ingress/services/flow/stream_test.go
@@ -27,14 +27,14 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-type views struct{ view *state.View }
+type fixedView struct{ view *state.View }
 
-func (v views) View() *state.View { return v.view }
+func (v fixedView) View() *state.View { return v.view }
 
-// desk places at one of the engines of a view.
-type desk struct{ placer *assign.Placer }
+// enginePlacer places requests at the engines of a view.
+type enginePlacer struct{ placer *assign.Placer }
 
-func (d desk) Place(_ context.Context, service string, q place.Query) *assign.Seat {
+func (d enginePlacer) Place(_ context.Context, service string, q place.Query) *assign.Seat {
 	return d.placer.Place(service, q)
 }
 
@@ -42,44 +42,44 @@
 
 func (noMeter) CountAnswer(string, string, time.Duration) {}
 func (noMeter) CountFirstEvent(string, time.Duration)     {}
-func (noMeter) CountRepeat(string, string)                {}
+func (noMeter) CountRetry(string, string)                 {}
 
-// maker counts how often results were made, and how many are held.
-type maker struct{ made, held atomic.Int64 }
+// stageRunner counts how often results were produced, and how many are not yet released.
+type stageRunner struct{ runs, held atomic.Int64 }
 
-func (m *maker) MakeChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
-	m.made.Add(1)
+func (m *stageRunner) MakeChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
+	m.runs.Add(1)
 	m.held.Add(1)
 	return pieces.NewResults([]string{"10.0.0.1:1/a"}, func() { m.held.Add(-1) }), nil
 }
 
-// busy is a first engine that fetches results only after 300 ms, and a second one that
-// does so at once and reads the prompt for 300 ms.
-type busy struct {
-	maker *maker
-	sends atomic.Int64
-	// heldAtEvent is what was held when the second engine's first event came.
+// slowEngines simulates two engines. The first fetches results only after 300 ms. The second
+// fetches them at once and then prefills the prompt for 300 ms.
+type slowEngines struct {
+	stageRunner *stageRunner
+	sends       atomic.Int64
+	// heldAtEvent is the number of results held when the second engine sends its first event.
 	heldAtEvent atomic.Int64
 }
 
-func (*busy) Warm(netip.AddrPort) {}
+func (*slowEngines) Warm(netip.AddrPort) {}
 
-func (b *busy) Send(_ context.Context, r reach.Request) (*reach.Reply, error) {
+func (b *slowEngines) Send(_ context.Context, r reach.Request) (*reach.Reply, error) {
 	time.Sleep(300 * time.Millisecond)
-	answer := site.Answer{Status: http.StatusConflict, NotRun: true, AttemptID: r.Forward.AttemptID, Header: http.Header{}}
+	answer := site.Answer{Status: http.StatusConflict, NotRun: true, AttemptID: r.UpstreamHeaders.AttemptID, Header: http.Header{}}
 	body := ""
 	if b.sends.Add(1) > 1 {
-		b.heldAtEvent.Store(b.maker.held.Load())
-		answer = site.Answer{Status: http.StatusOK, Signed: true, AttemptID: r.Forward.AttemptID, Header: http.Header{}}
+		b.heldAtEvent.Store(b.stageRunner.held.Load())
+		answer = site.Answer{Status: http.StatusOK, Signed: true, AttemptID: r.UpstreamHeaders.AttemptID, Header: http.Header{}}
 		body = "id: 1\ndata: x\n\n"
 	}
 	return &reach.Reply{Answer: answer, Body: io.NopCloser(strings.NewReader(body)), Length: -1}, nil
 }
 
-// An engine that is busy fetches a review's drawings later than engines do, when they
-// were given up, and says that it did not run the review. The drawings are made again and
-// kept, and the caller gets its review from another engine, late but whole.
-func TestResultsGivenUpTooEarlyAreMadeAgain(t *testing.T) {
+// Guards against a request failing because its results were released before a busy engine fetched
+// them. The engine states that it did not run the request. The results must be produced again and
+// kept until the first event, and the caller must receive a complete answer from another engine.
+func TestResultsReleasedTooEarlyAreProducedAgain(t *testing.T) {
 	is := is.New(t)
 	route := site.Route{
 		Name: "reviews", Kind: site.KindStream, Timeout: 5 * time.Second, LatencyTarget: time.Second, MaxAttempts: 2,
@@ -96,21 +96,21 @@
 	}
 	placer := assign.NewPlacer(nil, cold.Settings{})
 	placer.TakeView(view)
-	results := &maker{}
-	engines := &busy{maker: results}
+	results := &stageRunner{}
+	engines := &slowEngines{stageRunner: results}
 	server := flow.NewServer(flow.Options{
-		Views: views{view}, Sender: engines, Maker: results, Desk: desk{placer}, Screen: &screen{}, Meter: noMeter{}, Log: zap.NewNop(),
-		Repeats: budget.Settings{Ratio: 1, Slack: 10, Window: time.Second},
+		Views: fixedView{view}, Sender: engines, StageRunner: results, EnginePlacer: enginePlacer{placer}, Screen: &fakeScreen{}, Meter: noMeter{}, Log: zap.NewNop(),
+		Retries: budget.Settings{Ratio: 1, Slack: 10, Window: time.Second},
 	})
 	answer := httptest.NewRecorder()
 	server.Serve(context.Background(), answer, &flow.Request{
 		Request: site.Request{AttemptID: "a", CallerTimeout: 5 * time.Second, ItemCounts: []int{2}},
 		Method:  http.MethodPost, Target: "/", Arrived: time.Now(), Header: http.Header{},
-		Grant: access.Decision{Verdict: access.Granted, Route: &route}, View: view,
+		Decision: access.Decision{Verdict: access.Granted, Route: &route}, View: view,
 	})
 	is.Equal(answer.Code, http.StatusOK)
 	is.Equal(answer.Body.String(), "id: 1\ndata: x\n\n")
-	is.Equal(results.made.Load(), int64(2))
-	is.Equal(engines.heldAtEvent.Load(), int64(1)) // kept until the event this time
+	is.Equal(results.runs.Load(), int64(2))
+	is.Equal(engines.heldAtEvent.Load(), int64(1)) // kept until the first event this time
 	is.Equal(results.held.Load(), int64(0))
 }
--- a/ingress/services/meters/meters.go
+++ b/ingress/services/meters/meters.go
@@ -79,8 +79,8 @@
 	m.firsts.WithLabelValues(route).Observe(took.Seconds())
 }
 
-// CountRepeat notes a request that is sent once more.
-func (m *Meters) CountRepeat(service, reason string) {
+// CountRetry notes a request that is sent once more.
+func (m *Meters) CountRetry(service, reason string) {
 	m.repeats.WithLabelValues(service, reason).Inc()
 }
 
--- a/ingress/services/reach/reach.go
+++ b/ingress/services/reach/reach.go
@@ -56,10 +56,10 @@
 	Target string
 	Host   string
 	// Header holds the caller's own headers; it is not changed.
-	Header  http.Header
-	Body    []byte
-	Server  site.Server
-	Forward site.UpstreamHeaders
+	Header          http.Header
+	Body            []byte
+	Server          site.Server
+	UpstreamHeaders site.UpstreamHeaders
 }
 
 // Reply is an answer whose body is still to be read.
@@ -163,9 +163,9 @@
 	return c.fresh.RoundTrip(r)
 }
 
-// DoAgain sends a request that an adapter made and that may be done twice: once more
+// DoIdempotent sends a request that an adapter made and that may be done twice: once more
 // on a connection of its own where a kept one was found closed.
-func (c *Client) DoAgain(r *http.Request) (*http.Response, error) {
+func (c *Client) DoIdempotent(r *http.Request) (*http.Response, error) {
 	response, err := c.kept.RoundTrip(r)
 	if err == nil || r.Context().Err() != nil || r.GetBody == nil {
 		return response, err
@@ -223,7 +223,7 @@
 	if request.Header.Get("User-Agent") == "" {
 		request.Header["User-Agent"] = nil // else net/http names itself
 	}
-	c.codec.WriteRequest(request.Header, r.Forward)
+	c.codec.WriteRequest(request.Header, r.UpstreamHeaders)
 	return request, nil
 }
 
--- a/ingress/services/screen/screen.go
+++ b/ingress/services/screen/screen.go
@@ -96,9 +96,9 @@
 	return s
 }
 
-// TakeView takes the quarantines of a new view. One of a request that was served here is ended: it
+// SetView takes the quarantines of a new view. One of a request that was served here is ended: it
 // was a bystander.
-func (s *Screen) TakeView(v *state.View) {
+func (s *Screen) SetView(v *state.View) {
 	before := s.view.Swap(v)
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -131,8 +131,8 @@
 	return s.decided[id]
 }
 
-// NoteServed notes a request that a server answered whole. It does not crash servers.
-func (s *Screen) NoteServed(id poison.ID) {
+// RecordServed notes a request that a server answered whole. It does not crash servers.
+func (s *Screen) RecordServed(id poison.ID) {
 	s.lock.Lock()
 	s.served.Add(id)
 	reported := s.reported[id]
@@ -146,8 +146,8 @@
 	}
 }
 
-// NoteBroken notes an attempt that broke off its server, and has it counted where the server crashed.
-func (s *Screen) NoteBroken(id poison.ID, server site.Server, sent time.Time) {
+// RecordCrash notes an attempt that broke off its server, and has it counted where the server crashed.
+func (s *Screen) RecordCrash(id poison.ID, server site.Server, sent time.Time) {
 	go s.runReport(id, server, poison.Crash{Server: startOf(server), Version: server.Version, SentAt: sent, BrokeAt: time.Now()})
 }
 
--- a/ingress/services/screen/screen_test.go
+++ b/ingress/services/screen/screen_test.go
@@ -135,7 +135,7 @@
 func (w *world) show() {
 	for _, s := range w.screens {
 		v := w.view
-		s.TakeView(&v)
+		s.SetView(&v)
 	}
 }
 
@@ -152,7 +152,7 @@
 	for range times {
 		sent := time.Now()
 		time.Sleep(2 * time.Millisecond)
-		w.screens[name].NoteBroken(request, site.Server{ID: sent.String(), Service: service, Version: version}, sent)
+		w.screens[name].RecordCrash(request, site.Server{ID: sent.String(), Service: service, Version: version}, sent)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -208,7 +208,7 @@
 func TestQuarantineOfAServedRequestEnds(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
-	w.screens["a"].NoteServed(request)
+	w.screens["a"].RecordServed(request)
 	w.crash("b", 3, "v1")
 	w.eventually("it was quarantined and let go", func() bool {
 		w.lock.Lock()
@@ -276,7 +276,7 @@
 	time.Sleep(2 * trialPause)
 	is.True(!w.screens["b"].TakeTrial(context.Background(), request)) // there is one trial
 
-	w.screens["b"].NoteServed(request)
+	w.screens["b"].RecordServed(request)
 	w.eventually("it is let go", func() bool { a, b := w.isQuarantined(); return !a && !b })
 }
 
