--- a/ingress/services/reach/reach.go
+++ b/ingress/services/reach/reach.go
@@ -1,6 +1,6 @@
-// Package reach sends requests to backend servers directly. In: one attempt.
-// Out: the head of its answer and its body as it comes, or an error that says
-// whether anything was sent.
+// Package reach sends requests directly to backend servers. Each attempt returns the status and
+// headers of the answer with a body to be read as it arrives, or an error that states whether the
+// request may have been sent.
 package reach
 
 import (
@@ -28,19 +28,20 @@
 // ErrReach is the class of errors of this package.
 var ErrReach = errs.Class("reach") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// ErrNotSent says that no byte of the request left: it has not run and will not.
-var ErrNotSent = errors.New("not sent")
+// ErrNotSent means that no byte of the request was sent, so it has not run and will not run.
+var ErrNotSent = errors.New("request not sent")
 
 const (
-	// connectTimeout bounds opening a connection: a link between regions needs 25 ms, a lost
-	// opening packet is sent again after a second, and a dark server never answers.
+	// connectTimeout limits how long opening a connection may take. A round trip between regions
+	// takes 25 ms, a lost SYN is retransmitted after 1 s, and a host that is down never answers.
 	connectTimeout = 600 * time.Millisecond
-	// unackedTimeout ends a connection whose other end has gone without a word.
+	// unackedTimeout is how long sent data may stay unacknowledged until the connection is closed.
 	unackedTimeout = 2500 * time.Millisecond
-	// probeEvery and probeCount find a dead connection on which nothing is being sent.
-	probeIdle  = 1500 * time.Millisecond
-	probeEvery = 500 * time.Millisecond
-	probeCount = 3
+	// keepAliveIdle, keepAliveInterval and keepAliveCount configure the TCP keep-alive probes, which
+	// detect a dead connection on which no data is being sent.
+	keepAliveIdle     = 1500 * time.Millisecond
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
 )
 
 // Codec writes the headers of a request and reads those of an answer.
@@ -52,7 +53,7 @@
 // Request is one attempt at one backend server.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query as received from the caller.
 	Target string
 	Host   string
 	// Header holds the caller's own headers; it is not changed.
@@ -66,43 +67,42 @@
 type Reply struct {
 	site.Answer
 	Body io.ReadCloser
-	// Length of the body; -1: not announced.
+	// Length is the length of the body; -1: not announced.
 	Length int64
 }
 
-// Client sends requests; its methods may be used by many goroutines.
+// Client sends requests to backend servers. It is safe for concurrent use.
 type Client struct {
 	codec Codec
-	// fresh opens a connection for each request and closes it afterwards.
+	// singleUse uses each connection for one request and closes it afterwards.
 	//
-	// Guards against a doubled order. Backend servers reset idle connections
-	// at will, and net/http sends a request again by itself when that
-	// happens. On a new connection there is nothing to send again, and
-	// neither a late answer to an earlier request nor bytes after it can be
-	// taken for this one's.
-	fresh *http.Transport
-	// kept uses connections again. It is for calls that may be done twice and whose
-	// answers say nothing but that they were done.
-	kept   *http.Transport
-	spares *spares
-	dialer *net.Dialer
+	// Guards against a non-idempotent request running twice. Backend servers may reset idle
+	// connections at any time, and net/http then retries the request on its own. It does not do so
+	// on a connection that has not been used before. In addition, neither a late answer to an
+	// earlier request nor trailing bytes of one can be mistaken for the answer to this request.
+	singleUse *http.Transport
+	// keepAlive reuses connections. It is for idempotent calls whose answers carry no information
+	// other than that the call was executed.
+	keepAlive *http.Transport
+	spares    *spares
+	dialer    *net.Dialer
 }
 
-// NewClient returns a client.
+// NewClient returns a client that encodes and decodes headers with codec.
 func NewClient(codec Codec) *Client {
-	kept := newTransport(newDialer().DialContext)
-	kept.DisableKeepAlives = false
-	kept.MaxIdleConnsPerHost = idlePerServer
-	kept.IdleConnTimeout = idleTime
+	keepAlive := newTransport(newDialer().DialContext)
+	keepAlive.DisableKeepAlives = false
+	keepAlive.MaxIdleConnsPerHost = maxIdlePerServer
+	keepAlive.IdleConnTimeout = idleTimeout
 	s := newSpares(newDialer())
-	return &Client{codec: codec, fresh: newTransport(s.dial), kept: kept, spares: s, dialer: newDialer()}
+	return &Client{codec: codec, singleUse: newTransport(s.dial), keepAlive: keepAlive, spares: s, dialer: newDialer()}
 }
 
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: limitUnacked,
 	}
@@ -113,22 +113,22 @@
 		DialContext:            dial,
 		DisableKeepAlives:      true,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxHeadBytes,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
 const (
-	// idlePerServer and idleTime bound the connections that are kept.
-	idlePerServer = 1
-	idleTime      = 4 * time.Second
+	// maxIdlePerServer and idleTimeout limit the idle connections that are kept for reuse.
+	maxIdlePerServer = 1
+	idleTimeout      = 4 * time.Second
 )
 
-// maxHeadBytes bounds the header of an answer.
-const maxHeadBytes = 64 << 10
+// maxHeaderBytes limits the size of the headers of an answer.
+const maxHeaderBytes = 64 << 10
 
-// limitUnacked bounds how long sent bytes may go unacknowledged. A server that
-// lost power or is cut off answers nothing, and the kernel alone would go on
-// sending for minutes.
+// limitUnacked limits how long sent data may stay unacknowledged. A server that lost power or is
+// partitioned from the network does not answer, and by default the kernel would retransmit for
+// minutes.
 func limitUnacked(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
@@ -137,49 +137,50 @@
 	return errors.Join(err, failed)
 }
 
-// Warm opens a connection ahead for the next request to a server.
+// Warm opens a connection in advance for the next request to a server.
 func (c *Client) Warm(address netip.AddrPort) { c.spares.warm(address) }
 
-// closeTime is within what time a connection is closed that something took in a server's place.
-const closeTime = 100 * time.Millisecond
+// closeWait is how long IsUp waits for a connection to be closed by a relay that accepted it in
+// place of a server that is down.
+const closeWait = 100 * time.Millisecond
 
-// IsUp tells whether a server takes connections and keeps them open: a relay on the way
-// may take one for a server that is down.
+// IsUp reports whether a server accepts connections and keeps them open. An accepted connection is
+// not sufficient, because a relay in front of a server that is down may accept and then close it.
 func (c *Client) IsUp(ctx context.Context, address netip.AddrPort) bool {
 	conn, err := c.dialer.DialContext(ctx, "tcp", address.String())
 	if err != nil {
 		return false
 	}
 	defer func() { _ = conn.Close() }()
-	if err := conn.SetReadDeadline(time.Now().Add(closeTime)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(closeWait)); err != nil {
 		return false
 	}
 	_, err = conn.Read(make([]byte, 1))
 	return err == nil || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Do sends a request that an adapter made, on a connection of its own.
+// Do sends a request that an adapter has built, on a connection of its own.
 func (c *Client) Do(r *http.Request) (*http.Response, error) {
-	return c.fresh.RoundTrip(r)
+	return c.singleUse.RoundTrip(r)
 }
 
-// DoIdempotent sends a request that an adapter made and that may be done twice: once more
-// on a connection of its own where a kept one was found closed.
+// DoIdempotent sends an idempotent request that an adapter has built, on a reused connection if
+// there is one. If that fails before the context ends, it retries once on a connection of its own.
 func (c *Client) DoIdempotent(r *http.Request) (*http.Response, error) {
-	response, err := c.kept.RoundTrip(r)
+	response, err := c.keepAlive.RoundTrip(r)
 	if err == nil || r.Context().Err() != nil || r.GetBody == nil {
 		return response, err
 	}
-	again := r.Clone(r.Context())
-	again.Body, err = r.GetBody()
+	retry := r.Clone(r.Context())
+	retry.Body, err = r.GetBody()
 	if err != nil {
 		return nil, err
 	}
-	return c.fresh.RoundTrip(again)
+	return c.singleUse.RoundTrip(retry)
 }
 
-// Send sends one attempt. The end of the context ends the connection, at which
-// most backend servers drop the request.
+// Send makes one attempt. When the context ends, the connection is closed, which makes most backend
+// servers drop the request.
 func (c *Client) Send(ctx context.Context, r Request) (*Reply, error) {
 	sent := &atomic.Bool{}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -189,7 +190,7 @@
 	if err != nil {
 		return nil, ErrReach.Wrap(errors.Join(ErrNotSent, err))
 	}
-	response, err := c.fresh.RoundTrip(request) //nolint:bodyclose // the reply's reader closes it
+	response, err := c.singleUse.RoundTrip(request) //nolint:bodyclose // the reply's reader closes it
 	if err != nil && !sent.Load() {
 		return nil, ErrReach.Wrap(errors.Join(ErrNotSent, err))
 	}
@@ -204,7 +205,8 @@
 }
 
 func (c *Client) newRequest(ctx context.Context, r Request) (*http.Request, error) {
-	// The bare io.Reader hides bytes.Reader from net/http, which could else send the body a second time.
+	// Wrapping the bytes.Reader hides its type from net/http, which could otherwise send the body a
+	// second time.
 	var body io.Reader
 	if len(r.Body) > 0 {
 		body = struct{ io.Reader }{bytes.NewReader(r.Body)}
@@ -213,7 +215,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.URL = newTarget(r)
+	request.URL = newURL(r)
 	request.Host = r.Host
 	request.Header = r.Header.Clone()
 	request.ContentLength = int64(len(r.Body))
@@ -221,14 +223,14 @@
 		request.Body = http.NoBody
 	}
 	if request.Header.Get("User-Agent") == "" {
-		request.Header["User-Agent"] = nil // else net/http names itself
+		request.Header["User-Agent"] = nil // otherwise net/http sends its own
 	}
 	c.codec.WriteRequest(request.Header, r.UpstreamHeaders)
 	return request, nil
 }
 
-// newTarget keeps the path and the query byte for byte as the caller wrote them.
-func newTarget(r Request) *url.URL {
+// newURL returns the URL of a request, with the path and query exactly as received from the caller.
+func newURL(r Request) *url.URL {
 	u := &url.URL{Scheme: "http", Host: r.Server.Address.String()}
 	path, query, found := strings.Cut(r.Target, "?")
 	u.Opaque = path
--- a/ingress/services/reach/spares.go
+++ b/ingress/services/reach/spares.go
@@ -12,20 +12,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// spareTime is how long a connection that was opened ahead may be used. Servers close
-// idle connections after seconds, some without a word.
-const spareTime = 1200 * time.Millisecond
+// maxSpareAge is how long after it was opened a spare connection may be used. Servers close idle
+// connections after a few seconds, some without notifying the client.
+const maxSpareAge = 1200 * time.Millisecond
 
-// spares holds connections that were opened ahead and never used. Each carries one
-// request, as any other does.
+// spares holds connections that were opened in advance, at most one for each server, and have not
+// been used yet. Each of them serves a single request.
 //
-// A new connection costs a round trip before its request leaves, 25 ms between regions,
-// at each of three stages and at the engine; opened while the call before is under way it
-// costs none.
+// Opening a connection delays a request by one round trip, which takes 25 ms between regions, at
+// each of three stages and at the engine. A connection that is opened while the previous call is in
+// flight avoids this delay.
 type spares struct {
 	dialer *net.Dialer
 
 	lock sync.Mutex
+	// held is keyed by the address of the server.
 	held map[string]spare
 }
 
@@ -38,7 +39,7 @@
 	return &spares{dialer: dialer, held: map[string]spare{}}
 }
 
-// dial returns the connection that was opened ahead, or opens one.
+// dial returns the spare connection to an address if it is usable, and otherwise opens one.
 func (s *spares) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if conn := s.take(address); conn != nil {
 		return conn, nil
@@ -46,6 +47,7 @@
 	return s.dialer.DialContext(ctx, network, address)
 }
 
+// take removes and returns the spare connection to an address, or nil if there is no usable one.
 func (s *spares) take(address string) net.Conn {
 	s.lock.Lock()
 	held, found := s.held[address]
@@ -54,56 +56,57 @@
 	if !found {
 		return nil
 	}
-	if time.Since(held.opened) > spareTime || !isQuiet(held.conn) {
+	if time.Since(held.opened) > maxSpareAge || !isUsable(held.conn) {
 		_ = held.conn.Close()
 		return nil
 	}
 	return held.conn
 }
 
-// isQuiet tells whether a connection is open and nothing was sent on it.
+// isUsable reports whether a connection is open and the server has sent nothing on it.
 //
-// Guards against a server that closed or reset it meanwhile: a request sent there would
-// be lost, and one that runs at most once would not be sent again.
-func isQuiet(conn net.Conn) bool {
-	holder, ok := conn.(syscall.Conn)
+// Guards against using a connection that the server has closed or reset in the meantime. The request
+// would be lost, and a non-idempotent one would not be retried.
+func isUsable(conn net.Conn) bool {
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := holder.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = raw.Control(func(fd uintptr) {
-		_, _, received := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(received, unix.EAGAIN)
+		_, _, peekErr := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		usable = errors.Is(peekErr, unix.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
-// warm opens a connection ahead unless there is one.
+// warm opens a spare connection in the background unless a recent one exists.
 func (s *spares) warm(address netip.AddrPort) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	name := address.String()
-	if held, found := s.held[name]; found && time.Since(held.opened) < spareTime/2 {
+	if held, found := s.held[name]; found && time.Since(held.opened) < maxSpareAge/2 {
 		return
 	}
 	go s.runOpen(name)
 }
 
+// runOpen opens a spare connection, and closes the one that it replaces and all expired ones.
 func (s *spares) runOpen(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	conn, err := s.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return // the request opens one itself, and tells why it cannot
+		return // the request dials again and reports the error
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for name, held := range s.held {
-		if name == address || time.Since(held.opened) > spareTime {
+		if name == address || time.Since(held.opened) > maxSpareAge {
 			_ = held.conn.Close()
 			delete(s.held, name)
 		}
--- a/ingress/services/reach/spares_test.go
+++ b/ingress/services/reach/spares_test.go
@@ -15,7 +15,7 @@
 	"verbenaroad.example/ingress/services/reach"
 )
 
-// server answers each connection's first request and counts the connections.
+// server accepts connections and passes them on to the test.
 type server struct {
 	listener net.Listener
 	accepted chan net.Conn
@@ -71,17 +71,17 @@
 	return errors.Join(err, response.Body.Close())
 }
 
-// A call's connection is opened while the call before is under way. The request goes
-// out on it, and it carries no other one.
-func TestRequestTakesTheConnectionOpenedAhead(t *testing.T) {
+// Guards against a request opening a new connection although a spare one was opened in advance, and
+// against a spare connection being used for more than one request.
+func TestRequestUsesTheSpareConnection(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t)
 	c := reach.NewClient(nil)
 	c.Warm(s.address())
-	ahead := <-s.accepted
-	time.Sleep(50 * time.Millisecond) // until it is noted
+	spare := <-s.accepted
+	time.Sleep(50 * time.Millisecond) // until the client has stored it
 	served := make(chan error, 1)
-	go func() { served <- answer(ahead) }()
+	go func() { served <- answer(spare) }()
 	is.NoErr(post(c, s.address()))
 	is.NoErr(<-served)
 	is.Equal(len(s.accepted), 0)
@@ -90,15 +90,15 @@
 	is.NoErr(<-served)
 }
 
-// A server closes the connection that was opened ahead before it is used. An order that
-// was sent there would be lost and could not be sent again; it goes out on a new one.
-func TestConnectionClosedMeanwhileIsNotUsed(t *testing.T) {
+// Guards against a request being sent on a spare connection that the server has closed. The request
+// would be lost, and a non-idempotent one could not be retried.
+func TestClosedSpareConnectionIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t)
 	c := reach.NewClient(nil)
 	c.Warm(s.address())
-	ahead := <-s.accepted
-	is.NoErr(ahead.Close())
+	spare := <-s.accepted
+	is.NoErr(spare.Close())
 	time.Sleep(50 * time.Millisecond)
 	served := make(chan error, 1)
 	go func() { served <- answer(<-s.accepted) }()
--- a/ingress/services/reach/up_test.go
+++ b/ingress/services/reach/up_test.go
@@ -12,13 +12,13 @@
 	"verbenaroad.example/platform/heads"
 )
 
-// taker takes connections, and closes them at once where closes is set.
-type taker struct {
+// acceptor accepts connections, and closes them at once if closes is set.
+type acceptor struct {
 	listener net.Listener
 	closes   bool
 }
 
-func (t *taker) run() {
+func (t *acceptor) run() {
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
@@ -30,13 +30,14 @@
 	}
 }
 
-// Guards against a crashed server that is held to be up since a relay before it takes connections.
-func TestUpServersKeepConnections(t *testing.T) {
+// Guards against a crashed server being considered up because a relay in front of it accepts
+// connections.
+func TestServerIsUpOnlyIfItKeepsConnectionsOpen(t *testing.T) {
 	for _, closes := range []bool{false, true} {
 		is := is.New(t)
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
-		go (&taker{listener: listener, closes: closes}).run()
+		go (&acceptor{listener: listener, closes: closes}).run()
 		c := reach.NewClient(heads.Codec{})
 		address := netip.MustParseAddrPort(listener.Addr().String())
 		is.Equal(c.IsUp(context.Background(), address), !closes)
