--- a/ingress/services/screen/report.go
+++ b/ingress/services/screen/report.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	// probeTime is how long the answer of a probe holds: a crash breaks many requests at once.
-	probeTime = 500 * time.Millisecond
-	// probeTimeout bounds a probe.
-	probeTimeout = time.Second
-	// tellTimeout bounds telling one ingress.
-	tellTimeout = time.Second
-	// maxOwners bounds the ingresses that are tried in turn for one report.
+	// probeLifetime is how long a probe is reused, because a crash breaks many requests at once.
+	probeLifetime = 500 * time.Millisecond
+	probeTimeout  = time.Second
+	// reportTimeout limits a report to one ingress.
+	reportTimeout = time.Second
+	// maxOwners limits the ingresses that are tried in turn as the owner of a request.
 	maxOwners = 3
-	// writeTimeout bounds a write to the store, which is repeated after writePause.
-	writeTimeout = 1500 * time.Millisecond
-	writePause   = 300 * time.Millisecond
-	// writeTime bounds all of them: a store that is away for longer has forgotten nothing, and the
-	// request is quarantined here meanwhile.
-	writeTime = time.Minute
+	// writeTimeout limits a single write to the store. A failed write is retried after
+	// writeRetryDelay.
+	writeTimeout    = 1500 * time.Millisecond
+	writeRetryDelay = 300 * time.Millisecond
+	// maxWriteTime limits the time for a write with all its retries. If the store is unavailable for
+	// longer, the quarantines that it holds are not lost, and a new one still applies at this ingress.
+	maxWriteTime = time.Minute
 )
 
-// probe is a question whether a server is up.
+// probe is a check whether a server is up, shared by all callers of isUp.
 type probe struct {
-	at   time.Time
-	done chan struct{}
-	// up is set before done is closed.
+	startedAt time.Time
+	done      chan struct{}
+	// up is the result. It is written before done is closed.
 	up bool
 }
 
-// isUp tells whether a server takes connections. A connection that broke off alone says
-// little: it may have been reset, or its answer spoiled.
+// isUp reports whether a server accepts connections. A broken attempt alone does not mean that the
+// server crashed: the connection may have been reset, or the answer corrupted.
 func (s *Screen) isUp(server site.Server) bool {
 	s.lock.Lock()
 	now := time.Now()
 	p := s.probes[server.ID]
-	mine := p == nil || now.Sub(p.at) > probeTime
-	if mine {
+	mustProbe := p == nil || now.Sub(p.startedAt) > probeLifetime
+	if mustProbe {
 		for id, other := range s.probes {
-			if now.Sub(other.at) > probeTime {
+			if now.Sub(other.startedAt) > probeLifetime {
 				delete(s.probes, id)
 			}
 		}
-		p = &probe{at: now, done: make(chan struct{})}
+		p = &probe{startedAt: now, done: make(chan struct{})}
 		s.probes[server.ID] = p
 	}
 	s.lock.Unlock()
-	if mine {
+	if mustProbe {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
 		p.up = s.options.Prober.IsUp(ctx, server.Address)
@@ -65,7 +65,9 @@
 	return p.up
 }
 
-// runReport has a crash counted by the ingress that counts for the request.
+// runReport reports a crash to the owner of the request. If this ingress is the owner or cannot reach
+// the owner, it counts the crash itself. It does nothing if the server is up or the request was
+// served at this ingress.
 func (s *Screen) runReport(id poison.ID, server site.Server, c poison.Crash) {
 	if s.isUp(server) {
 		return
@@ -83,24 +85,26 @@
 		if name == s.options.Peers.Self() {
 			break
 		}
-		quarantined, err := s.tellCrash(name, id, server.Service, c)
+		quarantined, err := s.reportCrash(name, id, server.Service, c)
 		if err == nil {
-			s.noteWord(id, quarantined)
+			s.recordDecision(id, quarantined)
 			return
 		}
 		s.options.Log.Info("crash-untold", zap.String("digest", string(id)), zap.String("ingress", name), logs.Err(err))
 	}
-	s.count(id, server.Service, c)
+	s.countCrash(id, server.Service, c)
 }
 
-// listOwners returns the ingresses that may count for a request, the first that can be reached does.
+// listOwners returns the ingresses that may own a request. The first of them that can be reached is
+// the owner.
 func (s *Screen) listOwners(id poison.ID) []string {
 	ranked := s.options.Peers.Rank(ownerKey(id))
 	return ranked[:min(len(ranked), maxOwners)]
 }
 
-func (s *Screen) tellCrash(name string, id poison.ID, service string, c poison.Crash) (quarantined bool, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+// reportCrash reports a crash to another ingress and returns whether the request is quarantined.
+func (s *Screen) reportCrash(name string, id poison.ID, service string, c poison.Crash) (quarantined bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	now := time.Now()
 	got, err := s.options.Peers.TellCrash(ctx, name, &wire.Crash{
@@ -110,8 +114,9 @@
 	return got.GetQuarantined(), err
 }
 
-// noteWord takes the word of the ingress that counts, which comes before its record.
-func (s *Screen) noteWord(id poison.ID, quarantined bool) {
+// recordDecision records the owner's reply to a reported crash. The reply arrives before the record
+// of the quarantine.
+func (s *Screen) recordDecision(id poison.ID, quarantined bool) {
 	if !quarantined {
 		return
 	}
@@ -121,18 +126,18 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if !s.served.Has(id) {
-		s.decided[id] = true
+		s.pending[id] = true
 	}
 }
 
-// runTellServed takes back what this ingress reported of a request.
-func (s *Screen) runTellServed(id poison.ID) {
+// runReportServed withdraws the crashes that this ingress has reported of a request.
+func (s *Screen) runReportServed(id poison.ID) {
 	for _, name := range s.listOwners(id) {
 		if name == s.options.Peers.Self() {
 			s.ServeServed(&wire.Served{Request: string(id)})
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		err := s.options.Peers.TellServed(ctx, name, &wire.Served{Request: string(id)})
 		cancel()
 		if err != nil {
@@ -141,8 +146,10 @@
 	}
 }
 
-// TakeTrial tells whether a quarantined request is to be sent to one server, to see whether it
-// still crashes it. The ingress that counts for the request says so, and as often as the record allows over all ingresses.
+// TakeTrial reports whether a quarantined request is to be sent to a single server as a trial, to
+// find out whether it still crashes servers. Only the owner of the request grants trials. The number
+// of trials is stored in the record of the quarantine, so that the schedule applies to all ingresses
+// together.
 func (s *Screen) TakeTrial(ctx context.Context, id poison.ID) bool {
 	q, known := s.view.Load().Quarantines[id]
 	if !known || s.listOwners(id)[0] != s.options.Peers.Self() {
@@ -150,9 +157,9 @@
 	}
 	now := time.Now()
 	s.lock.Lock()
-	due := s.options.Trials.IsDue(now, s.since[id], q.Trials)
+	due := s.options.Trials.IsDue(now, s.changedAt[id], q.Trials)
 	if due {
-		s.since[id] = now // also where the write fails: it is tried later
+		s.changedAt[id] = now // even if the write fails, so that the next trial is delayed
 	}
 	s.lock.Unlock()
 	if !due {
@@ -170,7 +177,7 @@
 	return err == nil
 }
 
-// runPut writes a quarantine, and ends the oldest ones where there are too many.
+// runPut writes a quarantine to the store, and ends the oldest quarantines if there are too many.
 func (s *Screen) runPut(id poison.ID, q site.Quarantine) {
 	value, err := s.options.Codec.WriteQuarantine(q)
 	if err != nil {
@@ -181,30 +188,31 @@
 		return s.options.Store.Put(ctx, s.options.Codec.QuarantineKey(string(id)), value, 0)
 	})
 	for _, old := range poison.FindExcessQuarantines(s.view.Load().Quarantines) {
-		s.runEnd(old, "there are too many")
+		s.runEnd(old, "too many quarantines")
 	}
 }
 
-// runEnd ends a quarantine.
+// runEnd ends a quarantine by removing its record from the store.
 func (s *Screen) runEnd(id poison.ID, reason string) {
 	s.write(id, "released: "+reason, func(ctx context.Context) error {
 		return s.options.Store.Remove(ctx, s.options.Codec.QuarantineKey(string(id)))
 	})
 }
 
-// write repeats a write until the store has confirmed it.
+// write retries a write until the store confirms it or maxWriteTime has passed.
 func (s *Screen) write(id poison.ID, what string, do func(ctx context.Context) error) {
-	ctx, cancel := context.WithTimeout(context.Background(), writeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), maxWriteTime)
 	defer cancel()
 	for {
 		err := s.writeOnce(ctx, do)
 		s.options.Log.Warn("quarantine", zap.String("digest", string(id)), zap.String("what", what), logs.Err(err))
-		if err == nil || !pauses.Wait(ctx, writePause) {
+		if err == nil || !pauses.Wait(ctx, writeRetryDelay) {
 			return
 		}
 	}
 }
 
+// writeOnce makes a single attempt at a write.
 func (*Screen) writeOnce(ctx context.Context, do func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
--- a/ingress/services/screen/screen.go
+++ b/ingress/services/screen/screen.go
@@ -1,9 +1,9 @@
-// Package screen keeps requests that crash backend servers from reaching any more of them. In:
-// attempts that broke off, and requests that were served. Out: whether a request is
-// quarantined.
+// Package screen quarantines requests that crash backend servers, so that they reach no further
+// servers. It decides based on the attempts that broke and the requests that were served.
 //
-// One ingress counts for each request, by rendezvous hashing; the others tell it of crashes. A
-// quarantine is a record in the platform's store, so that it reaches every ingress and outlasts them all.
+// The crashes of a request are counted by one ingress, the owner of the request, which is chosen by
+// rendezvous hashing. The other ingresses report crashes to it. A quarantine is a record in the
+// platform's store, so that it applies at every ingress and survives their restarts.
 package screen
 
 import (
@@ -23,11 +23,14 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// Peers reaches the other ingresses.
+// Peers communicates with the other ingresses.
 type Peers interface {
-	// Rank lists the ingresses that can be reached by their score for a key.
+	// Rank returns the names of the ingresses that can be reached, ordered by their score for a key.
 	Rank(key string) []string
+	// Self returns the name of this ingress.
 	Self() string
+	// TellCrash reports a crash to another ingress, which counts it and replies whether the request
+	// is quarantined. TellServed reports that a request was served.
 	TellCrash(ctx context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error)
 	TellServed(ctx context.Context, name string, s *wire.Served) error
 }
@@ -35,18 +38,18 @@
 // Store writes records.
 type Store interface {
 	Put(ctx context.Context, key string, value []byte, lease uint64) error
-	// PutIf writes a record whose last change was that of a revision.
+	// PutIf writes a record if its last change has the given revision.
 	PutIf(ctx context.Context, key string, value []byte, revision uint64) error
 	Remove(ctx context.Context, key string) error
 }
 
-// Codec writes quarantines.
+// Codec encodes the records of quarantines.
 type Codec interface {
 	QuarantineKey(id string) string
 	WriteQuarantine(q site.Quarantine) ([]byte, error)
 }
 
-// Prober finds out whether a server is up.
+// Prober checks whether a server is up.
 type Prober interface {
 	IsUp(ctx context.Context, address netip.AddrPort) bool
 }
@@ -57,47 +60,50 @@
 	Store  Store
 	Codec  Codec
 	Prober Prober
-	// Limit is how many servers a request may crash.
+	// Limit is the number of crashed servers at which a request is quarantined.
 	Limit int
-	// Trials are when a quarantined request is tried again.
+	// Trials schedules the trials of quarantined requests.
 	Trials poison.TrialSchedule
 	Log    *zap.Logger
 }
 
-// Screen knows the requests that crash servers; its methods may be used by many goroutines.
+// Screen tracks the requests that crash servers. It is safe for concurrent use.
 type Screen struct {
 	options Options
 	view    atomic.Pointer[state.View]
 
 	lock sync.Mutex
-	// ledger holds what is counted here, served what was served here.
-	ledger *poison.CrashCounter
-	served *poison.ServedSet
-	// decided are quarantines that the view does not hold yet.
-	decided map[poison.ID]bool
-	// reported are the requests of which this ingress reported a crash, and that were not served since.
+	// crashes counts the crashes of the requests that this ingress owns. served holds the requests
+	// that were served at this ingress.
+	crashes *poison.CrashCounter
+	served  *poison.ServedSet
+	// pending holds the quarantined requests whose quarantine is not yet in the view.
+	pending map[poison.ID]bool
+	// reported holds the requests of which this ingress has reported a crash and that have not been
+	// served since.
 	reported map[poison.ID]bool
-	probes   map[string]*probe
-	// since holds when the last change of a quarantine was seen.
-	since map[poison.ID]time.Time
+	// probes holds the recent probes by server ID.
+	probes map[string]*probe
+	// changedAt holds when this ingress observed the last change of each quarantine.
+	changedAt map[poison.ID]time.Time
 }
 
-// maxReported bounds the requests whose service would be told.
+// maxReported limits the size of Screen.reported.
 const maxReported = 4096
 
-// NewScreen returns a screen that knows no request.
+// NewScreen returns a screen without quarantines.
 func NewScreen(options Options) *Screen {
 	s := &Screen{
-		options: options, ledger: poison.NewCrashCounter(options.Limit), served: poison.NewServedSet(),
-		decided: map[poison.ID]bool{}, reported: map[poison.ID]bool{}, probes: map[string]*probe{},
-		since: map[poison.ID]time.Time{},
+		options: options, crashes: poison.NewCrashCounter(options.Limit), served: poison.NewServedSet(),
+		pending: map[poison.ID]bool{}, reported: map[poison.ID]bool{}, probes: map[string]*probe{},
+		changedAt: map[poison.ID]time.Time{},
 	}
 	s.view.Store(&state.View{})
 	return s
 }
 
-// SetView takes the quarantines of a new view. One of a request that was served here is ended: it
-// was a bystander.
+// SetView replaces the quarantines by those of a new view. It ends the quarantine of a request that
+// was served at this ingress, because such a request does not crash servers.
 func (s *Screen) SetView(v *state.View) {
 	before := s.view.Swap(v)
 	s.lock.Lock()
@@ -106,21 +112,21 @@
 		if old, known := before.Quarantines[id]; known && old.Revision == q.Revision {
 			continue
 		}
-		delete(s.decided, id)
-		s.since[id] = time.Now()
+		delete(s.pending, id)
+		s.changedAt[id] = time.Now()
 		if s.served.Has(id) {
-			go s.runEnd(id, "it was served here")
+			go s.runEnd(id, "request was served at this ingress")
 		}
 	}
 	for id := range before.Quarantines {
 		if _, stays := v.Quarantines[id]; !stays {
-			s.ledger.Clear(id)
-			delete(s.since, id)
+			s.crashes.Clear(id)
+			delete(s.changedAt, id)
 		}
 	}
 }
 
-// IsQuarantined tells whether a request is to reach no server.
+// IsQuarantined reports whether a request must not be sent to any server.
 func (s *Screen) IsQuarantined(id poison.ID) bool {
 	v := s.view.Load()
 	if q, known := v.Quarantines[id]; known && poison.QuarantineApplies(q, v.Servers[q.Service]) {
@@ -128,10 +134,11 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.decided[id]
+	return s.pending[id]
 }
 
-// RecordServed notes a request that a server answered whole. It does not crash servers.
+// RecordServed records a request that received a complete answer and thus does not crash servers.
+// The crashes that this ingress has reported of it are withdrawn, and its quarantine is ended.
 func (s *Screen) RecordServed(id poison.ID) {
 	s.lock.Lock()
 	s.served.Add(id)
@@ -139,59 +146,61 @@
 	delete(s.reported, id)
 	s.lock.Unlock()
 	if reported {
-		go s.runTellServed(id)
+		go s.runReportServed(id)
 	}
 	if _, quarantined := s.view.Load().Quarantines[id]; quarantined {
-		go s.runEnd(id, "it was served")
+		go s.runEnd(id, "request was served")
 	}
 }
 
-// RecordCrash notes an attempt that broke off its server, and has it counted where the server crashed.
+// RecordCrash records an attempt that broke. It is counted as a crash if its server is down.
 func (s *Screen) RecordCrash(id poison.ID, server site.Server, sent time.Time) {
-	go s.runReport(id, server, poison.Crash{Server: startOf(server), Version: server.Version, SentAt: sent, BrokeAt: time.Now()})
+	go s.runReport(id, server, poison.Crash{Server: incarnationName(server), Version: server.Version, SentAt: sent, BrokeAt: time.Now()})
 }
 
-// startOf names one start of a server.
-func startOf(s site.Server) string { return s.ID + "/" + strconv.FormatInt(s.Incarnation, 10) }
+// incarnationName identifies one incarnation of a server.
+func incarnationName(s site.Server) string { return s.ID + "/" + strconv.FormatInt(s.Incarnation, 10) }
 
-// ownerKey is that by which the ingress that counts for a request is chosen.
+// ownerKey returns the key by which the owner of a request is chosen.
 func ownerKey(id poison.ID) string { return "poison/" + string(id) }
 
-// count counts a crash here and tells whether the request is quarantined.
-func (s *Screen) count(id poison.ID, service string, c poison.Crash) bool {
+// countCrash counts a crash at this ingress and reports whether the request is quarantined.
+func (s *Screen) countCrash(id poison.ID, service string, c poison.Crash) bool {
 	q, known := s.view.Load().Quarantines[id]
 	s.lock.Lock()
-	suspect := s.ledger.Record(time.Now(), id, c)
-	// Attempts that were under way when it was quarantined change nothing; other software does.
-	found := s.ledger.IsPoison(suspect) && !known || known && !slices.Contains(q.Versions, c.Version)
-	found = found && !s.decided[id] && !s.served.Has(id)
-	if found {
-		s.decided[id] = true
-		s.ledger.Clear(id)
+	suspect := s.crashes.Record(time.Now(), id, c)
+	// Once a request is quarantined, crashes of the listed software versions change nothing, because
+	// these attempts were already in flight. A crash of another version extends the quarantine.
+	newlyQuarantined := s.crashes.IsPoison(suspect) && !known || known && !slices.Contains(q.Versions, c.Version)
+	newlyQuarantined = newlyQuarantined && !s.pending[id] && !s.served.Has(id)
+	if newlyQuarantined {
+		s.pending[id] = true
+		s.crashes.Clear(id)
 	}
 	s.lock.Unlock()
 	s.options.Log.Warn("crash-counted", zap.String("digest", string(id)), zap.String("service", service),
-		zap.Strings("servers", suspect.Servers), zap.Strings("versions", suspect.Versions), zap.Bool("quarantined", found))
-	if found {
+		zap.Strings("servers", suspect.Servers), zap.Strings("versions", suspect.Versions), zap.Bool("quarantined", newlyQuarantined))
+	if newlyQuarantined {
 		go s.runPut(id, poison.ExtendQuarantine(q, service, suspect))
 	}
 	return s.IsQuarantined(id)
 }
 
-// ServeCrash counts a crash for another ingress.
-func (s *Screen) ServeCrash(told *wire.Crash) *wire.CrashNoted {
+// ServeCrash counts a crash that another ingress reports.
+func (s *Screen) ServeCrash(report *wire.Crash) *wire.CrashNoted {
 	now := time.Now()
-	quarantined := s.count(poison.ID(told.GetRequest()), told.GetService(), poison.Crash{
-		Server: told.GetServerId(), Version: told.GetVersion(),
-		SentAt:  now.Add(-time.Duration(told.GetSentAgoNanos())),
-		BrokeAt: now.Add(-time.Duration(told.GetBrokeAgoNanos())),
+	quarantined := s.countCrash(poison.ID(report.GetRequest()), report.GetService(), poison.Crash{
+		Server: report.GetServerId(), Version: report.GetVersion(),
+		SentAt:  now.Add(-time.Duration(report.GetSentAgoNanos())),
+		BrokeAt: now.Add(-time.Duration(report.GetBrokeAgoNanos())),
 	})
 	return &wire.CrashNoted{Quarantined: quarantined}
 }
 
-// ServeServed takes back what is held against a request.
-func (s *Screen) ServeServed(told *wire.Served) {
+// ServeServed deletes the counted crashes of a request because an ingress reports that it was
+// served.
+func (s *Screen) ServeServed(report *wire.Served) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.ledger.Clear(poison.ID(told.GetRequest()))
+	s.crashes.Clear(poison.ID(report.GetRequest()))
 }
--- a/ingress/services/screen/screen_test.go
+++ b/ingress/services/screen/screen_test.go
@@ -22,27 +22,27 @@
 const (
 	request = poison.ID("7c1e07a291bd")
 	service = "engines"
-	// trialPause is how long a quarantine holds until its only trial.
-	trialPause = 100 * time.Millisecond
-	patience   = 5 * time.Second
+	// trialDelay is the time from the start of a quarantine to its only trial.
+	trialDelay = 100 * time.Millisecond
+	timeout    = 5 * time.Second
 )
 
-// world is two ingresses whose screens tell each other, the store that both hear of, and servers
-// that are down.
+// world simulates two ingresses whose screens report to each other, the store that both read, and
+// servers that are down unless serversUp is set.
 type world struct {
 	t       *testing.T
 	lock    sync.Mutex
 	screens map[string]*screen.Screen
-	// owner counts for all requests.
-	owner    string
-	cut      bool
-	failures int
-	writes   int
-	view     state.View
-	up       bool
+	// owner is the ingress that owns all requests.
+	owner         string
+	partitioned   bool
+	failingWrites int
+	writes        int
+	view          state.View
+	serversUp     bool
 }
 
-// peer is the world as one of its ingresses sees it.
+// peer implements screen.Peers for one of the ingresses.
 type peer struct {
 	*world
 	name string
@@ -54,7 +54,7 @@
 	for _, name := range []string{"a", "b"} {
 		w.screens[name] = screen.NewScreen(screen.Options{
 			Peers: peer{w, name}, Store: w, Codec: record.Codec{}, Prober: w, Limit: 3,
-			Trials: poison.TrialSchedule{trialPause}, Log: zap.NewNop(),
+			Trials: poison.TrialSchedule{trialDelay}, Log: zap.NewNop(),
 		})
 	}
 	return w
@@ -70,8 +70,8 @@
 func (p peer) Self() string { return p.name }
 
 func (p peer) TellCrash(_ context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error) {
-	if p.cut {
-		return nil, errors.New("cut off")
+	if p.partitioned {
+		return nil, errors.New("the ingress is partitioned")
 	}
 	return p.screens[name].ServeCrash(c), nil
 }
@@ -84,7 +84,7 @@
 func (w *world) IsUp(context.Context, netip.AddrPort) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.up
+	return w.serversUp
 }
 
 func (w *world) Put(_ context.Context, key string, value []byte, _ uint64) error {
@@ -103,7 +103,7 @@
 	current := w.view.Quarantines[request].Revision
 	w.lock.Unlock()
 	if current != revision {
-		return errors.New("it has changed")
+		return errors.New("the record has changed")
 	}
 	return w.Put(ctx, key, value, 0)
 }
@@ -112,13 +112,13 @@
 	return w.write(func(all map[poison.ID]site.Quarantine) { delete(all, poison.ID(record.Codec{}.QuarantineID(key))) })
 }
 
-// write changes the quarantines and shows them to both ingresses, unless the write is to fail.
+// write changes the quarantines and publishes them to both ingresses, unless the write is to fail.
 func (w *world) write(change func(all map[poison.ID]site.Quarantine)) error {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	if w.failures > 0 {
-		w.failures--
-		return errors.New("the store is away")
+	if w.failingWrites > 0 {
+		w.failingWrites--
+		return errors.New("the store is unavailable")
 	}
 	w.writes++
 	all := map[poison.ID]site.Quarantine{}
@@ -127,27 +127,28 @@
 	}
 	change(all)
 	w.view.Quarantines = all
-	w.show()
+	w.publishView()
 	return nil
 }
 
-// show shows the view to both ingresses; called under the lock.
-func (w *world) show() {
+// publishView publishes the view to both ingresses. The caller holds the lock.
+func (w *world) publishView() {
 	for _, s := range w.screens {
 		v := w.view
 		s.SetView(&v)
 	}
 }
 
-// setVersion has all servers run other software.
+// setVersion replaces the software version of all servers.
 func (w *world) setVersion(version string) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.view.Servers = map[string][]site.Server{service: {{ID: "s", Service: service, Version: version}}}
-	w.show()
+	w.publishView()
 }
 
-// crash reports attempts, one after the other, each of which crashed a server.
+// crash records a number of attempts at an ingress, one after another, each of which crashed another
+// server.
 func (w *world) crash(name string, times int, version string) {
 	for range times {
 		sent := time.Now()
@@ -157,11 +158,12 @@
 	}
 }
 
+// eventually waits until check returns true.
 func (w *world) eventually(what string, check func() bool) {
 	w.t.Helper()
-	for ends := time.Now().Add(patience); !check(); time.Sleep(time.Millisecond) {
+	for ends := time.Now().Add(timeout); !check(); time.Sleep(time.Millisecond) {
 		if time.Now().After(ends) {
-			w.t.Fatal("not in time: " + what)
+			w.t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
@@ -170,7 +172,8 @@
 	return w.screens["a"].IsQuarantined(request), w.screens["b"].IsQuarantined(request)
 }
 
-// Guards against a request that each ingress lets through until it has itself seen enough crashes.
+// Guards against a request crashing servers through every ingress because each ingress counts only
+// the crashes that it observes itself.
 func TestCrashesAtAllIngressesAreCountedTogether(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
@@ -178,39 +181,40 @@
 	a, b := w.isQuarantined()
 	is.True(!a && !b)
 	w.crash("b", 1, "v1")
-	w.eventually("both refuse it", func() bool { a, b := w.isQuarantined(); return a && b })
+	w.eventually("both ingresses refuse the request", func() bool { a, b := w.isQuarantined(); return a && b })
 }
 
-// Guards against a quarantine that is lost since the store was away when it was decided.
-func TestQuarantineIsWrittenOnceTheStoreAnswers(t *testing.T) {
+// Guards against a quarantine being lost because the store was unavailable when it was decided.
+func TestQuarantineIsWrittenOnceTheStoreRecovers(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
-	w.failures = 2
+	w.failingWrites = 2
 	w.crash("a", 3, "v1")
-	w.eventually("who reported it refuses it", func() bool { a, b := w.isQuarantined(); return a && b })
+	w.eventually("the reporting ingress and the owner refuse the request", func() bool { a, b := w.isQuarantined(); return a && b })
 	is.Equal(w.writes, 0)
-	w.eventually("it is written", func() bool {
+	w.eventually("the quarantine is written", func() bool {
 		w.lock.Lock()
 		defer w.lock.Unlock()
 		return w.writes == 1
 	})
 }
 
-// Guards against crashes that nobody counts while the ingress that counts cannot be reached.
-func TestCrashesAreCountedHereWhereTheOwnerIsLost(t *testing.T) {
+// Guards against crashes not being counted while the owner of the request cannot be reached.
+func TestCrashesAreCountedLocallyIfTheOwnerIsUnreachable(t *testing.T) {
 	w := newWorld(t)
-	w.cut = true
+	w.partitioned = true
 	w.crash("a", 3, "v1")
-	w.eventually("it is quarantined", func() bool { a, _ := w.isQuarantined(); return a })
+	w.eventually("the request is quarantined", func() bool { a, _ := w.isQuarantined(); return a })
 }
 
-// Guards against a common request that is refused for good since it was at several crashed servers.
+// Guards against a harmless request being refused forever because it was running on several servers
+// when they crashed.
 func TestQuarantineOfAServedRequestEnds(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
 	w.screens["a"].RecordServed(request)
 	w.crash("b", 3, "v1")
-	w.eventually("it was quarantined and let go", func() bool {
+	w.eventually("the quarantine is written and removed", func() bool {
 		w.lock.Lock()
 		defer w.lock.Unlock()
 		return w.writes == 2
@@ -219,48 +223,49 @@
 	is.True(!a && !b)
 	w.crash("b", 1, "v1")
 	_, b = w.isQuarantined()
-	is.True(!b) // it is counted anew
+	is.True(!b) // counting has started again from zero
 }
 
-// Guards against a request that is held for poison since its connections were reset.
-func TestServerThatIsUpHasNotCrashed(t *testing.T) {
+// Guards against a request being quarantined because its connections were reset.
+func TestBrokenAttemptsAtServersThatAreUpAreNotCounted(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
-	w.up = true
+	w.serversUp = true
 	w.crash("a", 5, "v1")
 	time.Sleep(50 * time.Millisecond)
 	a, b := w.isQuarantined()
 	is.True(!a && !b)
 }
 
-// Guards against a request that is refused for good though the fault in its servers was mended, and
-// against one that crashes many servers anew after each release.
-func TestNewSoftwareLiftsTheQuarantine(t *testing.T) {
+// Guards against a request being refused forever although the fault in its servers was fixed, and
+// against a request that again crashes several servers after each new version.
+func TestNewSoftwareVersionEndsTheQuarantine(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
 	w.setVersion("v1")
 	w.crash("a", 3, "v1")
-	w.eventually("it is quarantined", func() bool { a, b := w.isQuarantined(); return a && b })
+	w.eventually("the request is quarantined", func() bool { a, b := w.isQuarantined(); return a && b })
 	w.setVersion("v2")
 	a, b := w.isQuarantined()
 	is.True(!a && !b)
 	w.crash("a", 1, "v2")
-	w.eventually("one crash is enough", func() bool { a, b := w.isQuarantined(); return a && b })
+	w.eventually("a single crash of the new version quarantines it again", func() bool { a, b := w.isQuarantined(); return a && b })
 }
 
-// quarantine has the request quarantined.
+// quarantine causes the crashes that quarantine the request.
 func (w *world) quarantine() {
 	w.t.Helper()
 	w.setVersion("v1")
 	w.crash("a", 3, "v1")
-	w.eventually("it is quarantined", func() bool {
+	w.eventually("the request is quarantined", func() bool {
 		w.lock.Lock()
 		defer w.lock.Unlock()
 		return len(w.view.Quarantines) == 1
 	})
 }
 
-// Guards against a bystander that is refused for good: it is tried again, once and by one ingress.
+// Guards against a harmless request being refused forever. It must be tried again, once and through
+// one ingress.
 func TestQuarantinedRequestIsTriedAgain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
@@ -268,24 +273,24 @@
 	for _, s := range w.screens {
 		is.True(!s.TakeTrial(context.Background(), request))
 	}
-	time.Sleep(trialPause)
-	is.True(!w.screens["a"].TakeTrial(context.Background(), request)) // the other one counts
+	time.Sleep(trialDelay)
+	is.True(!w.screens["a"].TakeTrial(context.Background(), request)) // it is not the owner
 	is.True(w.screens["b"].TakeTrial(context.Background(), request))
 	a, b := w.isQuarantined()
 	is.True(a && b)
-	time.Sleep(2 * trialPause)
-	is.True(!w.screens["b"].TakeTrial(context.Background(), request)) // there is one trial
+	time.Sleep(2 * trialDelay)
+	is.True(!w.screens["b"].TakeTrial(context.Background(), request)) // the schedule has only one trial
 
 	w.screens["b"].RecordServed(request)
-	w.eventually("it is let go", func() bool { a, b := w.isQuarantined(); return !a && !b })
+	w.eventually("the quarantine is removed", func() bool { a, b := w.isQuarantined(); return !a && !b })
 }
 
-// Guards against trials at several ingresses that each take themselves for the one that counts.
-func TestTrialIsTakenByOneIngress(t *testing.T) {
+// Guards against a trial being granted by several ingresses that each consider themselves the owner.
+func TestTrialIsGrantedByOneIngress(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
 	w.quarantine()
-	time.Sleep(trialPause)
+	time.Sleep(trialDelay)
 	is.True(w.screens["b"].TakeTrial(context.Background(), request))
 	w.owner = "a"
 	is.True(!w.screens["a"].TakeTrial(context.Background(), request))
