--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -70,7 +70,7 @@
 	owner    *pieces.Owner
 	maker    *pieces.Maker
 	placer   *assign.Placer
-	desk     *assign.Desk
+	desk     *assign.Dispatcher
 	screen   *screen.Screen
 	flow     *flow.Server
 	stopper  *stops.Stopper
@@ -138,7 +138,7 @@
 		OnCrash: func(c batch.Crash) { i.screen.NoteBroken(poison.ID(c.RequestDigest), c.Server, c.SentAt) },
 	})
 	i.placer = assign.NewPlacer(s.Place.Regions, s.Cold.Settings)
-	i.desk = assign.NewDesk(i.mesh, i.book, i.placer, i.log)
+	i.desk = assign.NewDispatcher(i.mesh, i.book, i.placer, i.log)
 	i.screen = screen.NewScreen(screen.Options{
 		Peers: i.mesh, Store: i.store, Codec: record.Codec{}, Prober: client, Limit: poison.DefaultLimit,
 		Trials: poison.DefaultTrialSchedule(), Log: i.log,
@@ -172,7 +172,7 @@
 
 func (i *Ingress) takeView(v *state.View) {
 	i.flow.TakeView(v)
-	i.placer.TakeView(v)
+	i.placer.SetView(v)
 	i.maker.TakeView(v)
 	i.owner.TakeView(v)
 	i.mesh.TakeView(v)
--- a/ingress/services/assign/placer.go
+++ b/ingress/services/assign/placer.go
@@ -9,38 +9,40 @@
 	"verbenaroad.example/share/decide/place"
 )
 
-// Placer places the requests of all services at this ingress.
+// Placer places requests at the engines of all services. It is safe for concurrent use.
 type Placer struct {
 	regions map[string]string
 	cold    cold.Settings
 
-	lock  sync.Mutex
-	units map[string]*unit
+	lock sync.Mutex
+	// groups is keyed by service.
+	groups map[string]*engineGroup
 }
 
-// unit is one service's engines.
-type unit struct {
+// engineGroup holds the engines of one service.
+type engineGroup struct {
 	engines *place.Engines
 }
 
-// NewPlacer returns a placer that knows no engines. Regions maps failure domains to their
-// regions; settings bound the requests that reach a cold engine.
+// NewPlacer returns a placer without engines. Regions maps failure domains to their regions;
+// settings limit the rate of requests to a cold engine.
 func NewPlacer(regions map[string]string, settings cold.Settings) *Placer {
-	return &Placer{regions: regions, cold: settings, units: map[string]*unit{}}
+	return &Placer{regions: regions, cold: settings, groups: map[string]*engineGroup{}}
 }
 
-// TakeView takes the engines of a new view.
-func (p *Placer) TakeView(v *state.View) {
+// SetView replaces the known engines with those of a new view. A view without a configuration is
+// ignored.
+func (p *Placer) SetView(v *state.View) {
 	if v.Table == nil {
 		return
 	}
-	pools := map[string]int{}
+	poolServers := map[string]int{}
 	for _, s := range v.Table.Config().Services {
 		if s.Pool == nil {
 			continue
 		}
 		for _, server := range v.Servers[s.Name] {
-			pools[server.Domain]++
+			poolServers[server.Domain]++
 		}
 	}
 	p.lock.Lock()
@@ -49,42 +51,45 @@
 		if s.Engine == nil {
 			continue
 		}
-		u := p.units[s.Name]
-		if u == nil {
-			u = &unit{engines: place.NewEngines(p.regions)}
-			p.units[s.Name] = u
+		g := p.groups[s.Name]
+		if g == nil {
+			g = &engineGroup{engines: place.NewEngines(p.regions)}
+			p.groups[s.Name] = g
 		}
-		u.engines.SetPoolServers(pools)
-		u.engines.SetServers(v.Servers[s.Name], *s.Engine)
-		u.engines.SetColdLimit(p.cold.Limit(s.ColdRate))
+		g.engines.SetPoolServers(poolServers)
+		g.engines.SetServers(v.Servers[s.Name], *s.Engine)
+		g.engines.SetColdLimit(p.cold.Limit(s.ColdRate))
 	}
 }
 
-// Place returns a seat, or nil where no engine takes the request.
-func (p *Placer) Place(service string, q place.Query) *Seat {
+// Place reserves an engine of a service for a request. It returns nil if no engine accepts the
+// request.
+func (p *Placer) Place(service string, q place.Query) *Reservation {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	u := p.units[service]
-	if u == nil {
+	g := p.groups[service]
+	if g == nil {
 		return nil
 	}
-	placed, found := u.engines.Place(time.Now(), q)
+	placement, found := g.engines.Place(time.Now(), q)
 	if !found {
 		return nil
 	}
-	return &Seat{server: placed.Server, Wait: placed.Wait, FetchFrom: placed.FetchFrom, local: p, id: placed.ID, unit: u}
+	return &Reservation{server: placement.Server, Wait: placement.Wait, FetchFrom: placement.FetchFrom, local: p, id: placement.ID, group: g}
 }
 
-// Learn takes what an ingress's requests left in the engines of a service.
-func (p *Placer) Learn(service string, hints []place.CacheHint) {
+// MergeHints adds an ingress's hints about which prompt parts are cached at the engines of a
+// service.
+func (p *Placer) MergeHints(service string, hints []place.CacheHint) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if u := p.units[service]; u != nil {
-		u.engines.MergeHints(hints)
+	if g := p.groups[service]; g != nil {
+		g.engines.MergeHints(hints)
 	}
 }
 
-func (p *Placer) step(change func(now time.Time)) {
+// update calls change with the current time while it holds the lock.
+func (p *Placer) update(change func(now time.Time)) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	change(time.Now())
--- a/ingress/services/flow/events.go
+++ b/ingress/services/flow/events.go
@@ -66,7 +66,7 @@
 
 func (r *relay) noteFirst(server site.Server) {
 	r.releaseResults() // the engine has fetched its inputs
-	r.seat.Begun()
+	r.seat.MarkAnswering()
 	took := time.Since(r.Arrived)
 	r.log.Info("stream-begun", zap.String("server", server.ID), zap.Duration("took", took))
 	r.server.options.Meter.CountFirstEvent(r.route.Name, took)
--- a/ingress/services/flow/flow.go
+++ b/ingress/services/flow/flow.go
@@ -47,7 +47,7 @@
 // Desk gives requests to engines their places.
 type Desk interface {
 	// Place returns nil where no engine takes the request.
-	Place(ctx context.Context, service string, q place.Query) *assign.Seat
+	Place(ctx context.Context, service string, q place.Query) *assign.Reservation
 }
 
 // Peers tells which ingresses can be reached.
@@ -177,7 +177,7 @@
 	// ends is when the request must have its final answer.
 	ends time.Time
 	// seat is the place at an engine; nil for plain services.
-	seat *assign.Seat
+	seat *assign.Reservation
 	// tried holds the servers that had the request.
 	tried []string
 	// runs counts the attempts that ran or may have.
@@ -331,7 +331,7 @@
 // end notes how an attempt ended at its server.
 func (x *exchange) end(server site.Server, result place.Result, took time.Duration, load *site.Load) {
 	if x.seat != nil {
-		x.seat.Ended(result)
+		x.seat.End(result)
 		return
 	}
 	s := x.server
--- a/ingress/services/flow/places_test.go
+++ b/ingress/services/flow/places_test.go
@@ -43,7 +43,7 @@
 	fetched   []netip.AddrPort
 }
 
-func (s *scene) Place(_ context.Context, service string, q place.Query) *assign.Seat {
+func (s *scene) Place(_ context.Context, service string, q place.Query) *assign.Reservation {
 	s.placed++
 	seat := s.placer.Place(service, q)
 	if seat != nil {
@@ -63,7 +63,7 @@
 	defer s.lock.Unlock()
 	if s.next != nil {
 		s.view = s.next
-		s.placer.TakeView(s.view)
+		s.placer.SetView(s.view)
 	}
 	return pieces.NewResults([]string{"10.0.0.1:1/a"}, func() {}), nil
 }
@@ -104,7 +104,7 @@
 
 func (s *scene) serve(route site.Route) *httptest.ResponseRecorder {
 	s.placer = assign.NewPlacer(sceneRegions, cold.Settings{Overage: 1.5, Slack: 5})
-	s.placer.TakeView(s.view)
+	s.placer.SetView(s.view)
 	server := flow.NewServer(flow.Options{
 		Views: s, Sender: s, Maker: s, Desk: s, Screen: &s.screen, Meter: noMeter{}, Log: zap.NewNop(),
 		Domain: "n1", Region: "north", Regions: sceneRegions, Cold: cold.Settings{Overage: 1.5, Slack: 5},
--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -44,7 +44,7 @@
 	if x.seat == nil {
 		return false
 	}
-	x.log.Info("placed", zap.String("server", x.seat.Server().ID), zap.String("by", x.seat.By),
+	x.log.Info("placed", zap.String("server", x.seat.Server().ID), zap.String("by", x.seat.PlacedBy),
 		zap.Duration("predicted-wait", x.seat.Wait), zap.String("fetch-from", x.seat.FetchFrom))
 	return true
 }
@@ -65,7 +65,7 @@
 // giveUpSeat frees the place of a request that did not get to its end there.
 func (x *exchange) giveUpSeat() {
 	if x.seat != nil {
-		x.seat.Ended(place.ResultCanceled)
+		x.seat.End(place.ResultCanceled)
 	}
 }
 
@@ -184,7 +184,7 @@
 		if quarantined := r.refuseQuarantined(); quarantined != nil {
 			return r.stop(quarantined)
 		}
-		r.seat.Sent()
+		r.seat.MarkSent()
 		v := r.try(ctx, r.seat.Server())
 		if !v.again || r.left() <= 0 {
 			return r.stop(v.result)
--- a/ingress/services/flow/stream_test.go
+++ b/ingress/services/flow/stream_test.go
@@ -34,7 +34,7 @@
 // desk places at one of the engines of a view.
 type desk struct{ placer *assign.Placer }
 
-func (d desk) Place(_ context.Context, service string, q place.Query) *assign.Seat {
+func (d desk) Place(_ context.Context, service string, q place.Query) *assign.Reservation {
 	return d.placer.Place(service, q)
 }
 
@@ -95,7 +95,7 @@
 		}},
 	}
 	placer := assign.NewPlacer(nil, cold.Settings{})
-	placer.TakeView(view)
+	placer.SetView(view)
 	results := &maker{}
 	engines := &busy{maker: results}
 	server := flow.NewServer(flow.Options{
