--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -67,7 +67,7 @@
 	mesh     *mesh.Mesh
 	feeder   *mesh.Feeder
 	puller   *mesh.Puller
-	owner    *pieces.Owner
+	owner    *pieces.Batcher
 	maker    *pieces.Maker
 	placer   *assign.Placer
 	desk     *assign.Dispatcher
@@ -121,7 +121,7 @@
 	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: i.log, OnChange: i.takeView})
 	i.mesh = mesh.NewMesh(mesh.Options{
 		Self: i.self, Regions: s.Place.Regions, IsLeaving: i.stopper.IsLeaving, Link: i.newLink(), Log: i.log,
-		OnOutlook: func(told *wire.Outlook) { i.maker.TakeOutlook(told) },
+		OnOutlook: func(told *wire.Outlook) { i.maker.RecordBacklog(told) },
 		OnReading: func(name string, told *wire.Reading) { i.feeder.TakeReading(name, told) },
 	})
 	i.puller = &mesh.Puller{Mesh: i.mesh, Book: i.book, Seeds: s.Peers.Seeds, Log: i.log}
@@ -131,8 +131,8 @@
 	})
 	i.puller.Feed = i.feeder
 	client := reach.NewClient(heads.Codec{})
-	i.owner = pieces.NewOwner(pieces.OwnerOptions{
-		Pools: pools.Client{HTTP: client, Heads: heads.Codec{}}, Meter: i.meters, Repeats: s.Repeats.Settings, Log: i.log,
+	i.owner = pieces.NewBatcher(pieces.BatcherOptions{
+		Pools: pools.Client{HTTP: client, Heads: heads.Codec{}}, Meter: i.meters, Retries: s.Repeats.Settings, Log: i.log,
 		Regions: s.Place.Regions, Region: s.Place.Region,
 		Discard: func(service string, handles []string) { i.maker.Discard(service, handles) },
 		OnCrash: func(c batch.Crash) { i.screen.NoteBroken(poison.ID(c.RequestDigest), c.Server, c.SentAt) },
@@ -164,7 +164,7 @@
 		SilentAfter: time.Duration(silentBeats * float64(beat)),
 		Beat: func() *wire.Beat {
 			return &wire.Beat{
-				Leaving: i.stopper.IsLeaving(), Outlooks: i.owner.Outlooks(), Reading: mesh.EncodeReading(i.book),
+				Leaving: i.stopper.IsLeaving(), Outlooks: i.owner.Backlogs(), Reading: mesh.EncodeReading(i.book),
 			}
 		},
 	}
@@ -173,8 +173,8 @@
 func (i *Ingress) takeView(v *state.View) {
 	i.flow.TakeView(v)
 	i.placer.SetView(v)
-	i.maker.TakeView(v)
-	i.owner.TakeView(v)
+	i.maker.SetView(v)
+	i.owner.SetView(v)
 	i.mesh.TakeView(v)
 	i.screen.TakeView(v)
 	i.meters.SetVersion(v.Version())
@@ -305,7 +305,7 @@
 	}
 	i.lines.SetLevel(s.Log.Level)
 	i.flow.SetRepeats(s.Repeats.Settings)
-	i.owner.SetRepeats(s.Repeats.Settings)
+	i.owner.SetRetries(s.Repeats.Settings)
 	i.meters.CountReload("applied")
 	i.log.Info("reload", zap.String("outcome", "applied"), zap.String("log-level", s.Log.Level),
 		zap.Float64("repeats-ratio", s.Repeats.Ratio), zap.Float64("repeats-slack", s.Repeats.Slack))
--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -117,19 +117,19 @@
 		return nil
 	}
 	results, failed := r.server.options.Maker.MakeChain(ctx, pieces.Chain{
-		AttemptID: r.AttemptID,
-		Request:   string(r.digest),
-		Key:       r.ItemKey,
-		Items:     r.ItemCounts,
-		Stages:    r.route.Stages,
-		Rank:      r.Grant.Rank,
-		Target:    r.Arrived.Add(r.route.LatencyTarget),
-		Ends:      r.route.FirstEventDeadline(r.Arrived, r.ends),
-		Domain:    r.seat.Server().Domain,
-		Residency: r.residency(),
-		Refuse:    r.refuseQuarantined,
-		OnLast:    func() { r.server.options.Sender.Warm(r.seat.Server().Address) },
-		Log:       r.log,
+		AttemptID:     r.AttemptID,
+		RequestDigest: string(r.digest),
+		ItemKey:       r.ItemKey,
+		ItemCounts:    r.ItemCounts,
+		Stages:        r.route.Stages,
+		Rank:          r.Grant.Rank,
+		Target:        r.Arrived.Add(r.route.LatencyTarget),
+		Deadline:      r.route.FirstEventDeadline(r.Arrived, r.ends),
+		Domain:        r.seat.Server().Domain,
+		Residency:     r.residency(),
+		Refuse:        r.refuseQuarantined,
+		OnLastStage:   func() { r.server.options.Sender.Warm(r.seat.Server().Address) },
+		Log:           r.log,
 	})
 	if failed != nil {
 		return failed
--- a/ingress/services/pieces/admit.go
+++ b/ingress/services/pieces/admit.go
@@ -12,47 +12,50 @@
 )
 
 const (
-	// holdStep is how often a request that is held looks again.
-	holdStep = 50 * time.Millisecond
-	// lateEvery is the pause between two held requests that begin at one ingress:
-	// all of them see the same queue, and would else fill it at once.
-	lateEvery = 100 * time.Millisecond
+	// heldCheckInterval is how often a held request checks whether it can be admitted now.
+	heldCheckInterval = 50 * time.Millisecond
+	// heldAdmitInterval is the minimum time between two held requests that one ingress admits. All
+	// held requests see the same backlog; if they were admitted together, they would fill the
+	// queue at once.
+	heldAdmitInterval = 100 * time.Millisecond
 )
 
-// admit returns the plan of a request that may begin now, or why it may not.
+// admit waits until the first stage of a request may start and returns its plan, or why the
+// request is refused.
 func (m *Maker) admit(ctx context.Context, c *Chain) (chain.Plan, *codes.Result) {
-	began := time.Now()
+	start := time.Now()
 	held := false
 	for {
 		plan := m.newPlan(c)
-		verdict, pause := plan.Admit(time.Now(), c.Target, c.Ends)
+		verdict, retryAfter := plan.Admit(time.Now(), c.Target, c.Deadline)
 		switch {
 		case verdict == chain.Refuse:
 			return plan, codes.NewResult(codes.DeadlineUnmeetable, "the stages would take "+plan.LateTotal.Round(time.Millisecond).String()).
-				WithRetryAfter(max(pause, minPause))
-		case verdict == chain.Admit && (!held || m.takeLateTurn()):
-			c.Log.Info("admitted", zap.Duration("held", time.Since(began)), zap.Duration("on-time", plan.Total),
-				zap.Duration("late", plan.LateTotal), zap.Duration("target", time.Until(c.Target)), zap.Duration("ends", time.Until(c.Ends)))
+				WithRetryAfter(max(retryAfter, minRetryAfter))
+		case verdict == chain.Admit && (!held || m.tryAdmitHeld()):
+			c.Log.Info("admitted", zap.Duration("held", time.Since(start)), zap.Duration("on-time", plan.Total),
+				zap.Duration("late", plan.LateTotal), zap.Duration("target", time.Until(c.Target)), zap.Duration("ends", time.Until(c.Deadline)))
 			return plan, nil
 		}
 		if !held {
 			held = true
 			c.Log.Info("held", zap.Duration("on-time", plan.Total), zap.Duration("late", plan.LateTotal))
 		}
-		if !pauses.Wait(ctx, holdStep) {
+		if !pauses.Wait(ctx, heldCheckInterval) {
 			return plan, codes.NewResult(codes.Canceled, "the request was given up").WithOutcome(codes.OutcomeNotRun)
 		}
 	}
 }
 
-// takeLateTurn lets one held request begin at a time.
-func (m *Maker) takeLateTurn() bool {
+// tryAdmitHeld reports whether a held request may be admitted now, and records its admission. At
+// most one is admitted per heldAdmitInterval.
+func (m *Maker) tryAdmitHeld() bool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	now := time.Now()
-	if now.Sub(m.lateTurn) < lateEvery {
+	if now.Sub(m.lastHeldAdmit) < heldAdmitInterval {
 		return false
 	}
-	m.lateTurn = now
+	m.lastHeldAdmit = now
 	return true
 }
--- /dev/null
+++ b/ingress/services/pieces/batcher.go
@@ -0,0 +1,301 @@
+package pieces
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"net"
+	"net/netip"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"verbenaroad.example/ingress/services/state"
+	"verbenaroad.example/share/decide/batch"
+	"verbenaroad.example/share/decide/budget"
+	"verbenaroad.example/share/decide/shard"
+	"verbenaroad.example/share/models/site"
+	"verbenaroad.example/share/modules/logs"
+	"verbenaroad.example/share/modules/pauses"
+	"verbenaroad.example/share/modules/wire"
+)
+
+// Pools calls the backend servers that produce results.
+type Pools interface {
+	// Make sends one call with the given items to a server.
+	Make(ctx context.Context, server site.Server, items []site.Item) (site.BatchAnswer, error)
+	// Release releases results at the server that holds them.
+	Release(ctx context.Context, holder netip.AddrPort, handles []string) error
+	// Warm opens a connection in advance, for the next call to a server.
+	Warm(server site.Server)
+	// ReadHolder returns the address of the server that holds a result.
+	ReadHolder(handle string) (netip.AddrPort, error)
+}
+
+// Meter records metrics of calls.
+type Meter interface {
+	CountBatch(queue, outcome string, items int, took time.Duration)
+}
+
+// BatcherOptions are the settings of a Batcher.
+type BatcherOptions struct {
+	Pools Pools
+	Meter Meter
+	// Retries limits how many calls are retried.
+	Retries budget.Settings
+	// Regions maps failure domains to their regions; Region is the region of this ingress.
+	Regions map[string]string
+	Region  string
+	// Discard releases the results of another queue, whose batcher may be another ingress.
+	Discard func(queue string, handles []string)
+	// OnCrash is called for each call that failed after it was sent while the server had only the
+	// items of one job. It may be nil.
+	OnCrash func(c batch.Crash)
+	Log     *zap.Logger
+}
+
+const (
+	// tickInterval is how often a planner checks whether jobs that wait can now be sent. Planners
+	// gather jobs for 20 ms, so the interval is a fraction of that.
+	tickInterval = 5 * time.Millisecond
+	// releaseInterval is how long handles are gathered, so that one call releases many of them.
+	releaseInterval = 10 * time.Millisecond
+	// releaseTimeout limits the duration of a release call. If the call fails, the server removes
+	// the results by itself a few seconds later.
+	releaseTimeout = 2 * time.Second
+)
+
+// Batcher runs the queues of services: it combines jobs into calls and sends them to the backend
+// servers. After a change of membership, several ingresses may batch for the same queue for a
+// while. The only effect is that servers that are already full refuse some of their calls.
+type Batcher struct {
+	options BatcherOptions
+
+	lock sync.Mutex
+	// queues is keyed by queue name, budgets by service.
+	queues  map[string]*jobQueue
+	budgets map[string]*budget.Budget
+	// toRelease holds the handles of the next release by the server that holds their results.
+	toRelease map[netip.AddrPort][]queueHandle
+	// ingresses is the highest number of registered ingresses in any view so far.
+	ingresses int
+	lastJobID uint64
+}
+
+// queueHandle is the handle of a result that was produced by a queue.
+type queueHandle struct {
+	queue  string
+	handle string
+}
+
+// jobQueue is one queue of a service, with the callers that wait for its jobs.
+type jobQueue struct {
+	planner     *batch.Planner
+	retryBudget *budget.Budget
+	// waiters maps job IDs to the channels of the callers that wait.
+	waiters map[uint64]chan batch.Completion
+}
+
+// NewBatcher returns a Batcher without servers.
+func NewBatcher(options BatcherOptions) *Batcher {
+	return &Batcher{options: options, queues: map[string]*jobQueue{}, budgets: map[string]*budget.Budget{}, toRelease: map[netip.AddrPort][]queueHandle{}}
+}
+
+// Start starts the goroutines of the batcher. They run until the context ends.
+func (b *Batcher) Start(ctx context.Context) {
+	go b.loopTick(ctx)
+	go b.loopRelease(ctx)
+}
+
+// SetRetries replaces the limit of retries.
+func (b *Batcher) SetRetries(settings budget.Settings) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.options.Retries = settings
+	for _, retryBudget := range b.budgets {
+		retryBudget.SetSettings(settings)
+	}
+}
+
+// SetView replaces the servers of all queues with those of a new view. A view without a
+// configuration is ignored.
+func (b *Batcher) SetView(v *state.View) {
+	if v.Table == nil {
+		return
+	}
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.ingresses = max(b.ingresses, len(v.Ingresses))
+	for _, s := range v.Table.Config().Services {
+		if s.Pool == nil {
+			continue
+		}
+		b.setServers(s, shard.QueueName(s.Name, ""), v.Servers[s.Name])
+		for region, servers := range shard.GroupByRegion(v.Servers[s.Name], b.options.Regions) {
+			b.setServers(s, shard.QueueName(s.Name, region), servers)
+		}
+	}
+}
+
+// setServers replaces the servers of one queue and creates the queue if needed. The caller holds
+// the lock.
+func (b *Batcher) setServers(s site.Service, name string, servers []site.Server) {
+	q := b.queues[name]
+	if q == nil {
+		q = b.newQueue(s)
+		b.queues[name] = q
+	}
+	q.planner.SetPool(*s.Pool)
+	b.perform(name, q, q.planner.SetServers(time.Now(), servers))
+}
+
+// newQueue returns a queue of a service. All queues of a service share its retry budget.
+func (b *Batcher) newQueue(s site.Service) *jobQueue {
+	retryBudget := b.budgets[s.Name]
+	if retryBudget == nil {
+		retryBudget = budget.NewBudget(b.options.Retries)
+		b.budgets[s.Name] = retryBudget
+	}
+	planner := batch.NewPlanner(*s.Pool, b.options.Regions, func(now time.Time, n int) bool {
+		return retryBudget.TakeRetries(now, n, b.ingresses)
+	})
+	return &jobQueue{planner: planner, retryBudget: retryBudget, waiters: map[uint64]chan batch.Completion{}}
+}
+
+// Produce adds a job to a queue and waits for its end. If the context ends first, the job is
+// canceled.
+func (b *Batcher) Produce(ctx context.Context, queue string, j batch.Job) batch.Completion {
+	b.lock.Lock()
+	q := b.queues[queue]
+	if q == nil {
+		b.lock.Unlock()
+		return batch.Completion{Outcome: batch.OutcomeNoServer, RetryAfter: time.Second}
+	}
+	b.lastJobID++
+	j.ID = b.lastJobID
+	done := make(chan batch.Completion, 1)
+	q.waiters[j.ID] = done
+	q.retryBudget.CountRequest(time.Now())
+	b.perform(queue, q, q.planner.Add(time.Now(), j))
+	b.lock.Unlock()
+	select {
+	case c := <-done:
+		return c
+	case <-ctx.Done():
+	}
+	b.lock.Lock()
+	b.perform(queue, q, q.planner.Cancel(time.Now(), j.ID))
+	b.lock.Unlock()
+	c := <-done // the planner completes each job exactly once, a canceled one too
+	if c.Outcome == batch.OutcomeMade {
+		b.Discard(queue, c.Handles)
+	}
+	return batch.Completion{Outcome: batch.OutcomeCanceled, InputsReleased: c.InputsReleased}
+}
+
+// Backlogs returns the backlog of each queue that has jobs at this ingress.
+func (b *Batcher) Backlogs() []*wire.Outlook {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	backlogs := []*wire.Outlook{}
+	for name, q := range b.queues {
+		if q.planner.CountJobs() == 0 {
+			continue
+		}
+		backlogs = append(backlogs, encodeBacklog(name, q.planner.Backlog(time.Now())))
+	}
+	return backlogs
+}
+
+// perform carries out the actions that the planner of a queue has decided on. The caller holds the
+// lock.
+func (b *Batcher) perform(queue string, q *jobQueue, a batch.Actions) {
+	for _, c := range a.Completions {
+		if waiter := q.waiters[c.JobID]; waiter != nil {
+			delete(q.waiters, c.JobID)
+			waiter <- c
+		}
+	}
+	b.queueRelease(queue, a.Release)
+	for _, c := range a.Crashes {
+		if b.options.OnCrash != nil {
+			b.options.OnCrash(c)
+		}
+	}
+	for _, in := range a.ReleaseInputs {
+		go b.runReleaseInputs(in)
+	}
+	for _, c := range a.Calls {
+		go b.runCall(queue, q, c)
+	}
+}
+
+// runReleaseInputs releases the inputs of a job after all its servers have fetched them.
+func (b *Batcher) runReleaseInputs(in batch.JobInputs) {
+	b.options.Log.Info("inputs-released", zap.String("request", in.AttemptID), zap.String("service", in.Service),
+		zap.Int("handles", len(in.Handles)))
+	b.options.Discard(in.Service, in.Handles)
+}
+
+// runCall sends one call and reports its result to the planner.
+func (b *Batcher) runCall(queue string, q *jobQueue, c batch.Call) {
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
+	defer cancel()
+	b.options.Pools.Warm(c.Server)
+	answer, err := b.options.Pools.Make(ctx, c.Server, c.Items)
+	took := time.Since(start)
+	outcome := "answered"
+	if err != nil {
+		outcome = "broken"
+	} else if len(answer.Results) > 0 && answer.Results[0].Outcome == site.ItemRefused {
+		outcome = "refused"
+	}
+	b.options.Meter.CountBatch(queue, outcome, len(c.Items), took)
+	b.options.Log.Info("batch", zap.String("service", queue), zap.String("server", c.Server.ID), zap.Int("items", len(c.Items)),
+		zap.String("outcome", outcome), zap.String("results", formatOutcomes(answer.Results)), zap.Stringer("load", answer.Load),
+		zap.Int64("held-bytes", c.HeldBytes), zap.Int("waiting", c.QueuedItems),
+		zap.Duration("took", took), logs.Err(err))
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.perform(queue, q, q.planner.FinishCall(time.Now(), c.ID, batch.CallResult{
+		Results: answer.Results, Load: answer.Load, RoundTrip: answer.RoundTrip, Failed: err != nil, Unsent: isUnsent(err),
+	}))
+}
+
+// isUnsent reports whether a call failed before it was sent, because no connection to its server
+// could be established.
+func isUnsent(err error) bool {
+	var failed *net.OpError
+	return errors.As(err, &failed) && failed.Op == "dial"
+}
+
+// formatOutcomes returns the number of results of each outcome, for example "made=12,no-room=2".
+func formatOutcomes(results []site.ItemResult) string {
+	counts := map[string]int{}
+	for _, r := range results {
+		counts[string(r.Outcome)]++
+	}
+	parts := []string{}
+	for _, outcome := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%s=%d", outcome, counts[outcome]))
+	}
+	return strings.Join(parts, ",")
+}
+
+// loopTick makes the planners check regularly whether jobs that wait can be sent or have expired.
+func (b *Batcher) loopTick(ctx context.Context) {
+	for pauses.Wait(ctx, tickInterval) {
+		b.lock.Lock()
+		for name, q := range b.queues {
+			if q.planner.CountJobs() > 0 {
+				b.perform(name, q, q.planner.Tick(time.Now()))
+			}
+		}
+		b.lock.Unlock()
+	}
+}
--- a/ingress/services/pieces/chain.go
+++ b/ingress/services/pieces/chain.go
@@ -1,6 +1,7 @@
-// Package pieces has the results of a request's stages made. In: the stages of
-// one request. Out: the handles that its engine fetches, or why there are none.
-// One ingress batches for each service; the others hand their jobs to it.
+// Package pieces produces the results of a request's stages. It takes the stages of one request
+// and returns the handles of the results that the engine fetches, or the reason why there are
+// none. Each queue has a batcher, the ingress that combines the jobs of all ingresses into calls;
+// the other ingresses send their jobs to it.
 package pieces
 
 import (
@@ -15,41 +16,43 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Chain is what one request needs.
+// Chain describes the stages that one request needs.
 type Chain struct {
 	AttemptID string
-	// Request is the same for all attempts of the request.
-	Request string
-	Key     string
-	// Items is the number of results of each stage.
-	Items  []int
-	Stages []site.Stage
-	Rank   site.Rank
-	// Target is when the request should begin to answer, Ends when it must have ended.
-	Target time.Time
-	Ends   time.Time
-	// Residency bounds the regions in which the results are made.
+	// RequestDigest is the same for all attempts of the request.
+	RequestDigest string
+	// ItemKey is the input of stages that take no results of other stages.
+	ItemKey string
+	// ItemCounts is the number of results of each stage.
+	ItemCounts []int
+	Stages     []site.Stage
+	Rank       site.Rank
+	// Target is when the answer of the request should begin, Deadline when its caller stops waiting.
+	Target   time.Time
+	Deadline time.Time
+	// Residency limits the regions in which the results may be produced.
 	Residency site.Residency
 	// Domain is the failure domain of the engine.
 	Domain string
-	// Refuse says why no further stage is to begin; nil: nothing speaks against it. It is not set
-	// where nothing ever does.
+	// Refuse returns the refusal of the request if no further stage may start, and nil otherwise.
+	// It is called before the first stage and after each stage. The field may be nil.
 	Refuse func() *codes.Result
-	// OnLast is told once when the last stage begins; nil: nobody is.
-	OnLast func()
-	Log    *zap.Logger
+	// OnLastStage is called when the last stage starts. If the chain is restarted, it may be called
+	// again. The field may be nil.
+	OnLastStage func()
+	Log         *zap.Logger
 }
 
-// count returns the number of results of a stage.
-func (c *Chain) count(stage int) int {
-	if stage >= len(c.Items) {
+// itemCount returns the number of results of a stage.
+func (c *Chain) itemCount(stage int) int {
+	if stage >= len(c.ItemCounts) {
 		return 0
 	}
-	return c.Items[stage]
+	return c.ItemCounts[stage]
 }
 
-// isLast tells whether no other stage takes the results of this one.
-func (c *Chain) isLast(stage int) bool {
+// isFinal reports whether no other stage takes the results of this one.
+func (c *Chain) isFinal(stage int) bool {
 	for _, s := range c.Stages {
 		if slices.Contains(s.After, stage) {
 			return false
@@ -58,36 +61,37 @@
 	return true
 }
 
-// Results are what an engine fetches before it reads the prompt.
+// Results holds the handles of the results that an engine fetches before it prefills the prompt.
 type Results struct {
 	Handles  []string
 	release  func()
 	released atomic.Bool
 }
 
-// NewResults returns results that release gives up.
+// NewResults returns results with the given handles. Release calls the function release once.
 func NewResults(handles []string, release func()) *Results {
 	return &Results{Handles: handles, release: release}
 }
 
-// Release gives up the results; further calls do nothing.
+// Release releases the results. Further calls do nothing.
 func (r *Results) Release() {
 	if r.released.CompareAndSwap(false, true) {
 		r.release()
 	}
 }
 
-// IsReleased tells whether the results were given up.
+// IsReleased reports whether the results were released.
 func (r *Results) IsReleased() bool { return r.released.Load() }
 
-// maxRestarts bounds how often a chain is begun anew after an input had gone.
+// maxRestarts limits how often a chain is restarted because an input no longer existed.
 const maxRestarts = 2
 
-// MakeChain makes the results of all stages, each as soon as its inputs are there.
+// MakeChain produces the results of all stages.
 //
-// Inputs may go before their stage is made: with their server, or because they were
-// given up once fetched and the call then failed. The chain is begun anew then, if
-// it can still be of use: the caller would do the same, later and with less time.
+// The inputs of a stage may be lost before its results are produced: their server may fail, or
+// they were released once they had been fetched and the call then failed. The chain is then
+// restarted if it can still end in time, because a retry by the caller would do the same later and
+// with less time left.
 func (m *Maker) MakeChain(ctx context.Context, c Chain) (*Results, *codes.Result) {
 	c.Stages = m.assignQueues(&c)
 	for restarts := 0; ; restarts++ {
@@ -95,12 +99,12 @@
 		if result != nil {
 			return nil, result
 		}
-		w := m.newWalk(c, plan)
-		results, failed := w.makeResults(ctx)
+		r := m.newChainRun(c, plan)
+		results, failed := r.produceResults(ctx)
 		if failed == nil {
 			return results, nil
 		}
-		if !w.isGone || restarts == maxRestarts {
+		if !r.inputGone || restarts == maxRestarts {
 			return nil, failed
 		}
 		c.Log.Info("chain-restarted", zap.Int("restarts", restarts+1), zap.String("detail", failed.Detail))
--- a/ingress/services/pieces/inputs.go
+++ b/ingress/services/pieces/inputs.go
@@ -4,72 +4,77 @@
 	"time"
 )
 
-// domainOf returns the failure domain in which a stage is best made: beside the engine,
-// or beside its inputs where more bytes come in than go out. Each item fetches all
-// inputs: ten generated texts of 6 KB from six passages of 60 KB move 3.6 MB, and what
-// crosses between domains is charged for.
-func (w *walk) domainOf(stage int, in inputs) string {
-	if in.bytes <= w.Stages[stage].ResultBytes {
-		return w.Domain
+// preferredDomain returns the failure domain in which the results of a stage are best produced:
+// that of the engine or, if the inputs of an item are larger than its result, that of the inputs.
+// Each item fetches all inputs: ten generated texts of 6 KB from six passages of 60 KB fetch 3.6 MB,
+// and bytes transferred between domains are billed.
+func (r *chainRun) preferredDomain(stage int, in stageInputs) string {
+	if in.bytes <= r.Stages[stage].ResultBytes {
+		return r.Domain
 	}
-	if domain := w.maker.findDomain(in.handles); domain != "" {
+	if domain := r.maker.findHolderDomain(in.handles); domain != "" {
 		return domain
 	}
-	return w.Domain
+	return r.Domain
 }
 
-func (w *walk) keyOf(stage int) string {
-	if len(w.Stages[stage].After) > 0 {
+// keyFor returns the key of a stage's items. Stages that take the results of other stages have
+// none.
+func (r *chainRun) keyFor(stage int) string {
+	if len(r.Stages[stage].After) > 0 {
 		return ""
 	}
-	return w.Key
+	return r.ItemKey
 }
 
-// inputs are the results that a stage takes.
-type inputs struct {
+// stageInputs are the results that a stage takes.
+type stageInputs struct {
 	handles []string
-	// service made them; empty where several did, or another stage needs them too.
-	service string
-	// bytes is about the size of all of them together.
+	// queue is the queue that produced the inputs; empty if there are several, or if another stage
+	// still needs them too.
+	queue string
+	// bytes is the approximate size of all inputs together.
 	bytes int64
 }
 
-func (w *walk) inputsOf(stage int) inputs {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	in := inputs{handles: []string{}}
+func (r *chainRun) collectInputs(stage int) stageInputs {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	in := stageInputs{handles: []string{}}
 	shared := false
-	for _, before := range w.Stages[stage].After {
-		s := w.Stages[before]
-		shared = shared || w.users[before] > 1 || in.service != "" && in.service != s.Service
-		in.service = s.Service
-		in.handles = append(in.handles, w.handles[before]...)
-		in.bytes += int64(len(w.handles[before])) * s.ResultBytes
+	for _, input := range r.Stages[stage].After {
+		s := r.Stages[input]
+		shared = shared || r.consumers[input] > 1 || in.queue != "" && in.queue != s.Service
+		in.queue = s.Service
+		in.handles = append(in.handles, r.handles[input]...)
+		in.bytes += int64(len(r.handles[input])) * s.ResultBytes
 	}
 	if shared {
-		in.service = ""
+		in.queue = ""
 	}
 	return in
 }
 
-// inputsUntil returns how long the inputs of a stage are kept. A job that waits for
-// longer would find them gone after its server has worked on it.
-func (w *walk) inputsUntil(stage int) (until time.Time, bound bool) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	for _, before := range w.Stages[stage].After {
-		if at := w.until[before]; !at.IsZero() && (!bound || at.Before(until)) {
-			until, bound = at, true
+// inputsKeptUntil returns until when all inputs of a stage are kept; limited is false if no limit
+// is known. A job that waits longer would occupy a server and then fail, because its inputs no
+// longer exist.
+func (r *chainRun) inputsKeptUntil(stage int) (until time.Time, limited bool) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, input := range r.Stages[stage].After {
+		if at := r.keptUntil[input]; !at.IsZero() && (!limited || at.Before(until)) {
+			until, limited = at, true
 		}
 	}
-	return until, bound
+	return until, limited
 }
 
-// forgetInputs notes that a stage's inputs were given up where it was made.
-func (w *walk) forgetInputs(stage int) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	for _, before := range w.Stages[stage].After {
-		w.handles[before] = nil
+// forgetInputs drops the handles of a stage's inputs, because its batcher has already released
+// them.
+func (r *chainRun) forgetInputs(stage int) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, input := range r.Stages[stage].After {
+		r.handles[input] = nil
 	}
 }
--- a/ingress/services/pieces/maker.go
+++ b/ingress/services/pieces/maker.go
@@ -20,105 +20,113 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// Peers reaches the other ingresses.
+// Peers is the connection to the other ingresses.
 type Peers interface {
-	// RankIn lists the ingresses that can be reached, the one that holds a queue first; of
-	// those in a region, where there are some. An empty region stands for all.
+	// RankIn lists the reachable ingresses in the order of their score for a queue. The first one
+	// is the batcher of the queue. If any reachable ingress is in the given region, only those in
+	// the region are listed. An empty region means all regions.
 	RankIn(region, queue string) []string
 	// Self is the name of this ingress.
 	Self() string
+	// Produce sends a job to the named ingress and waits for its end.
 	Produce(ctx context.Context, name string, p *wire.Produce) (*wire.Produced, error)
+	// Discard asks the named ingress to release results.
 	Discard(name string, d *wire.Discard) error
 }
 
-// Maker gives each job to the ingress that batches for its service.
+// Maker produces the results of chains. It sends the job of each stage to the batcher of the
+// stage's queue.
 type Maker struct {
-	peers Peers
-	owner *Owner
-	log   *zap.Logger
+	peers   Peers
+	batcher *Batcher
+	log     *zap.Logger
 
-	// regions maps failure domains to their regions.
+	// regions maps failure domains to their regions; region is the region of this ingress.
 	regions map[string]string
 	region  string
 
 	lock sync.Mutex
-	// divided are the services of which each region has a queue of its own.
-	divided map[string]bool
-	// domains holds where the servers that make results stand, by their address.
-	domains map[netip.AddrPort]string
-	// pools and waits are by queue.
-	pools map[string]*site.Pool
-	waits map[string]chain.Report
-	// pending counts the results that chains of this ingress still need, by queue.
+	// sharded marks the services for which each region has its own queue.
+	sharded map[string]bool
+	// serverDomains maps the address of each server that produces results to its failure domain.
+	serverDomains map[netip.AddrPort]string
+	// pools and reports are keyed by queue name.
+	pools   map[string]*site.Pool
+	reports map[string]chain.Report
+	// pending counts, by queue, the results that chains of this ingress need but that are not in a
+	// queue yet.
 	pending map[string]delay.Counts
-	// ingresses counts them by region, all of them under the empty one.
+	// ingresses counts the registered ingresses by region. The count of the empty region includes
+	// all of them.
 	ingresses map[string]int
-	// lateTurn is when the last held request began.
-	lateTurn time.Time
+	// lastHeldAdmit is when a held request was last admitted.
+	lastHeldAdmit time.Time
 }
 
-// NewMaker returns a maker; owner holds the queues that fall to this ingress.
-func NewMaker(peers Peers, owner *Owner, log *zap.Logger) *Maker {
-	return &Maker{peers: peers, owner: owner, log: log, regions: owner.options.Regions, region: owner.options.Region, waits: map[string]chain.Report{}, pending: map[string]delay.Counts{}}
+// NewMaker returns a Maker. It uses batcher for the queues whose batcher is this ingress, and as a
+// fallback if other batchers cannot be reached.
+func NewMaker(peers Peers, batcher *Batcher, log *zap.Logger) *Maker {
+	return &Maker{peers: peers, batcher: batcher, log: log, regions: batcher.options.Regions, region: batcher.options.Region, reports: map[string]chain.Report{}, pending: map[string]delay.Counts{}}
 }
 
-// TakeView takes the services of a new view.
-func (m *Maker) TakeView(v *state.View) {
+// SetView replaces the known services, servers and ingresses with those of a new view. A view
+// without a configuration is ignored.
+func (m *Maker) SetView(v *state.View) {
 	if v.Table == nil {
 		return
 	}
 	pools := map[string]*site.Pool{}
-	domains := map[netip.AddrPort]string{}
-	divided := map[string]bool{}
+	serverDomains := map[netip.AddrPort]string{}
+	sharded := map[string]bool{}
 	for _, s := range v.Table.Config().Services {
 		pools[s.Name] = s.Pool
 		if s.Pool == nil {
 			continue
 		}
-		divided[s.Name] = shard.IsSharded(v.Servers[s.Name], m.regions)
+		sharded[s.Name] = shard.IsSharded(v.Servers[s.Name], m.regions)
 		for _, region := range m.regions {
 			pools[shard.QueueName(s.Name, region)] = s.Pool
 		}
 		for _, server := range v.Servers[s.Name] {
-			domains[server.Address] = server.Domain
+			serverDomains[server.Address] = server.Domain
 		}
 	}
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.pools = pools
-	m.divided = divided
-	m.domains = domains
+	m.sharded = sharded
+	m.serverDomains = serverDomains
 	m.ingresses = map[string]int{"": len(v.Ingresses)}
 	for _, i := range v.Ingresses {
 		m.ingresses[m.regions[i.Domain]]++
 	}
 }
 
-// newPlan predicts a chain by what the batchers told last.
+// newPlan estimates the times of a chain from the last reports of the batchers.
 func (m *Maker) newPlan(c *Chain) chain.Plan {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	pending := map[string]delay.Counts{}
 	for _, s := range c.Stages {
-		pending[s.Service] = m.countPending(s.Service)
+		pending[s.Service] = m.estimatePending(s.Service)
 	}
-	known := chain.Snapshot{Pools: m.pools, Reports: m.waits, Pending: pending}
-	return chain.NewPlan(time.Now(), c.Rank, c.Stages, c.Items, known)
+	snapshot := chain.Snapshot{Pools: m.pools, Reports: m.reports, Pending: pending}
+	return chain.NewPlan(time.Now(), c.Rank, c.Stages, c.ItemCounts, snapshot)
 }
 
-// findDomain returns the failure domain that holds the most of some results; empty
-// where none is known.
-func (m *Maker) findDomain(handles []string) string {
+// findHolderDomain returns the failure domain that holds the most of the given results; empty if
+// none is known.
+func (m *Maker) findHolderDomain(handles []string) string {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	counts := map[string]int{}
 	best := ""
 	for _, h := range handles {
-		holder, err := m.owner.options.Pools.ReadHolder(h)
+		holder, err := m.batcher.options.Pools.ReadHolder(h)
 		if err != nil {
-			continue // it is logged when it is released
+			continue // the error is logged when the result is released
 		}
-		domain := m.domains[holder]
+		domain := m.serverDomains[holder]
 		if domain == "" {
 			continue
 		}
@@ -130,35 +138,36 @@
 	return best
 }
 
-// keepTime returns how long a service's servers keep a result.
-func (m *Maker) keepTime(service string) time.Duration {
+// resultTTL returns how long the servers of a queue keep a result; zero if that is not known.
+func (m *Maker) resultTTL(queue string) time.Duration {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	if pool := m.pools[service]; pool != nil {
+	if pool := m.pools[queue]; pool != nil {
 		return pool.ResultTTL
 	}
 	return 0
 }
 
-// TakeOutlook takes what a batcher told of a service.
-func (m *Maker) TakeOutlook(told *wire.Outlook) {
-	m.noteOutlook(told.GetService(), decodeOutlook(told))
+// RecordBacklog records the backlog that the batcher of a queue reported.
+func (m *Maker) RecordBacklog(message *wire.Outlook) {
+	m.recordBacklog(message.GetService(), decodeBacklog(message))
 }
 
-func (m *Maker) noteOutlook(service string, o delay.Backlog) {
+func (m *Maker) recordBacklog(queue string, b delay.Backlog) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.waits[service] = chain.Report{Backlog: o, At: time.Now()}
+	m.reports[queue] = chain.Report{Backlog: b, At: time.Now()}
 }
 
-// addPending notes results that chains of this ingress still need and that no queue holds yet.
-func (m *Maker) addPending(service string, rank site.Rank, n int) {
+// addPending adds n to the pending results of a queue: those that chains of this ingress need but
+// that are not in the queue yet.
+func (m *Maker) addPending(queue string, rank site.Rank, n int) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	counts := m.pending[service]
+	counts := m.pending[queue]
 	if counts == nil {
 		counts = delay.Counts{}
-		m.pending[service] = counts
+		m.pending[queue] = counts
 	}
 	counts[rank] += float64(n)
 	if counts[rank] == 0 {
@@ -166,53 +175,54 @@
 	}
 }
 
-// errGivenUp says that a batcher gave a job up by itself.
-var errGivenUp = errors.New("the batcher gave the job up")
+// errJobDropped means that a batcher dropped a job that its caller had not canceled.
+var errJobDropped = errors.New("the batcher dropped the job")
 
-// maxOwners bounds the ingresses that are tried in turn for one job.
-const maxOwners = 3
+// maxPeerTries limits how often a job is sent to another ingress before this one runs it itself.
+const maxPeerTries = 3
 
-// produce has a job done. Where the ingress that batches is lost the next one
-// takes the job; results of the lost one end by themselves.
-func (m *Maker) produce(ctx context.Context, service string, j batch.Job) batch.Completion {
-	done := m.produceAnywhere(ctx, service, j)
-	if done.Backlog.IsKnown() {
-		m.noteOutlook(service, done.Backlog)
+// produce runs a job at the batcher of a queue. If the batcher fails, the job is sent to the
+// ingress that is then the first in the ranking. Results that were produced for the failed batcher
+// are not released; their servers remove them after their TTL.
+func (m *Maker) produce(ctx context.Context, queue string, j batch.Job) batch.Completion {
+	completion := m.produceWithFailover(ctx, queue, j)
+	if completion.Backlog.IsKnown() {
+		m.recordBacklog(queue, completion.Backlog)
 	}
-	return done
+	return completion
 }
 
-func (m *Maker) produceAnywhere(ctx context.Context, service string, j batch.Job) batch.Completion {
-	for range maxOwners {
-		ranked := m.rank(service)
+func (m *Maker) produceWithFailover(ctx context.Context, queue string, j batch.Job) batch.Completion {
+	for range maxPeerTries {
+		ranked := m.rankIngresses(queue)
 		if len(ranked) == 0 || ranked[0] == m.peers.Self() {
-			return m.owner.Produce(ctx, service, j)
+			return m.batcher.Produce(ctx, queue, j)
 		}
-		done, err := m.produceAt(ctx, ranked[0], service, j)
-		// A batcher that is stopping gives up what it has. The request's caller is still
-		// there, and must not be answered as one that left.
-		if err == nil && done.Outcome == batch.OutcomeCanceled && ctx.Err() == nil {
-			if done.InputsReleased {
+		completion, err := m.produceAtPeer(ctx, ranked[0], queue, j)
+		// A batcher that is stopping cancels its jobs. The caller of the request is still waiting,
+		// so the request must not be answered as if the caller had disconnected.
+		if err == nil && completion.Outcome == batch.OutcomeCanceled && ctx.Err() == nil {
+			if completion.InputsReleased {
 				return batch.Completion{Outcome: batch.OutcomeInputGone, InputsReleased: true}
 			}
-			err = errGivenUp
+			err = errJobDropped
 		}
 		if err == nil {
-			return done
+			return completion
 		}
 		if ctx.Err() != nil {
 			return batch.Completion{Outcome: batch.OutcomeCanceled}
 		}
-		m.log.Warn("batcher-lost", zap.String("service", service), zap.String("ingress", ranked[0]),
+		m.log.Warn("batcher-lost", zap.String("service", queue), zap.String("ingress", ranked[0]),
 			zap.String("request", j.AttemptID), logs.Err(err))
 	}
-	return m.owner.Produce(ctx, service, j)
+	return m.batcher.Produce(ctx, queue, j)
 }
 
-func (m *Maker) produceAt(ctx context.Context, name, service string, j batch.Job) (batch.Completion, error) {
+func (m *Maker) produceAtPeer(ctx context.Context, name, queue string, j batch.Job) (batch.Completion, error) {
 	now := time.Now()
-	got, err := m.peers.Produce(ctx, name, &wire.Produce{
-		Service:        service,
+	answer, err := m.peers.Produce(ctx, name, &wire.Produce{
+		Service:        queue,
 		AttemptId:      j.AttemptID,
 		Stage:          uint32(j.Stage), //nolint:gosec // a small number
 		Count:          uint32(j.Count), //nolint:gosec // a small number
@@ -232,35 +242,36 @@
 		return batch.Completion{}, err
 	}
 	return batch.Completion{
-		Outcome:    batch.Outcome(got.GetOutcome()),
-		Handles:    got.GetHandles(),
-		RetryAfter: time.Duration(got.GetRetryAfterNanos()),
-		Backlog:    decodeOutlook(got.GetOutlook()),
+		Outcome:    batch.Outcome(answer.GetOutcome()),
+		Handles:    answer.GetHandles(),
+		RetryAfter: time.Duration(answer.GetRetryAfterNanos()),
+		Backlog:    decodeBacklog(answer.GetOutlook()),
 
-		InputsReleased: got.GetInputsReleased(),
+		InputsReleased: answer.GetInputsReleased(),
 	}, nil
 }
 
-// Discard releases results at the ingress that batches for their service, which plans with their memory.
-func (m *Maker) Discard(service string, handles []string) {
+// Discard releases the results of a queue through its batcher, which tracks how much memory they
+// take at their servers.
+func (m *Maker) Discard(queue string, handles []string) {
 	if len(handles) == 0 {
 		return
 	}
-	ranked := m.rank(service)
+	ranked := m.rankIngresses(queue)
 	if len(ranked) > 0 && ranked[0] != m.peers.Self() {
-		err := m.peers.Discard(ranked[0], &wire.Discard{Service: service, Handles: handles})
+		err := m.peers.Discard(ranked[0], &wire.Discard{Service: queue, Handles: handles})
 		if err == nil {
 			return
 		}
-		m.log.Info("discard-here", zap.String("service", service), logs.Err(err))
+		m.log.Info("discard-forward-failed", zap.String("service", queue), logs.Err(err))
 	}
-	m.owner.Discard(service, handles)
+	m.batcher.Discard(queue, handles)
 }
 
-// ServeProduce does a job for another ingress.
+// ServeProduce runs a job for another ingress.
 func (m *Maker) ServeProduce(ctx context.Context, p *wire.Produce) *wire.Produced {
 	now := time.Now()
-	done := m.owner.Produce(ctx, p.GetService(), batch.Job{
+	completion := m.batcher.Produce(ctx, p.GetService(), batch.Job{
 		AttemptID:     p.GetAttemptId(),
 		RequestDigest: p.GetRequest(),
 		Stage:         int(p.GetStage()),
@@ -278,13 +289,13 @@
 		InputBytes:   p.GetInputBytes(),
 	})
 	return &wire.Produced{
-		Outcome: string(done.Outcome), Handles: done.Handles,
-		RetryAfterNanos: int64(done.RetryAfter), InputsReleased: done.InputsReleased,
-		Outlook: encodeOutlook(p.GetService(), done.Backlog),
+		Outcome: string(completion.Outcome), Handles: completion.Handles,
+		RetryAfterNanos: int64(completion.RetryAfter), InputsReleased: completion.InputsReleased,
+		Outlook: encodeBacklog(p.GetService(), completion.Backlog),
 	}
 }
 
 // ServeDiscard releases results for another ingress.
 func (m *Maker) ServeDiscard(d *wire.Discard) {
-	m.owner.Discard(d.GetService(), d.GetHandles())
+	m.batcher.Discard(d.GetService(), d.GetHandles())
 }
--- a/ingress/services/pieces/queues.go
+++ b/ingress/services/pieces/queues.go
@@ -8,30 +8,32 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// assignQueues returns the stages with the queues that make their results, those of the
-// engine's region, in place of their services.
+// assignQueues returns a copy of the stages of a chain in which each service is replaced by the
+// name of its queue. If a service has regional queues, that is the queue of the engine's region.
 func (m *Maker) assignQueues(c *Chain) []site.Stage {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	stages := slices.Clone(c.Stages)
 	for i, s := range stages {
-		if m.divided[s.Service] {
+		if m.sharded[s.Service] {
 			stages[i].Service = shard.QueueName(s.Service, m.regions[c.Domain])
 		}
 	}
 	return stages
 }
 
-// rank lists the ingresses that may hold a queue.
-func (m *Maker) rank(queue string) []string {
+// rankIngresses lists the reachable ingresses that may batch for a queue. The first one is its
+// batcher.
+func (m *Maker) rankIngresses(queue string) []string {
 	_, region := shard.ParseQueueName(queue)
 	return m.peers.RankIn(region, queue)
 }
 
-// countPending returns what chains of all ingresses still need of a queue. The balancer
-// spreads the callers, so the others have about as much under way as this one, those of
-// another region for its queue as this one for that of its own; called under the lock.
-func (m *Maker) countPending(queue string) delay.Counts {
+// estimatePending estimates the pending results of a queue, summed over all ingresses. The load
+// balancer distributes callers evenly, so each ingress is assumed to have as many pending results
+// as this one. For the queue of another region, the ingresses there are assumed to have as many as
+// this one has for the queue of its own region. The caller holds the lock.
+func (m *Maker) estimatePending(queue string) delay.Counts {
 	service, region := shard.ParseQueueName(queue)
 	if region != "" {
 		queue = shard.QueueName(service, m.region)
--- a/ingress/services/pieces/queues_test.go
+++ b/ingress/services/pieces/queues_test.go
@@ -22,6 +22,7 @@
 
 var twoRegions = map[string]string{"n1": "north", "s1": "south"} //nolint:gochecknoglobals // a constant in all but syntax
 
+// newPoolView returns a view with one server of the service "encoders" in each given failure domain.
 func newPoolView(domains ...string) *state.View {
 	servers := []site.Server{}
 	for i, domain := range domains {
@@ -36,33 +37,35 @@
 	}
 }
 
-// regional notes the queues and regions that its holders are asked for.
-type regional struct {
-	lock   sync.Mutex
+// regionalPeer is another ingress that is the batcher of every queue. It records how it is used.
+type regionalPeer struct {
+	lock sync.Mutex
+	// ranked holds the region and the queue of each call of RankIn, separated by a space.
 	ranked map[string]bool
-	asked  map[string]int
+	// jobs counts the jobs of each queue.
+	jobs map[string]int
 }
 
-func (r *regional) RankIn(region, queue string) []string {
+func (r *regionalPeer) RankIn(region, queue string) []string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.ranked[region+" "+queue] = true
 	return []string{"other"}
 }
 
-func (*regional) Self() string                        { return "self" }
-func (*regional) Discard(string, *wire.Discard) error { return nil }
+func (*regionalPeer) Self() string                        { return "self" }
+func (*regionalPeer) Discard(string, *wire.Discard) error { return nil }
 
-func (r *regional) Produce(_ context.Context, _ string, p *wire.Produce) (*wire.Produced, error) {
+func (r *regionalPeer) Produce(_ context.Context, _ string, p *wire.Produce) (*wire.Produced, error) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.asked[p.GetService()]++
+	r.jobs[p.GetService()]++
 	return &wire.Produced{Outcome: "made", Handles: make([]string, p.GetCount())}, nil
 }
 
-// Guards against results that are queued and made a region away from their engine, where
-// its own region has enough servers.
-func TestStagesGoToTheQueueOfTheEnginesRegion(t *testing.T) {
+// Guards against results that are queued and produced in another region than that of their engine
+// although that region has enough servers.
+func TestStagesUseTheQueueOfTheEnginesRegion(t *testing.T) {
 	for name, c := range map[string]struct {
 		domains []string
 		queue   string
@@ -74,51 +77,52 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			log := zap.NewNop()
-			owner := pieces.NewOwner(pieces.OwnerOptions{Pools: pool{}, Meter: noMeter{}, Log: log, Regions: twoRegions})
-			peers := &regional{ranked: map[string]bool{}, asked: map[string]int{}}
-			maker := pieces.NewMaker(peers, owner, log)
-			maker.TakeView(newPoolView(c.domains...))
+			batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log, Regions: twoRegions})
+			peers := &regionalPeer{ranked: map[string]bool{}, jobs: map[string]int{}}
+			maker := pieces.NewMaker(peers, batcher, log)
+			maker.SetView(newPoolView(c.domains...))
 			stages := []site.Stage{{Service: "encoders", ResultBytes: 10}}
 			_, failed := maker.MakeChain(t.Context(), pieces.Chain{
-				AttemptID: "a", Items: []int{2}, Stages: stages, Domain: "s1", Log: log,
-				Target: time.Now().Add(10 * time.Second), Ends: time.Now().Add(20 * time.Second),
+				AttemptID: "a", ItemCounts: []int{2}, Stages: stages, Domain: "s1", Log: log,
+				Target: time.Now().Add(10 * time.Second), Deadline: time.Now().Add(20 * time.Second),
 			})
 			is.Equal(failed, nil)
-			is.Equal(peers.asked, map[string]int{c.queue: 1})
+			is.Equal(peers.jobs, map[string]int{c.queue: 1})
 			is.True(peers.ranked[c.region+" "+c.queue])
-			is.Equal(stages[0].Service, "encoders") // the route's own list is not changed
+			is.Equal(stages[0].Service, "encoders") // the route's own list of stages is not modified
 		})
 	}
 }
 
-// broken answers no call and counts them.
-type broken struct {
-	pool
+// failingPool fails every call and counts the calls.
+type failingPool struct {
+	instantPool
 	lock  sync.Mutex
 	calls int
 }
 
-func (b *broken) Make(context.Context, site.Server, []site.Item) (site.BatchAnswer, error) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	b.calls++
+func (f *failingPool) Make(context.Context, site.Server, []site.Item) (site.BatchAnswer, error) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.calls++
 	return site.BatchAnswer{}, errors.New("reset")
 }
 
-// countCalls has one job fail in each queue and returns the calls that were sent for them.
+// countCalls runs one job in each queue, all of which fail, and returns the number of calls that
+// were sent for them.
 func countCalls(t *testing.T, queues ...string) int {
 	t.Helper()
-	servers := &broken{}
-	owner := pieces.NewOwner(pieces.OwnerOptions{
+	servers := &failingPool{}
+	batcher := pieces.NewBatcher(pieces.BatcherOptions{
 		Pools: servers, Meter: noMeter{}, Log: zap.NewNop(), Regions: twoRegions,
-		Repeats: budget.Settings{Slack: 3, Window: time.Minute},
+		Retries: budget.Settings{Slack: 3, Window: time.Minute},
 	})
-	owner.Start(t.Context())
-	owner.TakeView(newPoolView("n1", "n1", "n1", "s1", "s1", "s1"))
+	batcher.Start(t.Context())
+	batcher.SetView(newPoolView("n1", "n1", "n1", "s1", "s1", "s1"))
 	done := make(chan batch.Outcome, len(queues))
 	for _, queue := range queues {
 		go func() {
-			done <- owner.Produce(t.Context(), queue, batch.Job{
+			done <- batcher.Produce(t.Context(), queue, batch.Job{
 				AttemptID: queue, Count: 1, Target: time.Now().Add(5 * time.Second), Expires: time.Now().Add(9 * time.Second),
 			}).Outcome
 		}()
@@ -133,59 +137,59 @@
 	return servers.calls
 }
 
-// Guards against a service's bound of repeats being spent once for each of its queues.
-func TestQueuesOfAServiceShareItsRepeats(t *testing.T) {
+// Guards against the retry budget of a service being spent once for each of its queues.
+func TestQueuesOfAServiceShareItsRetryBudget(t *testing.T) {
 	is := is.New(t)
-	repeats := countCalls(t, "encoders@north") - 1
-	is.True(repeats > 0)
-	is.Equal(countCalls(t, "encoders@north", "encoders@south"), 2+repeats)
+	retries := countCalls(t, "encoders@north") - 1
+	is.True(retries > 0)
+	is.Equal(countCalls(t, "encoders@north", "encoders@south"), 2+retries)
 }
 
-// waiting holds the first request's first stage until it is released, and makes the rest.
-type waiting struct {
-	regional
-	begun   chan struct{}
+// blockingPeer blocks the jobs of the attempt "first" until release is closed, and produces all
+// others at once. Started is closed when the first such job arrives.
+type blockingPeer struct {
+	regionalPeer
+	started chan struct{}
 	release chan struct{}
 	once    sync.Once
 }
 
-func (w *waiting) Produce(ctx context.Context, name string, p *wire.Produce) (*wire.Produced, error) {
+func (b *blockingPeer) Produce(ctx context.Context, name string, p *wire.Produce) (*wire.Produced, error) {
 	if p.GetAttemptId() == "first" {
-		w.once.Do(func() { close(w.begun) })
-		<-w.release
+		b.once.Do(func() { close(b.started) })
+		<-b.release
 	}
-	return w.regional.Produce(ctx, name, p)
+	return b.regionalPeer.Produce(ctx, name, p)
 }
 
-// A request's second stage is under way at one of ten ingresses, the only one in its region.
-//
-// Guards against requests that are refused since a region's queue is expected to fill from
-// all ingresses, though those of other regions have queues of their own.
-func TestWorkUnderWayIsCountedByRegion(t *testing.T) {
+// The results of a request's second stage are pending at one of ten ingresses, the only one in its
+// region. Guards against refusing requests because the queue of a region is expected to receive as
+// many results from every ingress, although the ingresses of other regions have their own queues.
+func TestPendingResultsAreCountedByRegion(t *testing.T) {
 	is := is.New(t)
 	log := zap.NewNop()
-	owner := pieces.NewOwner(pieces.OwnerOptions{Pools: pool{}, Meter: noMeter{}, Log: log, Regions: twoRegions, Region: "north"})
-	peers := &waiting{begun: make(chan struct{}), release: make(chan struct{})}
-	peers.ranked, peers.asked = map[string]bool{}, map[string]int{}
-	maker := pieces.NewMaker(peers, owner, log)
+	batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log, Regions: twoRegions, Region: "north"})
+	peers := &blockingPeer{started: make(chan struct{}), release: make(chan struct{})}
+	peers.ranked, peers.jobs = map[string]bool{}, map[string]int{}
+	maker := pieces.NewMaker(peers, batcher, log)
 	view := newPoolView("n1", "n1", "n1", "s1", "s1", "s1")
 	view.Ingresses = []site.Ingress{{Name: "self", Domain: "n1"}}
 	for range 9 {
 		view.Ingresses = append(view.Ingresses, site.Ingress{Domain: "s1"})
 	}
-	maker.TakeView(view)
-	maker.TakeOutlook(&wire.Outlook{Service: "encoders@north", Rate: 10})
+	maker.SetView(view)
+	maker.RecordBacklog(&wire.Outlook{Service: "encoders@north", Rate: 10})
 	chain := pieces.Chain{
-		AttemptID: "first", Items: []int{1, 10}, Domain: "n1", Log: log,
+		AttemptID: "first", ItemCounts: []int{1, 10}, Domain: "n1", Log: log,
 		Stages: []site.Stage{{Service: "encoders", ResultBytes: 10}, {Service: "encoders", After: []int{0}, ResultBytes: 10}},
-		Target: time.Now().Add(2 * time.Second), Ends: time.Now().Add(5 * time.Second),
+		Target: time.Now().Add(2 * time.Second), Deadline: time.Now().Add(5 * time.Second),
 	}
 	var group sync.WaitGroup
 	group.Go(func() {
 		_, failed := maker.MakeChain(t.Context(), chain)
 		is.Equal(failed, nil)
 	})
-	<-peers.begun
+	<-peers.started
 	second := chain
 	second.AttemptID = "second"
 	_, failed := maker.MakeChain(t.Context(), second)
--- a/ingress/services/pieces/release.go
+++ b/ingress/services/pieces/release.go
@@ -11,52 +11,53 @@
 	"verbenaroad.example/share/modules/pauses"
 )
 
-// Discard releases results soon.
-func (o *Owner) Discard(service string, handles []string) {
-	o.lock.Lock()
-	defer o.lock.Unlock()
-	o.gather(service, handles)
+// Discard queues results for release. They are released within about releaseInterval.
+func (b *Batcher) Discard(queue string, handles []string) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.queueRelease(queue, handles)
 }
 
-func (o *Owner) gather(service string, handles []string) {
+// queueRelease adds handles to those of the next release. The caller holds the lock.
+func (b *Batcher) queueRelease(queue string, handles []string) {
 	for _, h := range handles {
-		holder, err := o.options.Pools.ReadHolder(h)
+		holder, err := b.options.Pools.ReadHolder(h)
 		if err != nil {
-			o.options.Log.Warn("handle-unreadable", zap.String("handle", h), logs.Err(err))
+			b.options.Log.Warn("handle-unreadable", zap.String("handle", h), logs.Err(err))
 			continue
 		}
-		o.released[holder] = append(o.released[holder], heldHandle{service: service, handle: h})
+		b.toRelease[holder] = append(b.toRelease[holder], queueHandle{queue: queue, handle: h})
 	}
 }
 
-// loopRelease sends the gathered handles, one call for each server that holds some.
-func (o *Owner) loopRelease(ctx context.Context) {
-	for pauses.Wait(ctx, releaseEvery) {
-		o.lock.Lock()
-		released := o.released
-		o.released = map[netip.AddrPort][]heldHandle{}
-		o.lock.Unlock()
-		for holder, held := range released {
-			go o.runRelease(ctx, holder, held)
+// loopRelease releases the queued handles, with one call per server that holds any of them.
+func (b *Batcher) loopRelease(ctx context.Context) {
+	for pauses.Wait(ctx, releaseInterval) {
+		b.lock.Lock()
+		toRelease := b.toRelease
+		b.toRelease = map[netip.AddrPort][]queueHandle{}
+		b.lock.Unlock()
+		for holder, queued := range toRelease {
+			go b.runRelease(ctx, holder, queued)
 		}
 	}
 }
 
-func (o *Owner) runRelease(ctx context.Context, holder netip.AddrPort, held []heldHandle) {
+func (b *Batcher) runRelease(ctx context.Context, holder netip.AddrPort, queued []queueHandle) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	handles := make([]string, 0, len(held))
-	for _, h := range held {
+	handles := make([]string, 0, len(queued))
+	for _, h := range queued {
 		handles = append(handles, h.handle)
 	}
-	if err := o.options.Pools.Release(ctx, holder, handles); err != nil {
-		o.options.Log.Info("release-failed", zap.Stringer("holder", holder), zap.Int("handles", len(handles)), logs.Err(err))
+	if err := b.options.Pools.Release(ctx, holder, handles); err != nil {
+		b.options.Log.Info("release-failed", zap.Stringer("holder", holder), zap.Int("handles", len(handles)), logs.Err(err))
 	}
-	o.lock.Lock()
-	defer o.lock.Unlock()
-	for _, h := range held {
-		if u := o.units[h.service]; u != nil {
-			o.perform(h.service, u, u.planner.MarkReleased(time.Now(), []string{h.handle}))
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	for _, h := range queued {
+		if q := b.queues[h.queue]; q != nil {
+			b.perform(h.queue, q, q.planner.MarkReleased(time.Now(), []string{h.handle}))
 		}
 	}
 }
