--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -68,7 +68,7 @@
 	feeder   *mesh.Feeder
 	puller   *mesh.Puller
 	owner    *pieces.Batcher
-	maker    *pieces.Maker
+	maker    *pieces.Producer
 	placer   *assign.Placer
 	desk     *assign.Dispatcher
 	screen   *screen.Screen
@@ -143,7 +143,7 @@
 		Peers: i.mesh, Store: i.store, Codec: record.Codec{}, Prober: client, Limit: poison.DefaultLimit,
 		Trials: poison.DefaultTrialSchedule(), Log: i.log,
 	})
-	i.maker = pieces.NewMaker(i.mesh, i.owner, i.log)
+	i.maker = pieces.NewProducer(i.mesh, i.owner, i.log)
 	i.flow = flow.NewServer(flow.Options{
 		Views: i.book, Sender: client, Maker: i.maker, Desk: i.desk, Screen: i.screen, Meter: i.meters, Log: i.log,
 		Domain: s.Place.Domain, Region: s.Place.Region, Regions: s.Place.Regions, Repeats: s.Repeats.Settings,
--- a/ingress/services/flow/flow.go
+++ b/ingress/services/flow/flow.go
@@ -41,7 +41,7 @@
 
 // Maker has the results of stages made.
 type Maker interface {
-	MakeChain(ctx context.Context, c pieces.Chain) (*pieces.Results, *codes.Result)
+	ProduceChain(ctx context.Context, c pieces.Chain) (*pieces.Results, *codes.Result)
 }
 
 // Desk gives requests to engines their places.
--- a/ingress/services/flow/places_test.go
+++ b/ingress/services/flow/places_test.go
@@ -58,7 +58,7 @@
 	return s.view
 }
 
-func (s *scene) MakeChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
+func (s *scene) ProduceChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.next != nil {
--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -116,7 +116,7 @@
 	if len(r.route.Stages) == 0 || r.results != nil {
 		return nil
 	}
-	results, failed := r.server.options.Maker.MakeChain(ctx, pieces.Chain{
+	results, failed := r.server.options.Maker.ProduceChain(ctx, pieces.Chain{
 		AttemptID:     r.AttemptID,
 		RequestDigest: string(r.digest),
 		ItemKey:       r.ItemKey,
--- a/ingress/services/flow/stream_test.go
+++ b/ingress/services/flow/stream_test.go
@@ -47,7 +47,7 @@
 // maker counts how often results were made, and how many are held.
 type maker struct{ made, held atomic.Int64 }
 
-func (m *maker) MakeChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
+func (m *maker) ProduceChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
 	m.made.Add(1)
 	m.held.Add(1)
 	return pieces.NewResults([]string{"10.0.0.1:1/a"}, func() { m.held.Add(-1) }), nil
--- a/ingress/services/pieces/admit.go
+++ b/ingress/services/pieces/admit.go
@@ -22,17 +22,17 @@
 
 // admit waits until the first stage of a request may start and returns its plan, or why the
 // request is refused.
-func (m *Maker) admit(ctx context.Context, c *Chain) (chain.Plan, *codes.Result) {
+func (p *Producer) admit(ctx context.Context, c *Chain) (chain.Plan, *codes.Result) {
 	start := time.Now()
 	held := false
 	for {
-		plan := m.newPlan(c)
+		plan := p.newPlan(c)
 		verdict, retryAfter := plan.Admit(time.Now(), c.Target, c.Deadline)
 		switch {
 		case verdict == chain.Refuse:
 			return plan, codes.NewResult(codes.DeadlineUnmeetable, "the stages would take "+plan.LateTotal.Round(time.Millisecond).String()).
 				WithRetryAfter(max(retryAfter, minRetryAfter))
-		case verdict == chain.Admit && (!held || m.tryAdmitHeld()):
+		case verdict == chain.Admit && (!held || p.tryAdmitHeld()):
 			c.Log.Info("admitted", zap.Duration("held", time.Since(start)), zap.Duration("on-time", plan.Total),
 				zap.Duration("late", plan.LateTotal), zap.Duration("target", time.Until(c.Target)), zap.Duration("ends", time.Until(c.Deadline)))
 			return plan, nil
@@ -49,13 +49,13 @@
 
 // tryAdmitHeld reports whether a held request may be admitted now, and records its admission. At
 // most one is admitted per heldAdmitInterval.
-func (m *Maker) tryAdmitHeld() bool {
-	m.lock.Lock()
-	defer m.lock.Unlock()
+func (p *Producer) tryAdmitHeld() bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	now := time.Now()
-	if now.Sub(m.lastHeldAdmit) < heldAdmitInterval {
+	if now.Sub(p.lastHeldAdmit) < heldAdmitInterval {
 		return false
 	}
-	m.lastHeldAdmit = now
+	p.lastHeldAdmit = now
 	return true
 }
--- a/ingress/services/pieces/batcher.go
+++ b/ingress/services/pieces/batcher.go
@@ -26,8 +26,8 @@
 
 // Pools calls the backend servers that produce results.
 type Pools interface {
-	// Make sends one call with the given items to a server.
-	Make(ctx context.Context, server site.Server, items []site.Item) (site.BatchAnswer, error)
+	// Produce sends one call with the given items to a server.
+	Produce(ctx context.Context, server site.Server, items []site.Item) (site.BatchAnswer, error)
 	// Release releases results at the server that holds them.
 	Release(ctx context.Context, holder netip.AddrPort, handles []string) error
 	// Warm opens a connection in advance, for the next call to a server.
@@ -247,7 +247,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	b.options.Pools.Warm(c.Server)
-	answer, err := b.options.Pools.Make(ctx, c.Server, c.Items)
+	answer, err := b.options.Pools.Produce(ctx, c.Server, c.Items)
 	took := time.Since(start)
 	outcome := "answered"
 	if err != nil {
--- a/ingress/services/pieces/chain.go
+++ b/ingress/services/pieces/chain.go
@@ -86,20 +86,20 @@
 // maxRestarts limits how often a chain is restarted because an input no longer existed.
 const maxRestarts = 2
 
-// MakeChain produces the results of all stages.
+// ProduceChain produces the results of all stages.
 //
 // The inputs of a stage may be lost before its results are produced: their server may fail, or
 // they were released once they had been fetched and the call then failed. The chain is then
 // restarted if it can still end in time, because a retry by the caller would do the same later and
 // with less time left.
-func (m *Maker) MakeChain(ctx context.Context, c Chain) (*Results, *codes.Result) {
-	c.Stages = m.assignQueues(&c)
+func (p *Producer) ProduceChain(ctx context.Context, c Chain) (*Results, *codes.Result) {
+	c.Stages = p.assignQueues(&c)
 	for restarts := 0; ; restarts++ {
-		plan, result := m.admit(ctx, &c)
+		plan, result := p.admit(ctx, &c)
 		if result != nil {
 			return nil, result
 		}
-		r := m.newChainRun(c, plan)
+		r := p.newChainRun(c, plan)
 		results, failed := r.produceResults(ctx)
 		if failed == nil {
 			return results, nil
--- a/ingress/services/pieces/inputs.go
+++ b/ingress/services/pieces/inputs.go
@@ -12,7 +12,7 @@
 	if in.bytes <= r.Stages[stage].ResultBytes {
 		return r.Domain
 	}
-	if domain := r.maker.findHolderDomain(in.handles); domain != "" {
+	if domain := r.producer.findHolderDomain(in.handles); domain != "" {
 		return domain
 	}
 	return r.Domain
--- a/ingress/services/pieces/maker.go
+++ b/ingress/services/pieces/producer.go
@@ -34,9 +34,9 @@
 	Discard(name string, d *wire.Discard) error
 }
 
-// Maker produces the results of chains. It sends the job of each stage to the batcher of the
+// Producer produces the results of chains. It sends the job of each stage to the batcher of the
 // stage's queue.
-type Maker struct {
+type Producer struct {
 	peers   Peers
 	batcher *Batcher
 	log     *zap.Logger
@@ -63,15 +63,15 @@
 	lastHeldAdmit time.Time
 }
 
-// NewMaker returns a Maker. It uses batcher for the queues whose batcher is this ingress, and as a
-// fallback if other batchers cannot be reached.
-func NewMaker(peers Peers, batcher *Batcher, log *zap.Logger) *Maker {
-	return &Maker{peers: peers, batcher: batcher, log: log, regions: batcher.options.Regions, region: batcher.options.Region, reports: map[string]chain.Report{}, pending: map[string]delay.Counts{}}
+// NewProducer returns a Producer. It uses batcher for the queues whose batcher is this ingress, and
+// as a fallback if other batchers cannot be reached.
+func NewProducer(peers Peers, batcher *Batcher, log *zap.Logger) *Producer {
+	return &Producer{peers: peers, batcher: batcher, log: log, regions: batcher.options.Regions, region: batcher.options.Region, reports: map[string]chain.Report{}, pending: map[string]delay.Counts{}}
 }
 
 // SetView replaces the known services, servers and ingresses with those of a new view. A view
 // without a configuration is ignored.
-func (m *Maker) SetView(v *state.View) {
+func (p *Producer) SetView(v *state.View) {
 	if v.Table == nil {
 		return
 	}
@@ -83,50 +83,50 @@
 		if s.Pool == nil {
 			continue
 		}
-		sharded[s.Name] = shard.IsSharded(v.Servers[s.Name], m.regions)
-		for _, region := range m.regions {
+		sharded[s.Name] = shard.IsSharded(v.Servers[s.Name], p.regions)
+		for _, region := range p.regions {
 			pools[shard.QueueName(s.Name, region)] = s.Pool
 		}
 		for _, server := range v.Servers[s.Name] {
 			serverDomains[server.Address] = server.Domain
 		}
 	}
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	m.pools = pools
-	m.sharded = sharded
-	m.serverDomains = serverDomains
-	m.ingresses = map[string]int{"": len(v.Ingresses)}
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.pools = pools
+	p.sharded = sharded
+	p.serverDomains = serverDomains
+	p.ingresses = map[string]int{"": len(v.Ingresses)}
 	for _, i := range v.Ingresses {
-		m.ingresses[m.regions[i.Domain]]++
+		p.ingresses[p.regions[i.Domain]]++
 	}
 }
 
 // newPlan estimates the times of a chain from the last reports of the batchers.
-func (m *Maker) newPlan(c *Chain) chain.Plan {
-	m.lock.Lock()
-	defer m.lock.Unlock()
+func (p *Producer) newPlan(c *Chain) chain.Plan {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	pending := map[string]delay.Counts{}
 	for _, s := range c.Stages {
-		pending[s.Service] = m.estimatePending(s.Service)
+		pending[s.Service] = p.estimatePending(s.Service)
 	}
-	snapshot := chain.Snapshot{Pools: m.pools, Reports: m.reports, Pending: pending}
+	snapshot := chain.Snapshot{Pools: p.pools, Reports: p.reports, Pending: pending}
 	return chain.NewPlan(time.Now(), c.Rank, c.Stages, c.ItemCounts, snapshot)
 }
 
 // findHolderDomain returns the failure domain that holds the most of the given results; empty if
 // none is known.
-func (m *Maker) findHolderDomain(handles []string) string {
-	m.lock.Lock()
-	defer m.lock.Unlock()
+func (p *Producer) findHolderDomain(handles []string) string {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	counts := map[string]int{}
 	best := ""
 	for _, h := range handles {
-		holder, err := m.batcher.options.Pools.ReadHolder(h)
+		holder, err := p.batcher.options.Pools.ReadHolder(h)
 		if err != nil {
 			continue // the error is logged when the result is released
 		}
-		domain := m.serverDomains[holder]
+		domain := p.serverDomains[holder]
 		if domain == "" {
 			continue
 		}
@@ -139,35 +139,35 @@
 }
 
 // resultTTL returns how long the servers of a queue keep a result; zero if that is not known.
-func (m *Maker) resultTTL(queue string) time.Duration {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	if pool := m.pools[queue]; pool != nil {
+func (p *Producer) resultTTL(queue string) time.Duration {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if pool := p.pools[queue]; pool != nil {
 		return pool.ResultTTL
 	}
 	return 0
 }
 
 // RecordBacklog records the backlog that the batcher of a queue reported.
-func (m *Maker) RecordBacklog(message *wire.Outlook) {
-	m.recordBacklog(message.GetService(), decodeBacklog(message))
+func (p *Producer) RecordBacklog(message *wire.Outlook) {
+	p.recordBacklog(message.GetService(), decodeBacklog(message))
 }
 
-func (m *Maker) recordBacklog(queue string, b delay.Backlog) {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	m.reports[queue] = chain.Report{Backlog: b, At: time.Now()}
+func (p *Producer) recordBacklog(queue string, b delay.Backlog) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.reports[queue] = chain.Report{Backlog: b, At: time.Now()}
 }
 
 // addPending adds n to the pending results of a queue: those that chains of this ingress need but
 // that are not in the queue yet.
-func (m *Maker) addPending(queue string, rank site.Rank, n int) {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	counts := m.pending[queue]
+func (p *Producer) addPending(queue string, rank site.Rank, n int) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	counts := p.pending[queue]
 	if counts == nil {
 		counts = delay.Counts{}
-		m.pending[queue] = counts
+		p.pending[queue] = counts
 	}
 	counts[rank] += float64(n)
 	if counts[rank] == 0 {
@@ -184,21 +184,21 @@
 // produce runs a job at the batcher of a queue. If the batcher fails, the job is sent to the
 // ingress that is then the first in the ranking. Results that were produced for the failed batcher
 // are not released; their servers remove them after their TTL.
-func (m *Maker) produce(ctx context.Context, queue string, j batch.Job) batch.Completion {
-	completion := m.produceWithFailover(ctx, queue, j)
+func (p *Producer) produce(ctx context.Context, queue string, j batch.Job) batch.Completion {
+	completion := p.produceWithFailover(ctx, queue, j)
 	if completion.Backlog.IsKnown() {
-		m.recordBacklog(queue, completion.Backlog)
+		p.recordBacklog(queue, completion.Backlog)
 	}
 	return completion
 }
 
-func (m *Maker) produceWithFailover(ctx context.Context, queue string, j batch.Job) batch.Completion {
+func (p *Producer) produceWithFailover(ctx context.Context, queue string, j batch.Job) batch.Completion {
 	for range maxPeerTries {
-		ranked := m.rankIngresses(queue)
-		if len(ranked) == 0 || ranked[0] == m.peers.Self() {
-			return m.batcher.Produce(ctx, queue, j)
+		ranked := p.rankIngresses(queue)
+		if len(ranked) == 0 || ranked[0] == p.peers.Self() {
+			return p.batcher.Produce(ctx, queue, j)
 		}
-		completion, err := m.produceAtPeer(ctx, ranked[0], queue, j)
+		completion, err := p.produceAtPeer(ctx, ranked[0], queue, j)
 		// A batcher that is stopping cancels its jobs. The caller of the request is still waiting,
 		// so the request must not be answered as if the caller had disconnected.
 		if err == nil && completion.Outcome == batch.OutcomeCanceled && ctx.Err() == nil {
@@ -213,15 +213,15 @@
 		if ctx.Err() != nil {
 			return batch.Completion{Outcome: batch.OutcomeCanceled}
 		}
-		m.log.Warn("batcher-lost", zap.String("service", queue), zap.String("ingress", ranked[0]),
+		p.log.Warn("batcher-lost", zap.String("service", queue), zap.String("ingress", ranked[0]),
 			zap.String("request", j.AttemptID), logs.Err(err))
 	}
-	return m.batcher.Produce(ctx, queue, j)
+	return p.batcher.Produce(ctx, queue, j)
 }
 
-func (m *Maker) produceAtPeer(ctx context.Context, name, queue string, j batch.Job) (batch.Completion, error) {
+func (p *Producer) produceAtPeer(ctx context.Context, name, queue string, j batch.Job) (batch.Completion, error) {
 	now := time.Now()
-	answer, err := m.peers.Produce(ctx, name, &wire.Produce{
+	answer, err := p.peers.Produce(ctx, name, &wire.Produce{
 		Service:        queue,
 		AttemptId:      j.AttemptID,
 		Stage:          uint32(j.Stage), //nolint:gosec // a small number
@@ -253,49 +253,49 @@
 
 // Discard releases the results of a queue through its batcher, which tracks how much memory they
 // take at their servers.
-func (m *Maker) Discard(queue string, handles []string) {
+func (p *Producer) Discard(queue string, handles []string) {
 	if len(handles) == 0 {
 		return
 	}
-	ranked := m.rankIngresses(queue)
-	if len(ranked) > 0 && ranked[0] != m.peers.Self() {
-		err := m.peers.Discard(ranked[0], &wire.Discard{Service: queue, Handles: handles})
+	ranked := p.rankIngresses(queue)
+	if len(ranked) > 0 && ranked[0] != p.peers.Self() {
+		err := p.peers.Discard(ranked[0], &wire.Discard{Service: queue, Handles: handles})
 		if err == nil {
 			return
 		}
-		m.log.Info("discard-forward-failed", zap.String("service", queue), logs.Err(err))
+		p.log.Info("discard-forward-failed", zap.String("service", queue), logs.Err(err))
 	}
-	m.batcher.Discard(queue, handles)
+	p.batcher.Discard(queue, handles)
 }
 
 // ServeProduce runs a job for another ingress.
-func (m *Maker) ServeProduce(ctx context.Context, p *wire.Produce) *wire.Produced {
+func (p *Producer) ServeProduce(ctx context.Context, request *wire.Produce) *wire.Produced {
 	now := time.Now()
-	completion := m.batcher.Produce(ctx, p.GetService(), batch.Job{
-		AttemptID:     p.GetAttemptId(),
-		RequestDigest: p.GetRequest(),
-		Stage:         int(p.GetStage()),
-		Count:         int(p.GetCount()),
-		Key:           p.GetKey(),
-		Inputs:        p.GetInputs(),
-		ResultBytes:   p.GetResultBytes(),
-		Target:        now.Add(time.Duration(p.GetTargetNanos())),
-		Expires:       now.Add(time.Duration(p.GetRemainingNanos())),
-		Rank:          site.Rank(p.GetRank()),
-		Domain:        p.GetDomain(),
-		Residency:     encode.ReadResidency(p.GetResidency()),
+	completion := p.batcher.Produce(ctx, request.GetService(), batch.Job{
+		AttemptID:     request.GetAttemptId(),
+		RequestDigest: request.GetRequest(),
+		Stage:         int(request.GetStage()),
+		Count:         int(request.GetCount()),
+		Key:           request.GetKey(),
+		Inputs:        request.GetInputs(),
+		ResultBytes:   request.GetResultBytes(),
+		Target:        now.Add(time.Duration(request.GetTargetNanos())),
+		Expires:       now.Add(time.Duration(request.GetRemainingNanos())),
+		Rank:          site.Rank(request.GetRank()),
+		Domain:        request.GetDomain(),
+		Residency:     encode.ReadResidency(request.GetResidency()),
 
-		InputService: p.GetInputService(),
-		InputBytes:   p.GetInputBytes(),
+		InputService: request.GetInputService(),
+		InputBytes:   request.GetInputBytes(),
 	})
 	return &wire.Produced{
 		Outcome: string(completion.Outcome), Handles: completion.Handles,
 		RetryAfterNanos: int64(completion.RetryAfter), InputsReleased: completion.InputsReleased,
-		Outlook: encodeBacklog(p.GetService(), completion.Backlog),
+		Outlook: encodeBacklog(request.GetService(), completion.Backlog),
 	}
 }
 
 // ServeDiscard releases results for another ingress.
-func (m *Maker) ServeDiscard(d *wire.Discard) {
-	m.batcher.Discard(d.GetService(), d.GetHandles())
+func (p *Producer) ServeDiscard(request *wire.Discard) {
+	p.batcher.Discard(request.GetService(), request.GetHandles())
 }
--- a/ingress/services/pieces/maker_test.go
+++ b/ingress/services/pieces/producer_test.go
@@ -35,7 +35,7 @@
 // instantPool produces every result at once.
 type instantPool struct{}
 
-func (instantPool) Make(_ context.Context, server site.Server, items []site.Item) (site.BatchAnswer, error) {
+func (instantPool) Produce(_ context.Context, server site.Server, items []site.Item) (site.BatchAnswer, error) {
 	results := []site.ItemResult{}
 	for range items {
 		results = append(results, site.ItemResult{Outcome: site.ItemMade, Handle: server.Address.String() + "/1"})
@@ -68,7 +68,7 @@
 	defer cancel()
 	batcher.Start(ctx) // starts the ticks, without which no gathered job is sent
 	peers := &stoppingPeer{}
-	maker := pieces.NewMaker(peers, batcher, log)
+	producer := pieces.NewProducer(peers, batcher, log)
 	view := &state.View{
 		Table: access.NewTable(&site.Config{Version: 1, Services: []site.Service{{Name: "encoders", Pool: &site.Pool{
 			Slots: 1, MaxBatch: 8, CallTime: time.Millisecond, ItemTime: time.Millisecond, ResultMemoryBytes: 1000, ResultTTL: time.Second,
@@ -76,8 +76,8 @@
 		Servers: map[string][]site.Server{"encoders": {{ID: "p", Address: netip.MustParseAddrPort("127.0.0.1:1"), State: site.ServerReady}}},
 	}
 	batcher.SetView(view)
-	maker.SetView(view)
-	results, failed := maker.MakeChain(ctx, pieces.Chain{
+	producer.SetView(view)
+	results, failed := producer.ProduceChain(ctx, pieces.Chain{
 		AttemptID: "a", ItemCounts: []int{2}, Stages: []site.Stage{{Service: "encoders", ResultBytes: 10}},
 		Target: time.Now().Add(10 * time.Second), Deadline: time.Now().Add(20 * time.Second), Log: log,
 	})
@@ -109,23 +109,23 @@
 	return answer, nil
 }
 
-// Six passages of 60 KB were produced outside the engine's failure domain. Guards against
-// transferring megabytes between domains: each of ten texts fetches all passages, so the texts are
-// produced in the domain of the passages, from where only a few kilobytes go to the engine.
+// Six passages of 60 KB were produced in another failure domain than the engine's, where a server was
+// free. Guards against moving megabytes between domains: each of ten texts fetches all passages, so
+// the texts are produced in the passages' domain; only a few kilobytes then go to the engine.
 func TestStageRunsInTheDomainOfLargeInputs(t *testing.T) {
 	is := is.New(t)
 	log := zap.NewNop()
 	batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log})
 	peers := &batcherPeer{domains: map[string]string{}}
-	maker := pieces.NewMaker(peers, batcher, log)
+	producer := pieces.NewProducer(peers, batcher, log)
 	spec := &site.Pool{Slots: 1, MaxBatch: 40, ResultMemoryBytes: 1 << 20, ResultTTL: 4 * time.Second}
-	maker.SetView(&state.View{
+	producer.SetView(&state.View{
 		Table: access.NewTable(&site.Config{Version: 1, Services: []site.Service{
 			{Name: "retrievers", Pool: spec}, {Name: "writers", Pool: spec},
 		}}),
 		Servers: map[string][]site.Server{"retrievers": {{ID: "p", Address: netip.MustParseAddrPort("127.0.0.1:7"), Domain: "b"}}},
 	})
-	_, failed := maker.MakeChain(context.Background(), pieces.Chain{
+	_, failed := producer.ProduceChain(context.Background(), pieces.Chain{
 		AttemptID: "a", ItemCounts: []int{6, 10}, Domain: "a", Log: log,
 		Stages: []site.Stage{{Service: "retrievers", ResultBytes: 60_000}, {Service: "writers", After: []int{0}, ResultBytes: 6_000}},
 		Target: time.Now().Add(10 * time.Second), Deadline: time.Now().Add(20 * time.Second),
@@ -140,8 +140,8 @@
 func TestDroppedJobReportsNoBacklog(t *testing.T) {
 	is := is.New(t)
 	batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: zap.NewNop()})
-	maker := pieces.NewMaker(&stoppingPeer{}, batcher, zap.NewNop())
-	answer := maker.ServeProduce(t.Context(), &wire.Produce{Service: "unknown", Count: 1})
+	producer := pieces.NewProducer(&stoppingPeer{}, batcher, zap.NewNop())
+	answer := producer.ServeProduce(t.Context(), &wire.Produce{Service: "unknown", Count: 1})
 	is.Equal(answer.GetOutcome(), "no-server")
 	is.Equal(answer.GetOutlook(), nil)
 }
--- a/ingress/services/pieces/queues.go
+++ b/ingress/services/pieces/queues.go
@@ -10,13 +10,13 @@
 
 // assignQueues returns a copy of the stages of a chain in which each service is replaced by the
 // name of its queue. If a service has regional queues, that is the queue of the engine's region.
-func (m *Maker) assignQueues(c *Chain) []site.Stage {
-	m.lock.Lock()
-	defer m.lock.Unlock()
+func (p *Producer) assignQueues(c *Chain) []site.Stage {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	stages := slices.Clone(c.Stages)
 	for i, s := range stages {
-		if m.sharded[s.Service] {
-			stages[i].Service = shard.QueueName(s.Service, m.regions[c.Domain])
+		if p.sharded[s.Service] {
+			stages[i].Service = shard.QueueName(s.Service, p.regions[c.Domain])
 		}
 	}
 	return stages
@@ -24,19 +24,19 @@
 
 // rankIngresses lists the reachable ingresses that may batch for a queue. The first one is its
 // batcher.
-func (m *Maker) rankIngresses(queue string) []string {
+func (p *Producer) rankIngresses(queue string) []string {
 	_, region := shard.ParseQueueName(queue)
-	return m.peers.RankIn(region, queue)
+	return p.peers.RankIn(region, queue)
 }
 
 // estimatePending estimates the pending results of a queue, summed over all ingresses. The load
 // balancer distributes callers evenly, so each ingress is assumed to have as many pending results
 // as this one. For the queue of another region, the ingresses there are assumed to have as many as
 // this one has for the queue of its own region. The caller holds the lock.
-func (m *Maker) estimatePending(queue string) delay.Counts {
+func (p *Producer) estimatePending(queue string) delay.Counts {
 	service, region := shard.ParseQueueName(queue)
 	if region != "" {
-		queue = shard.QueueName(service, m.region)
+		queue = shard.QueueName(service, p.region)
 	}
-	return m.pending[queue].Scale(float64(max(m.ingresses[region], 1)))
+	return p.pending[queue].Scale(float64(max(p.ingresses[region], 1)))
 }
--- a/ingress/services/pieces/queues_test.go
+++ b/ingress/services/pieces/queues_test.go
@@ -79,10 +79,10 @@
 			log := zap.NewNop()
 			batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log, Regions: twoRegions})
 			peers := &regionalPeer{ranked: map[string]bool{}, jobs: map[string]int{}}
-			maker := pieces.NewMaker(peers, batcher, log)
-			maker.SetView(newPoolView(c.domains...))
+			producer := pieces.NewProducer(peers, batcher, log)
+			producer.SetView(newPoolView(c.domains...))
 			stages := []site.Stage{{Service: "encoders", ResultBytes: 10}}
-			_, failed := maker.MakeChain(t.Context(), pieces.Chain{
+			_, failed := producer.ProduceChain(t.Context(), pieces.Chain{
 				AttemptID: "a", ItemCounts: []int{2}, Stages: stages, Domain: "s1", Log: log,
 				Target: time.Now().Add(10 * time.Second), Deadline: time.Now().Add(20 * time.Second),
 			})
@@ -101,7 +101,7 @@
 	calls int
 }
 
-func (f *failingPool) Make(context.Context, site.Server, []site.Item) (site.BatchAnswer, error) {
+func (f *failingPool) Produce(context.Context, site.Server, []site.Item) (site.BatchAnswer, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.calls++
@@ -171,14 +171,14 @@
 	batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log, Regions: twoRegions, Region: "north"})
 	peers := &blockingPeer{started: make(chan struct{}), release: make(chan struct{})}
 	peers.ranked, peers.jobs = map[string]bool{}, map[string]int{}
-	maker := pieces.NewMaker(peers, batcher, log)
+	producer := pieces.NewProducer(peers, batcher, log)
 	view := newPoolView("n1", "n1", "n1", "s1", "s1", "s1")
 	view.Ingresses = []site.Ingress{{Name: "self", Domain: "n1"}}
 	for range 9 {
 		view.Ingresses = append(view.Ingresses, site.Ingress{Domain: "s1"})
 	}
-	maker.SetView(view)
-	maker.RecordBacklog(&wire.Outlook{Service: "encoders@north", Rate: 10})
+	producer.SetView(view)
+	producer.RecordBacklog(&wire.Outlook{Service: "encoders@north", Rate: 10})
 	chain := pieces.Chain{
 		AttemptID: "first", ItemCounts: []int{1, 10}, Domain: "n1", Log: log,
 		Stages: []site.Stage{{Service: "encoders", ResultBytes: 10}, {Service: "encoders", After: []int{0}, ResultBytes: 10}},
@@ -186,13 +186,13 @@
 	}
 	var group sync.WaitGroup
 	group.Go(func() {
-		_, failed := maker.MakeChain(t.Context(), chain)
+		_, failed := producer.ProduceChain(t.Context(), chain)
 		is.Equal(failed, nil)
 	})
 	<-peers.started
 	second := chain
 	second.AttemptID = "second"
-	_, failed := maker.MakeChain(t.Context(), second)
+	_, failed := producer.ProduceChain(t.Context(), second)
 	is.Equal(failed, nil)
 	close(peers.release)
 	group.Wait()
--- a/ingress/services/pieces/run.go
+++ b/ingress/services/pieces/run.go
@@ -16,8 +16,8 @@
 // chainRun is one run of the stages of a chain. A restart of the chain creates a new one.
 type chainRun struct {
 	Chain
-	maker *Maker
-	plan  chain.Plan
+	producer *Producer
+	plan     chain.Plan
 
 	lock sync.Mutex
 	// handles holds, by stage, the handles of the results that have not been released.
@@ -37,7 +37,7 @@
 func (r *chainRun) removePending() {
 	for stage, s := range r.Stages {
 		if !r.started[stage] {
-			r.maker.addPending(s.Service, r.Rank, -r.itemCount(stage))
+			r.producer.addPending(s.Service, r.Rank, -r.itemCount(stage))
 		}
 	}
 }
@@ -48,13 +48,13 @@
 	completion batch.Completion
 }
 
-func (m *Maker) newChainRun(c Chain, plan chain.Plan) *chainRun {
+func (p *Producer) newChainRun(c Chain, plan chain.Plan) *chainRun {
 	r := &chainRun{
-		Chain: c, maker: m, plan: plan, handles: make([][]string, len(c.Stages)), consumers: make([]int, len(c.Stages)),
+		Chain: c, producer: p, plan: plan, handles: make([][]string, len(c.Stages)), consumers: make([]int, len(c.Stages)),
 		keptUntil: make([]time.Time, len(c.Stages)), started: make([]bool, len(c.Stages)),
 	}
 	for stage, s := range c.Stages {
-		m.addPending(s.Service, c.Rank, c.itemCount(stage))
+		p.addPending(s.Service, c.Rank, c.itemCount(stage))
 		for _, input := range s.After {
 			r.consumers[input]++
 		}
@@ -151,7 +151,7 @@
 		}
 		states[stage] = stageRunning
 		r.started[stage] = true
-		r.maker.addPending(r.Stages[stage].Service, r.Rank, -r.itemCount(stage))
+		r.producer.addPending(r.Stages[stage].Service, r.Rank, -r.itemCount(stage))
 		started++
 		if r.OnLastStage != nil && !slices.Contains(r.started, false) {
 			r.OnLastStage()
@@ -183,7 +183,7 @@
 		expires = until
 	}
 	inputs := r.collectInputs(stage)
-	completion := r.maker.produce(ctx, s.Service, batch.Job{
+	completion := r.producer.produce(ctx, s.Service, batch.Job{
 		AttemptID:     r.AttemptID,
 		RequestDigest: r.RequestDigest,
 		Stage:         stage,
@@ -211,13 +211,13 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.handles[c.stage] = c.completion.Handles
-	if ttl := r.maker.resultTTL(r.Stages[c.stage].Service); ttl > 0 {
+	if ttl := r.producer.resultTTL(r.Stages[c.stage].Service); ttl > 0 {
 		r.keptUntil[c.stage] = time.Now().Add(ttl - resultTTLMargin)
 	}
 	for _, input := range r.Stages[c.stage].After {
 		r.consumers[input]--
 		if r.consumers[input] == 0 {
-			r.maker.Discard(r.Stages[input].Service, r.handles[input])
+			r.producer.Discard(r.Stages[input].Service, r.handles[input])
 			r.handles[input] = nil
 		}
 	}
@@ -227,7 +227,7 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for stage, handles := range r.handles {
-		r.maker.Discard(r.Stages[stage].Service, handles)
+		r.producer.Discard(r.Stages[stage].Service, handles)
 		r.handles[stage] = nil
 	}
 }
