--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -67,10 +67,10 @@
 	mesh     *mesh.Mesh
 	feeder   *mesh.Feeder
 	puller   *mesh.Puller
-	owner    *pieces.Owner
-	maker    *pieces.Maker
+	owner    *pieces.Batcher
+	maker    *pieces.Producer
 	placer   *assign.Placer
-	desk     *assign.Desk
+	desk     *assign.Dispatcher
 	screen   *screen.Screen
 	flow     *flow.Server
 	stopper  *stops.Stopper
@@ -121,7 +121,7 @@
 	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: i.log, OnChange: i.takeView})
 	i.mesh = mesh.NewMesh(mesh.Options{
 		Self: i.self, Regions: s.Place.Regions, IsLeaving: i.stopper.IsLeaving, Link: i.newLink(), Log: i.log,
-		OnOutlook: func(told *wire.Outlook) { i.maker.TakeOutlook(told) },
+		OnOutlook: func(told *wire.Outlook) { i.maker.RecordBacklog(told) },
 		OnReading: func(name string, told *wire.Reading) { i.feeder.TakeReading(name, told) },
 	})
 	i.puller = &mesh.Puller{Mesh: i.mesh, Book: i.book, Seeds: s.Peers.Seeds, Log: i.log}
@@ -131,19 +131,19 @@
 	})
 	i.puller.Feed = i.feeder
 	client := reach.NewClient(heads.Codec{})
-	i.owner = pieces.NewOwner(pieces.OwnerOptions{
-		Pools: pools.Client{HTTP: client, Heads: heads.Codec{}}, Meter: i.meters, Repeats: s.Repeats.Settings, Log: i.log,
+	i.owner = pieces.NewBatcher(pieces.BatcherOptions{
+		Pools: pools.Client{HTTP: client, Heads: heads.Codec{}}, Meter: i.meters, Retries: s.Repeats.Settings, Log: i.log,
 		Regions: s.Place.Regions, Region: s.Place.Region,
 		Discard: func(service string, handles []string) { i.maker.Discard(service, handles) },
 		OnCrash: func(c batch.Crash) { i.screen.RecordCrash(poison.ID(c.RequestDigest), c.Server, c.SentAt) },
 	})
 	i.placer = assign.NewPlacer(s.Place.Regions, s.Cold.Settings)
-	i.desk = assign.NewDesk(i.mesh, i.book, i.placer, i.log)
+	i.desk = assign.NewDispatcher(i.mesh, i.book, i.placer, i.log)
 	i.screen = screen.NewScreen(screen.Options{
 		Peers: i.mesh, Store: i.store, Codec: record.Codec{}, Prober: client, Limit: poison.DefaultLimit,
 		Trials: poison.DefaultTrialSchedule(), Log: i.log,
 	})
-	i.maker = pieces.NewMaker(i.mesh, i.owner, i.log)
+	i.maker = pieces.NewProducer(i.mesh, i.owner, i.log)
 	i.flow = flow.NewServer(flow.Options{
 		Views: i.book, Sender: client, StageRunner: i.maker, EnginePlacer: i.desk, Screen: i.screen, Meter: i.meters, Log: i.log,
 		Domain: s.Place.Domain, Region: s.Place.Region, Regions: s.Place.Regions, Retries: s.Repeats.Settings,
@@ -164,7 +164,7 @@
 		SilentAfter: time.Duration(silentBeats * float64(beat)),
 		Beat: func() *wire.Beat {
 			return &wire.Beat{
-				Leaving: i.stopper.IsLeaving(), Outlooks: i.owner.Outlooks(), Reading: mesh.EncodeReading(i.book),
+				Leaving: i.stopper.IsLeaving(), Outlooks: i.owner.Backlogs(), Reading: mesh.EncodeReading(i.book),
 			}
 		},
 	}
@@ -172,9 +172,9 @@
 
 func (i *Ingress) takeView(v *state.View) {
 	i.flow.SetView(v)
-	i.placer.TakeView(v)
-	i.maker.TakeView(v)
-	i.owner.TakeView(v)
+	i.placer.SetView(v)
+	i.maker.SetView(v)
+	i.owner.SetView(v)
 	i.mesh.TakeView(v)
 	i.screen.SetView(v)
 	i.meters.SetVersion(v.Version())
@@ -305,7 +305,7 @@
 	}
 	i.lines.SetLevel(s.Log.Level)
 	i.flow.SetRetries(s.Repeats.Settings)
-	i.owner.SetRepeats(s.Repeats.Settings)
+	i.owner.SetRetries(s.Repeats.Settings)
 	i.meters.CountReload("applied")
 	i.log.Info("reload", zap.String("outcome", "applied"), zap.String("log-level", s.Log.Level),
 		zap.Float64("repeats-ratio", s.Repeats.Ratio), zap.Float64("repeats-slack", s.Repeats.Slack))
--- a/ingress/services/flow/events.go
+++ b/ingress/services/flow/events.go
@@ -67,7 +67,7 @@
 // observeFirstEvent records that the engine has begun to send events.
 func (r *relay) observeFirstEvent(server site.Server) {
 	r.releaseResults() // the engine has fetched the results of the stages
-	r.reservation.Begun()
+	r.reservation.MarkAnswering()
 	took := time.Since(r.Arrived)
 	r.log.Info("stream-begun", zap.String("server", server.ID), zap.Duration("took", took))
 	r.server.options.Meter.CountFirstEvent(r.route.Name, took)
--- a/ingress/services/flow/flow.go
+++ b/ingress/services/flow/flow.go
@@ -41,13 +41,13 @@
 
 // StageRunner produces the results of a request's stages.
 type StageRunner interface {
-	MakeChain(ctx context.Context, c pieces.Chain) (*pieces.Results, *codes.Result)
+	ProduceChain(ctx context.Context, c pieces.Chain) (*pieces.Results, *codes.Result)
 }
 
 // EnginePlacer chooses the engine for a request and reserves capacity there.
 type EnginePlacer interface {
 	// Place returns nil if no engine is eligible for the request.
-	Place(ctx context.Context, service string, q place.Query) *assign.Seat
+	Place(ctx context.Context, service string, q place.Query) *assign.Reservation
 }
 
 // Peers lists the ingresses that can be reached.
@@ -180,7 +180,7 @@
 	// deadline is when the request must have its final answer.
 	deadline time.Time
 	// reservation is the reserved place at an engine; nil for plain services.
-	reservation *assign.Seat
+	reservation *assign.Reservation
 	// tried holds the IDs of the servers that were tried.
 	tried []string
 	// runs counts the attempts that ran or may have run.
@@ -338,7 +338,7 @@
 // end records the result of an attempt at its server.
 func (x *exchange) end(server site.Server, result place.Result, took time.Duration, load *site.Load) {
 	if x.reservation != nil {
-		x.reservation.Ended(result)
+		x.reservation.End(result)
 		return
 	}
 	s := x.server
--- a/ingress/services/flow/places_test.go
+++ b/ingress/services/flow/places_test.go
@@ -44,7 +44,7 @@
 	fetchSources []netip.AddrPort
 }
 
-func (s *deployment) Place(_ context.Context, service string, q place.Query) *assign.Seat {
+func (s *deployment) Place(_ context.Context, service string, q place.Query) *assign.Reservation {
 	s.placements++
 	reservation := s.placer.Place(service, q)
 	if reservation != nil {
@@ -59,12 +59,12 @@
 	return s.view
 }
 
-func (s *deployment) MakeChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
+func (s *deployment) ProduceChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.viewAfterStages != nil {
 		s.view = s.viewAfterStages
-		s.placer.TakeView(s.view)
+		s.placer.SetView(s.view)
 	}
 	return pieces.NewResults([]string{"10.0.0.1:1/a"}, func() {}), nil
 }
@@ -105,7 +105,7 @@
 
 func (s *deployment) serve(route site.Route) *httptest.ResponseRecorder {
 	s.placer = assign.NewPlacer(regions, cold.Settings{Overage: 1.5, Slack: 5})
-	s.placer.TakeView(s.view)
+	s.placer.SetView(s.view)
 	server := flow.NewServer(flow.Options{
 		Views: s, Sender: s, StageRunner: s, EnginePlacer: s, Screen: &s.screen, Meter: noMeter{}, Log: zap.NewNop(),
 		Domain: "n1", Region: "north", Regions: regions, Cold: cold.Settings{Overage: 1.5, Slack: 5},
--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -45,7 +45,7 @@
 	if x.reservation == nil {
 		return false
 	}
-	x.log.Info("placed", zap.String("server", x.reservation.Server().ID), zap.String("by", x.reservation.By),
+	x.log.Info("placed", zap.String("server", x.reservation.Server().ID), zap.String("by", x.reservation.PlacedBy),
 		zap.Duration("predicted-wait", x.reservation.Wait), zap.String("fetch-from", x.reservation.FetchFrom))
 	return true
 }
@@ -68,7 +68,7 @@
 // already ended.
 func (x *exchange) cancelReservation() {
 	if x.reservation != nil {
-		x.reservation.Ended(place.ResultCanceled)
+		x.reservation.End(place.ResultCanceled)
 	}
 }
 
@@ -121,20 +121,20 @@
 	if len(r.route.Stages) == 0 || r.results != nil {
 		return nil
 	}
-	results, failed := r.server.options.StageRunner.MakeChain(ctx, pieces.Chain{
-		AttemptID: r.AttemptID,
-		Request:   string(r.digest),
-		Key:       r.ItemKey,
-		Items:     r.ItemCounts,
-		Stages:    r.route.Stages,
-		Rank:      r.Decision.Rank,
-		Target:    r.Arrived.Add(r.route.LatencyTarget),
-		Ends:      r.route.FirstEventDeadline(r.Arrived, r.deadline),
-		Domain:    r.reservation.Server().Domain,
-		Residency: r.residency(),
-		Refuse:    r.refuseQuarantined,
-		OnLast:    func() { r.server.options.Sender.Warm(r.reservation.Server().Address) },
-		Log:       r.log,
+	results, failed := r.server.options.StageRunner.ProduceChain(ctx, pieces.Chain{
+		AttemptID:     r.AttemptID,
+		RequestDigest: string(r.digest),
+		ItemKey:       r.ItemKey,
+		ItemCounts:    r.ItemCounts,
+		Stages:        r.route.Stages,
+		Rank:          r.Decision.Rank,
+		Target:        r.Arrived.Add(r.route.LatencyTarget),
+		Deadline:      r.route.FirstEventDeadline(r.Arrived, r.deadline),
+		Domain:        r.reservation.Server().Domain,
+		Residency:     r.residency(),
+		Refuse:        r.refuseQuarantined,
+		OnLastStage:   func() { r.server.options.Sender.Warm(r.reservation.Server().Address) },
+		Log:           r.log,
 	})
 	if failed != nil {
 		return failed
@@ -191,7 +191,7 @@
 		if quarantined := r.refuseQuarantined(); quarantined != nil {
 			return r.endStream(quarantined)
 		}
-		r.reservation.Sent()
+		r.reservation.MarkSent()
 		v := r.try(ctx, r.reservation.Server())
 		if !v.retry || r.remaining() <= 0 {
 			return r.endStream(v.result)
--- a/ingress/services/flow/stream_test.go
+++ b/ingress/services/flow/stream_test.go
@@ -34,7 +34,7 @@
 // enginePlacer places requests at the engines of a view.
 type enginePlacer struct{ placer *assign.Placer }
 
-func (d enginePlacer) Place(_ context.Context, service string, q place.Query) *assign.Seat {
+func (d enginePlacer) Place(_ context.Context, service string, q place.Query) *assign.Reservation {
 	return d.placer.Place(service, q)
 }
 
@@ -47,7 +47,7 @@
 // stageRunner counts how often results were produced, and how many are not yet released.
 type stageRunner struct{ runs, held atomic.Int64 }
 
-func (m *stageRunner) MakeChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
+func (m *stageRunner) ProduceChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
 	m.runs.Add(1)
 	m.held.Add(1)
 	return pieces.NewResults([]string{"10.0.0.1:1/a"}, func() { m.held.Add(-1) }), nil
@@ -95,7 +95,7 @@
 		}},
 	}
 	placer := assign.NewPlacer(nil, cold.Settings{})
-	placer.TakeView(view)
+	placer.SetView(view)
 	results := &stageRunner{}
 	engines := &slowEngines{stageRunner: results}
 	server := flow.NewServer(flow.Options{
