--- a/ingress/services/meters/meters.go
+++ b/ingress/services/meters/meters.go
@@ -1,4 +1,4 @@
-// Package meters counts what an ingress does, for the metrics address.
+// Package meters records the metrics of an ingress and serves them in the Prometheus text format.
 package meters
 
 import (
@@ -9,96 +9,98 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Meters holds the counters and histograms of one process.
+// Meters holds the metrics of one process.
 type Meters struct {
-	registry *prometheus.Registry
-	answers  *prometheus.HistogramVec
-	firsts   *prometheus.HistogramVec
-	repeats  *prometheus.CounterVec
-	batches  *prometheus.HistogramVec
-	items    *prometheus.CounterVec
-	dropped  *prometheus.CounterVec
-	reloads  *prometheus.CounterVec
-	version  prometheus.Gauge
-	storeAge prometheus.GaugeFunc
+	registry      *prometheus.Registry
+	answers       *prometheus.HistogramVec
+	firstEvents   *prometheus.HistogramVec
+	retries       *prometheus.CounterVec
+	batches       *prometheus.HistogramVec
+	batchItems    *prometheus.CounterVec
+	droppedLines  *prometheus.CounterVec
+	reloads       *prometheus.CounterVec
+	configVersion prometheus.Gauge
+	storeAge      prometheus.GaugeFunc
 }
 
-// latencyBuckets reach from a plain answer to the longest deadline, in seconds.
+// latencyBuckets returns histogram buckets in seconds, from the time of a plain service's answer to the
+// longest deadline.
 func latencyBuckets() []float64 {
 	return []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 2.5, 3, 4, 6, 8, 12, 20, 30}
 }
 
-// NewMeters registers the figures; storeAge tells how long the store has not answered.
+// NewMeters registers the metrics. The function storeAge returns the time since the store last answered.
 func NewMeters(storeAge func() time.Duration) *Meters {
 	m := &Meters{
 		registry: prometheus.NewRegistry(),
 		answers: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "verbenaroad_request_seconds", Help: "Time from arrival to the final answer.", Buckets: latencyBuckets(),
 		}, []string{"route", "outcome"}),
-		firsts: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstEvents: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "verbenaroad_first_event_seconds", Help: "Time from arrival to the first event of a stream.", Buckets: latencyBuckets(),
 		}, []string{"route"}),
-		repeats: prometheus.NewCounterVec(prometheus.CounterOpts{
+		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "verbenaroad_repeats_total", Help: "Requests that were sent to a further backend server.",
 		}, []string{"service", "reason"}),
 		batches: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "verbenaroad_batch_seconds", Help: "Time of a call that makes results of stages.", Buckets: latencyBuckets(),
 		}, []string{"service", "outcome"}),
-		items: prometheus.NewCounterVec(prometheus.CounterOpts{
+		batchItems: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "verbenaroad_batch_items_total", Help: "Items in calls that make results of stages.",
 		}, []string{"service", "outcome"}),
-		dropped: prometheus.NewCounterVec(prometheus.CounterOpts{
+		droppedLines: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "verbenaroad_log_lines_dropped_total", Help: "Log lines that were left out.",
 		}, []string{"reason"}),
 		reloads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "verbenaroad_reloads_total", Help: "Settings files that were read again.",
 		}, []string{"outcome"}),
-		version: prometheus.NewGauge(prometheus.GaugeOpts{
+		configVersion: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "verbenaroad_config_version", Help: "Version of the configuration in force.",
 		}),
 		storeAge: prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "verbenaroad_store_age_seconds", Help: "Time since the store answered.",
 		}, func() float64 { return storeAge().Seconds() }),
 	}
-	m.registry.MustRegister(m.answers, m.firsts, m.repeats, m.batches, m.items, m.dropped, m.reloads, m.version, m.storeAge)
+	m.registry.MustRegister(m.answers, m.firstEvents, m.retries, m.batches, m.batchItems, m.droppedLines, m.reloads, m.configVersion, m.storeAge)
 	return m
 }
 
-// Handler serves the figures as text.
+// Handler returns the HTTP handler of the metrics.
 func (m *Meters) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// CountAnswer notes the final answer of a request.
+// CountAnswer records the final answer of a request and the time since the request arrived.
 func (m *Meters) CountAnswer(route, outcome string, took time.Duration) {
 	m.answers.WithLabelValues(route, outcome).Observe(took.Seconds())
 }
 
-// CountFirstEvent notes the first event of a stream.
+// CountFirstEvent records the first event of a stream and the time since the request arrived.
 func (m *Meters) CountFirstEvent(route string, took time.Duration) {
-	m.firsts.WithLabelValues(route).Observe(took.Seconds())
+	m.firstEvents.WithLabelValues(route).Observe(took.Seconds())
 }
 
-// CountRepeat notes a request that is sent once more.
+// CountRepeat counts a retry of a request.
 func (m *Meters) CountRepeat(service, reason string) {
-	m.repeats.WithLabelValues(service, reason).Inc()
+	m.retries.WithLabelValues(service, reason).Inc()
 }
 
-// CountBatch notes a call that makes results.
+// CountBatch records a call that produces results of stages, with the number of its items.
 func (m *Meters) CountBatch(service, outcome string, items int, took time.Duration) {
 	m.batches.WithLabelValues(service, outcome).Observe(took.Seconds())
-	m.items.WithLabelValues(service, outcome).Add(float64(items))
+	m.batchItems.WithLabelValues(service, outcome).Add(float64(items))
 }
 
-// CountDropped notes log lines that were left out.
+// CountDropped counts n log lines that were dropped.
 func (m *Meters) CountDropped(reason string, n int) {
-	m.dropped.WithLabelValues(reason).Add(float64(n))
+	m.droppedLines.WithLabelValues(reason).Add(float64(n))
 }
 
-// CountReload notes a settings file that was read again.
+// CountReload counts a reload of the settings. The outcome is "applied" or "kept"; the latter means
+// that the new settings were faulty and the old ones stay in force.
 func (m *Meters) CountReload(outcome string) {
 	m.reloads.WithLabelValues(outcome).Inc()
 }
 
-// SetVersion notes the configuration in force.
-func (m *Meters) SetVersion(version uint64) { m.version.Set(float64(version)) }
+// SetVersion sets the version of the configuration in force.
+func (m *Meters) SetVersion(version uint64) { m.configVersion.Set(float64(version)) }
