--- a/ingress/modules/encode/residency.go
+++ b/ingress/modules/encode/residency.go
@@ -1,4 +1,4 @@
-// Package encode translates the project's types for the links between ingresses.
+// Package encode converts between types of package site and the messages on links between ingresses.
 package encode
 
 import (
@@ -6,7 +6,7 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// Residency writes a residency; nil stands for one that allows all regions.
+// Residency encodes a residency. Nil stands for a residency that allows all regions.
 func Residency(r site.Residency) *wire.Residency {
 	if !r.Restricted {
 		return nil
@@ -14,7 +14,7 @@
 	return &wire.Residency{Bound: true, Regions: r.Regions}
 }
 
-// ReadResidency reads what Residency wrote.
-func ReadResidency(told *wire.Residency) site.Residency {
-	return site.Residency{Restricted: told.GetBound(), Regions: told.GetRegions()}
+// ReadResidency decodes a residency that Residency encoded.
+func ReadResidency(message *wire.Residency) site.Residency {
+	return site.Residency{Restricted: message.GetBound(), Regions: message.GetRegions()}
 }
--- a/ingress/modules/encode/residency_test.go
+++ b/ingress/modules/encode/residency_test.go
@@ -9,8 +9,9 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// Guards against a request that no region may serve being taken for one that all may.
-func TestResidencyCrossesALink(t *testing.T) {
+// A residency that allows no region must not be decoded as one that allows all: both have an empty
+// list of regions.
+func TestResidencyRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, r := range []site.Residency{
 		{}, {Restricted: true, Regions: []string{"north", "south"}}, site.NewResidency([]string{"north"}, []string{"south"}),
