--- a/ingress/routers/ops/ops.go
+++ b/ingress/routers/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops answers the platform's and the operators' questions about one
-// process: whether it is ready, and its metrics.
+// Package ops provides the HTTP handlers for the load balancer's readiness check and for the metrics
+// of one process.
 package ops
 
 import (
@@ -8,16 +8,16 @@
 
 // Options are the settings of the handlers.
 type Options struct {
-	// ReadyPath is where the balancer asks.
+	// ReadyPath is the path of the readiness check.
 	ReadyPath string
-	// Ready says why the process takes no new connections, or nil.
+	// Ready returns nil if the process takes new connections, or else the reason why it does not.
 	Ready func() error
-	// MetricsPath and Metrics serve the figures.
+	// MetricsPath is the path at which Metrics serves the metrics.
 	MetricsPath string
 	Metrics     http.Handler
 }
 
-// NewReady returns the handler of the balancer's question.
+// NewReady returns the handler of the readiness check.
 func NewReady(o Options) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+o.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -30,7 +30,7 @@
 	return mux
 }
 
-// NewMetrics returns the handler of the figures.
+// NewMetrics returns the handler of the metrics.
 func NewMetrics(o Options) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+o.MetricsPath, o.Metrics)
