--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -208,7 +208,7 @@
 	i.front, err = NewFront(ctx, FrontOptions{
 		Address: s.Callers.Listen, Views: i.book, Log: i.log, MaxConnections: s.Callers.MaxConnections(),
 		Handler: public.NewRouter(public.Options{
-			Codec: heads.Codec{}, Views: i.book, Flow: i.flow, Doorman: i.stopper, Peers: i.mesh, Store: i.book, Log: i.log,
+			Codec: heads.Codec{}, Views: i.book, Flow: i.flow, Admission: i.stopper, Peers: i.mesh, Store: i.book, Log: i.log,
 		}),
 	})
 	if err != nil {
--- a/ingress/routers/public/public.go
+++ b/ingress/routers/public/public.go
@@ -1,6 +1,6 @@
-// Package public is the HTTP front of an ingress. In: callers' connections.
-// Out: requests for the flow service, and refusals of what cannot be read or
-// is not allowed.
+// Package public is the HTTP handler of an ingress for callers. It reads a request, checks whether it
+// is allowed and passes it to the flow service. It refuses requests that cannot be read or are not
+// allowed.
 package public
 
 import (
@@ -22,61 +22,67 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Codec reads the headers of a request.
+// Codec reads and writes the system's own headers.
 type Codec interface {
 	ReadRequest(h http.Header) site.Request
-	// StripRequest removes what a caller must not set.
+	// StripRequest removes the headers that a caller must not set.
 	StripRequest(h http.Header)
-	// WriteRefusal marks a refusal with the attempt that it is for.
+	// WriteRefusal adds the id of the refused attempt to the headers of the answer.
 	WriteRefusal(h http.Header, id string)
 }
 
-// Views tells what is known of the deployment.
+// Views provides the current view of the deployment.
 type Views interface {
 	View() *state.View
 }
 
-// Flow serves a request that is let through.
+// Flow serves an admitted request.
 type Flow interface {
 	Serve(ctx context.Context, w http.ResponseWriter, q *flow.Request)
 }
 
-// Doorman knows whether the process is stopping.
-type Doorman interface {
+// Admission decides which requests run while the process is stopping.
+type Admission interface {
+	// AdmitWork reports whether a request may run. A request that may run delays the stop until
+	// EndWork is called with its id.
 	AdmitWork(id string) bool
-	// AdmitLast is asked for work that no other ingress takes and that ends within bound.
-	AdmitLast(id string, bound time.Duration) bool
+	// AdmitLast reports whether a request that AdmitWork refused may run after all, because no other
+	// ingress takes it. The request ends within limit.
+	AdmitLast(id string, limit time.Duration) bool
 	EndWork(id string)
+	// IsLeaving reports whether the process is stopping.
 	IsLeaving() bool
 }
 
-// Peers knows the other ingresses.
+// Peers provides the state of the other ingresses.
 type Peers interface {
-	// IsAlone tells whether none of them takes new requests.
+	// IsAlone reports whether no other ingress takes new requests.
 	IsAlone() bool
 }
 
-// Store knows how well the platform's store answers.
+// Store reports whether the platform's store responds.
 type Store interface {
-	// OwnSilence returns how long the store has not answered this ingress, from its start at the earliest.
+	// OwnSilence returns the time since the store last answered this ingress, or since this ingress
+	// started if the store has never answered it.
 	OwnSilence() time.Duration
 }
 
 // Options are the settings of a Router.
 type Options struct {
-	Peers   Peers
-	Store   Store
-	Codec   Codec
-	Views   Views
-	Flow    Flow
-	Doorman Doorman
-	Log     *zap.Logger
+	Peers     Peers
+	Store     Store
+	Codec     Codec
+	Views     Views
+	Flow      Flow
+	Admission Admission
+	Log       *zap.Logger
 }
 
-// Router reads requests and checks whether they may be served.
+// Router reads requests, checks whether they are allowed, and serves or refuses them.
 type Router struct {
 	options Options
-	count   atomic.Uint64
+	// count is the number of requests so far. It makes the ids for Admission unique.
+	count atomic.Uint64
 }
 
 // NewRouter returns a router.
@@ -85,41 +91,42 @@
 }
 
 const (
-	// defaultBody bounds a body before a configuration says so.
-	defaultBody = 4 << 20
-	// notReadyPause is told to callers before the first configuration is known, when the
-	// store answers: it comes with one of the next answers.
-	notReadyPause = 500 * time.Millisecond
-	// outagePause is told in place of that when the store has been silent for outageAfter,
-	// many times what an answer takes. An outage lasts for seconds; callers that have one
-	// retry left must not use it up while it does, and follow a pause for up to a third
-	// of the time that they have left.
-	outagePause = 2 * time.Second
-	outageAfter = 400 * time.Millisecond
-	// drainingPause is told to callers of a stopping process: another one takes them at once.
-	drainingPause = 50 * time.Millisecond
-	// alonePause is told where no other one does: a stop and a start take seconds, and
-	// callers follow a pause for up to a third of the time that they have left.
-	alonePause = 2 * time.Second
+	// defaultBodyLimit is the size limit of a body if the configuration sets none.
+	defaultBodyLimit = 4 << 20
+	// startRetryAfter is the Retry-After of an ingress that has no configuration yet while the store
+	// answers: one of the next answers will contain the configuration.
+	startRetryAfter = 500 * time.Millisecond
+	// outageRetryAfter is used in place of startRetryAfter if the store has not answered for
+	// outageThreshold, many times the usual response time. An outage lasts for seconds, and a caller
+	// with one retry left must not spend it during the outage. Callers respect a Retry-After of up to
+	// a third of their remaining time.
+	outageRetryAfter = 2 * time.Second
+	outageThreshold  = 400 * time.Millisecond
+	// drainingRetryAfter is the Retry-After of a stopping ingress if another ingress takes new
+	// requests: that one can take the request at once.
+	drainingRetryAfter = 50 * time.Millisecond
+	// aloneRetryAfter is the Retry-After of a stopping ingress if no other ingress takes new requests:
+	// a restart takes seconds. Callers respect a Retry-After of up to a third of their remaining time.
+	aloneRetryAfter = 2 * time.Second
 )
 
-// ServeHTTP answers one request.
+// ServeHTTP serves or refuses one request.
 func (t *Router) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	request := t.options.Codec.ReadRequest(r.Header)
-	work := fmt.Sprintf("%s/%d", request.AttemptID, t.count.Add(1))
-	admitted := t.options.Doorman.AdmitWork(work)
-	if t.options.Doorman.IsLeaving() {
+	workID := fmt.Sprintf("%s/%d", request.AttemptID, t.count.Add(1))
+	admitted := t.options.Admission.AdmitWork(workID)
+	if t.options.Admission.IsLeaving() {
 		w.Header().Set("Connection", "close")
 	}
 	if !admitted && !t.options.Peers.IsAlone() {
-		t.refuse(w, r, request, codes.NewResult(codes.Draining, "stopping").WithRetryAfter(drainingPause))
+		t.refuse(w, r, request, codes.NewResult(codes.Draining, "stopping").WithRetryAfter(drainingRetryAfter))
 		return
 	}
-	defer t.options.Doorman.EndWork(work)
+	defer t.options.Admission.EndWork(workID)
 	q, result := t.read(w, r, request, arrived)
-	if result == nil && !admitted && !t.admitLast(work, q) {
-		result = codes.NewResult(codes.Draining, "stopping, as all others").WithRetryAfter(alonePause)
+	if result == nil && !admitted && !t.admitLast(workID, q) {
+		result = codes.NewResult(codes.Draining, "stopping, as all others").WithRetryAfter(aloneRetryAfter)
 	}
 	if result != nil {
 		t.refuse(w, r, request, result)
@@ -128,19 +135,20 @@
 	t.options.Flow.Serve(r.Context(), w, q)
 }
 
-// admitLast takes a request of a plain service while all ingresses are stopping. It has
-// its final answer by its route's time; a stream that has begun has no such bound.
-func (t *Router) admitLast(work string, q *flow.Request) bool {
+// admitLast reports whether a request may run although all ingresses are stopping. Only requests with
+// a time limit can be admitted: such a request has its final answer within the timeout of its route
+// or of its caller. A stream that has begun has no such limit.
+func (t *Router) admitLast(workID string, q *flow.Request) bool {
 	route := q.Grant.Route
-	bound := route.Timeout
-	if q.CallerTimeout > 0 && (bound == 0 || q.CallerTimeout < bound) {
-		bound = q.CallerTimeout
+	limit := route.Timeout
+	if q.CallerTimeout > 0 && (limit == 0 || q.CallerTimeout < limit) {
+		limit = q.CallerTimeout
 	}
-	return route.Kind != site.KindStream && bound > 0 && t.options.Doorman.AdmitLast(work, bound)
+	return route.Kind != site.KindStream && limit > 0 && t.options.Admission.AdmitLast(workID, limit)
 }
 
-// read checks the request and takes its body. The check comes first: what is
-// not allowed is refused before its body is awaited.
+// read checks whether a request is allowed and reads its body. A request that is not allowed is
+// refused before its body is read.
 func (t *Router) read(w http.ResponseWriter, r *http.Request, request site.Request, arrived time.Time) (*flow.Request, *codes.Result) {
 	view := t.options.Views.View()
 	if view.Table == nil {
@@ -148,8 +156,8 @@
 	}
 	target := r.RequestURI
 	path, _, _ := strings.Cut(target, "?")
-	grant := view.Table.Check(r.Host, path, request.Key)
-	switch grant.Verdict {
+	decision := view.Table.Check(r.Host, path, request.Key)
+	switch decision.Verdict {
 	case access.NoRoute:
 		return nil, codes.NewResult(codes.UnknownRoute, "no route for "+r.Host+path)
 	case access.UnknownKey:
@@ -157,11 +165,11 @@
 	}
 	limit := view.Table.Config().Limits.MaxBodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultBodyLimit
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err != nil {
-		return nil, describeBody(err)
+		return nil, refuseBody(err)
 	}
 	header := r.Header.Clone()
 	flow.StripConnection(header)
@@ -174,28 +182,30 @@
 		Header:  header,
 		Body:    body,
 		Arrived: arrived,
-		Grant:   grant,
+		Grant:   decision,
 		View:    view,
 	}, nil
 }
 
-// refuseUnready tells when to come back to an ingress that has no configuration yet.
+// refuseUnready returns the refusal of an ingress that has no configuration yet.
 func (t *Router) refuseUnready() *codes.Result {
-	if silence := t.options.Store.OwnSilence(); silence > outageAfter {
+	if silence := t.options.Store.OwnSilence(); silence > outageThreshold {
 		detail := fmt.Sprintf("no configuration yet, and no answer of the store for %v", silence.Round(time.Millisecond))
-		return codes.NewResult(codes.NotReady, detail).WithRetryAfter(outagePause)
+		return codes.NewResult(codes.NotReady, detail).WithRetryAfter(outageRetryAfter)
 	}
-	return codes.NewResult(codes.NotReady, "no configuration yet").WithRetryAfter(notReadyPause)
+	return codes.NewResult(codes.NotReady, "no configuration yet").WithRetryAfter(startRetryAfter)
 }
 
-func describeBody(err error) *codes.Result {
-	var long *http.MaxBytesError
-	if errors.As(err, &long) {
+// refuseBody returns the refusal for a body that could not be read.
+func refuseBody(err error) *codes.Result {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return codes.NewResult(codes.BodyTooLarge, "the body is too long")
 	}
 	return codes.NewResult(codes.BadRequest, "the body ended early")
 }
 
+// refuse answers a request that is not passed to Flow.
 func (t *Router) refuse(w http.ResponseWriter, r *http.Request, request site.Request, result *codes.Result) {
 	t.options.Log.Info("not-admitted", zap.String("request", request.AttemptID), zap.String("host", r.Host),
 		zap.String("path", r.URL.Path), zap.String("code", result.Code.Name()), zap.String("detail", result.Detail),
--- a/ingress/routers/public/unready_test.go
+++ b/ingress/routers/public/unready_test.go
@@ -14,7 +14,8 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// starting stands for all that a starting ingress asks: it knows nothing yet.
+// starting is every dependency of the router in an ingress that has just started and has no
+// configuration yet.
 type starting struct{ silence time.Duration }
 
 func (s starting) OwnSilence() time.Duration { return s.silence }
@@ -30,11 +31,10 @@
 func (starting) StripRequest(http.Header)             {}
 func (starting) WriteRefusal(http.Header, string)     {}
 
-// All ingresses lose power while the store is silent, and start before it is back. Callers
-// are refused at once, since nothing is known; those that come back in half a second
-// are refused again and have no further try. They must be told to come back when an
-// outage may be over, and soon where the store answers and only the first listing is awaited.
-func TestStartingIngressTellsWhenToComeBack(t *testing.T) {
+// All ingresses restart during an outage of the store and refuse every request. A caller that retries
+// after half a second is refused again and has no retry left. Retry-After must therefore be long
+// during an outage, and short if the store answers and only the first listing is still missing.
+func TestRetryAfterOfStartingIngress(t *testing.T) {
 	for silence, want := range map[time.Duration]string{
 		50 * time.Millisecond: "0.50", 3 * time.Second: "2.00",
 	} {
@@ -42,7 +42,7 @@
 			is := is.New(t)
 			s := starting{silence: silence}
 			router := public.NewRouter(public.Options{
-				Peers: s, Store: s, Codec: s, Views: s, Doorman: s, Log: zap.NewNop(),
+				Peers: s, Store: s, Codec: s, Views: s, Admission: s, Log: zap.NewNop(),
 			})
 			w := httptest.NewRecorder()
 			router.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/order/1", nil))
