--- /dev/null
+++ b/ingress/cmds/callers.go
@@ -0,0 +1,176 @@
+package cmds
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"net/netip"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"verbenaroad.example/ingress/services/state"
+	"verbenaroad.example/share/modules/listen"
+	"verbenaroad.example/share/modules/logs"
+)
+
+const (
+	// headerTimeout limits the time to read a request's header. It does not depend on the
+	// configuration, whose own limit is a few seconds.
+	headerTimeout = 5 * time.Second
+	// maxHeaderBytes limits the size of a request's header. It does not depend on the
+	// configuration, whose own limit is 16 KB.
+	maxHeaderBytes = 64 << 10
+	// defaultIdleTimeout is how long a connection may be idle if there is no configuration yet, or if
+	// the configuration sets no idle timeout.
+	defaultIdleTimeout = time.Minute
+	// idleMargin times the configured idle timeout is how long an idle connection is kept. A caller
+	// that reuses its connection just before the configured timeout never finds it closed.
+	idleMargin = 1.25
+	// sweepInterval is the time between two checks for idle connections.
+	sweepInterval = time.Second
+	// TCP keep-alive probes detect callers that disappeared without closing their connections.
+	keepAliveIdle, keepAliveInterval, keepAliveCount = 5 * time.Second, 2 * time.Second, 3
+)
+
+// Views provides the current view of the deployment.
+type Views interface {
+	View() *state.View
+}
+
+// CallerServerOptions are the settings of a CallerServer.
+type CallerServerOptions struct {
+	Address netip.AddrPort
+	Handler http.Handler
+	Views   Views
+	Log     *zap.Logger
+	// MaxConnections limits the number of open connections.
+	MaxConnections int
+}
+
+// CallerServer is the HTTP server for callers. It closes connections that have been idle for longer
+// than the configuration in force allows.
+type CallerServer struct {
+	options  CallerServerOptions
+	server   *http.Server
+	listener net.Listener
+
+	lock sync.Mutex
+	// idleSince holds when each idle connection became idle. A new connection counts as idle until its
+	// first request.
+	idleSince map[net.Conn]time.Time
+	// open is the number of open connections.
+	open int
+}
+
+// NewCallerServer listens at options.Address and starts to serve.
+func NewCallerServer(ctx context.Context, options CallerServerOptions) (*CallerServer, error) {
+	listener, err := listen.Open(ctx, options.Address, net.KeepAliveConfig{
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
+	})
+	if err != nil {
+		return nil, err
+	}
+	c := &CallerServer{options: options, listener: listener, idleSince: map[net.Conn]time.Time{}}
+	c.server = &http.Server{
+		Handler:           options.Handler,
+		ReadHeaderTimeout: headerTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         c.trackState,
+		ErrorLog:          zap.NewStdLog(options.Log.With(zap.String("part", "callers"))),
+		IdleTimeout:       -1, // no timeout here: loop closes idle connections
+	}
+	go c.run()
+	go c.loop(ctx)
+	return c, nil
+}
+
+func (c *CallerServer) run() {
+	if err := c.server.Serve(c.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+		c.options.Log.Error("caller-server-failed", logs.Err(err))
+	}
+}
+
+// trackState keeps idleSince and open up to date and limits the number of open connections.
+func (c *CallerServer) trackState(conn net.Conn, s http.ConnState) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	switch s {
+	case http.StateNew:
+		c.open++
+		if c.open > c.options.MaxConnections {
+			c.closeLongestIdle()
+		}
+		c.idleSince[conn] = time.Now()
+	case http.StateIdle:
+		c.idleSince[conn] = time.Now()
+	case http.StateClosed, http.StateHijacked:
+		c.open--
+		delete(c.idleSince, conn)
+	default:
+		delete(c.idleSince, conn)
+	}
+}
+
+// closeLongestIdle makes room for a new connection by closing the one that has been idle longest.
+// It is called under the lock.
+//
+// It guards against callers that open connections and leave them idle: once the process runs out of
+// file descriptors, it cannot even connect to a backend server for a request that it has accepted.
+func (c *CallerServer) closeLongestIdle() {
+	var longest net.Conn
+	for conn, since := range c.idleSince {
+		if longest == nil || since.Before(c.idleSince[longest]) {
+			longest = conn
+		}
+	}
+	if longest == nil {
+		return
+	}
+	delete(c.idleSince, longest)
+	c.options.Log.Warn("connection-closed", zap.String("reason", "too many open connections"), zap.Int("open", c.open))
+	_ = longest.Close() // the HTTP server reports StateClosed for it
+}
+
+func (c *CallerServer) loop(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case now := <-ticker.C:
+			c.sweep(now)
+		}
+	}
+}
+
+// sweep closes the connections that have been idle for too long.
+func (c *CallerServer) sweep(now time.Time) {
+	limit := defaultIdleTimeout
+	if table := c.options.Views.View().Table; table != nil && table.Config().Limits.IdleTimeout > 0 {
+		limit = time.Duration(idleMargin * float64(table.Config().Limits.IdleTimeout))
+	}
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	for conn, since := range c.idleSince {
+		if now.Sub(since) > limit {
+			_ = conn.Close() // the HTTP server reports StateClosed for it
+		}
+	}
+}
+
+// Close stops listening, closes idle connections and waits for the requests in flight. If the
+// deadline of the context passes first, it closes their connections too.
+func (c *CallerServer) Close(ctx context.Context) error {
+	if err := listen.Quiesce(ctx, c.listener); err != nil {
+		c.options.Log.Warn("listener-closed-early", logs.Err(err))
+	}
+	err := c.server.Shutdown(ctx)
+	if errors.Is(err, context.DeadlineExceeded) {
+		return c.server.Close()
+	}
+	return err
+}
--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -42,58 +42,60 @@
 )
 
 const (
-	// silentBeats is how many heartbeats of a link may be missing.
-	silentBeats = 3.5
-	// closeTimeout bounds closing what is left after the drain.
+	// silenceFactor times the heartbeat interval is how long a link may be silent before it is closed.
+	silenceFactor = 3.5
+	// closeTimeout limits the time to close the server for callers and to remove the registration after
+	// the drain.
 	closeTimeout = 300 * time.Millisecond
-	// graceReserve is kept of the grace time for closing and leaving.
+	// graceReserve is the part of the grace period that is kept for closing the servers and ending the
+	// process. The drain gets the rest.
 	graceReserve = 700 * time.Millisecond
-	// flushTimeout bounds writing the last log lines.
+	// flushTimeout limits the time to write the last log lines.
 	flushTimeout = 200 * time.Millisecond
 )
 
 // Ingress is the assembled process.
 type Ingress struct {
-	settings *Settings
-	reload   ReloadFunc
-	log      *zap.Logger
-	lines    *logs.Bounded
-	// security is that of the links, both ends; nil: plain.
-	security *tls.Config
-	meters   *meters.Meters
-	self     site.Ingress
-	store    *keyval.Client
-	book     *state.Book
-	mesh     *mesh.Mesh
-	feeder   *mesh.Feeder
-	puller   *mesh.Puller
-	owner    *pieces.Owner
-	maker    *pieces.Maker
-	placer   *assign.Placer
-	desk     *assign.Desk
-	screen   *screen.Screen
-	flow     *flow.Server
-	stopper  *stops.Stopper
-	front    *Front
-	ready    *http.Server
-	metrics  *http.Server
-	links    *peers.Server
+	settings  *Settings
+	reload    ReloadFunc
+	log       *zap.Logger
+	logOutput *logs.Bounded
+	// linkTLS is used at both ends of the links between ingresses; nil: links without TLS.
+	linkTLS       *tls.Config
+	meters        *meters.Meters
+	self          site.Ingress
+	store         *keyval.Client
+	book          *state.Book
+	mesh          *mesh.Mesh
+	feeder        *mesh.Feeder
+	puller        *mesh.Puller
+	batcher       *pieces.Owner
+	producer      *pieces.Maker
+	placer        *assign.Placer
+	dispatcher    *assign.Desk
+	screen        *screen.Screen
+	flow          *flow.Server
+	stopper       *stops.Stopper
+	callerServer  *CallerServer
+	readyServer   *http.Server
+	metricsServer *http.Server
+	peerServer    *peers.Server
 }
 
-// ReloadFunc reads the settings again.
+// ReloadFunc loads the settings again from the same sources.
 type ReloadFunc func() (*Settings, error)
 
-// Serve runs the ingress until a signal has stopped it.
+// Serve runs the ingress until a signal stops it and the drain has ended.
 func Serve(ctx context.Context, settings *Settings, reload ReloadFunc, output io.Writer) error {
 	i := &Ingress{settings: settings, reload: reload}
 	i.meters = meters.NewMeters(func() time.Duration { return i.book.Age() })
-	log, lines, err := logs.NewBounded(output, settings.Log.Level, i.meters.CountDropped)
+	log, logOutput, err := logs.NewBounded(output, settings.Log.Level, i.meters.CountDropped)
 	if err != nil {
 		return err
 	}
 	i.log = log.With(zap.String("instance", settings.Place.Name))
-	i.lines = lines
-	i.security, err = settings.Secure.BuildConfig()
+	i.logOutput = logOutput
+	i.linkTLS, err = settings.Secure.BuildConfig()
 	if err != nil {
 		return err
 	}
@@ -104,7 +106,7 @@
 	return i.serve(ctx)
 }
 
-// build wires the services; none of them does I/O yet.
+// build creates the services and connects them to each other. It does no I/O.
 func (i *Ingress) build() {
 	s := i.settings
 	i.self = site.Ingress{
@@ -118,11 +120,11 @@
 		Address: s.Store.Address, CallTimeout: s.Store.Timeout,
 		OnArrival: func() { i.book.ConfirmOwn(time.Now()) },
 	})
-	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: i.log, OnChange: i.takeView})
+	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: i.log, OnChange: i.setView})
 	i.mesh = mesh.NewMesh(mesh.Options{
-		Self: i.self, Regions: s.Place.Regions, IsLeaving: i.stopper.IsLeaving, Link: i.newLink(), Log: i.log,
-		OnOutlook: func(told *wire.Outlook) { i.maker.TakeOutlook(told) },
-		OnReading: func(name string, told *wire.Reading) { i.feeder.TakeReading(name, told) },
+		Self: i.self, Regions: s.Place.Regions, IsLeaving: i.stopper.IsLeaving, Link: i.newLinkOptions(), Log: i.log,
+		OnOutlook: func(backlog *wire.Outlook) { i.producer.TakeOutlook(backlog) },
+		OnReading: func(name string, status *wire.Reading) { i.feeder.TakeReading(name, status) },
 	})
 	i.puller = &mesh.Puller{Mesh: i.mesh, Book: i.book, Seeds: s.Peers.Seeds, Log: i.log}
 	i.feeder = mesh.NewFeeder(mesh.FeederOptions{
@@ -131,56 +133,58 @@
 	})
 	i.puller.Feed = i.feeder
 	client := reach.NewClient(heads.Codec{})
-	i.owner = pieces.NewOwner(pieces.OwnerOptions{
+	i.batcher = pieces.NewOwner(pieces.OwnerOptions{
 		Pools: pools.Client{HTTP: client, Heads: heads.Codec{}}, Meter: i.meters, Repeats: s.Repeats.Settings, Log: i.log,
 		Regions: s.Place.Regions, Region: s.Place.Region,
-		Discard: func(service string, handles []string) { i.maker.Discard(service, handles) },
+		Discard: func(service string, handles []string) { i.producer.Discard(service, handles) },
 		OnCrash: func(c batch.Crash) { i.screen.NoteBroken(poison.ID(c.RequestDigest), c.Server, c.SentAt) },
 	})
 	i.placer = assign.NewPlacer(s.Place.Regions, s.Cold.Settings)
-	i.desk = assign.NewDesk(i.mesh, i.book, i.placer, i.log)
+	i.dispatcher = assign.NewDesk(i.mesh, i.book, i.placer, i.log)
 	i.screen = screen.NewScreen(screen.Options{
 		Peers: i.mesh, Store: i.store, Codec: record.Codec{}, Prober: client, Limit: poison.DefaultLimit,
 		Trials: poison.DefaultTrialSchedule(), Log: i.log,
 	})
-	i.maker = pieces.NewMaker(i.mesh, i.owner, i.log)
+	i.producer = pieces.NewMaker(i.mesh, i.batcher, i.log)
 	i.flow = flow.NewServer(flow.Options{
-		Views: i.book, Sender: client, Maker: i.maker, Desk: i.desk, Screen: i.screen, Meter: i.meters, Log: i.log,
+		Views: i.book, Sender: client, Maker: i.producer, Desk: i.dispatcher, Screen: i.screen, Meter: i.meters, Log: i.log,
 		Domain: s.Place.Domain, Region: s.Place.Region, Regions: s.Place.Regions, Repeats: s.Repeats.Settings,
 		Cold: s.Cold.Settings, Peers: i.mesh,
 	})
 }
 
-func (i *Ingress) newLink() link.Options {
-	beat := i.settings.Peers.BeatEvery
+// newLinkOptions returns the options for links that this ingress opens and for those it accepts.
+func (i *Ingress) newLinkOptions() link.Options {
+	interval := i.settings.Peers.BeatEvery
 	return link.Options{
 		Hello: &wire.Hello{
 			Version: wire.Version, Name: i.self.Name, Incarnation: i.self.Incarnation, Role: "ingress",
 			Region: i.settings.Place.Region, Domain: i.self.Domain,
 		},
-		TLS:         i.security,
+		TLS:         i.linkTLS,
 		Private:     i.settings.Peers.Private,
-		BeatEvery:   beat,
-		SilentAfter: time.Duration(silentBeats * float64(beat)),
+		BeatEvery:   interval,
+		SilentAfter: time.Duration(silenceFactor * float64(interval)),
 		Beat: func() *wire.Beat {
 			return &wire.Beat{
-				Leaving: i.stopper.IsLeaving(), Outlooks: i.owner.Outlooks(), Reading: mesh.EncodeReading(i.book),
+				Leaving: i.stopper.IsLeaving(), Outlooks: i.batcher.Outlooks(), Reading: mesh.EncodeReading(i.book),
 			}
 		},
 	}
 }
 
-func (i *Ingress) takeView(v *state.View) {
+// setView passes a new view of the deployment to the services.
+func (i *Ingress) setView(v *state.View) {
 	i.flow.TakeView(v)
 	i.placer.TakeView(v)
-	i.maker.TakeView(v)
-	i.owner.TakeView(v)
+	i.producer.TakeView(v)
+	i.batcher.TakeView(v)
 	i.mesh.TakeView(v)
 	i.screen.TakeView(v)
 	i.meters.SetVersion(v.Version())
 }
 
-// checkReady says why the process takes no new connections.
+// checkReady returns nil if the process takes new connections, or else the reason why it does not.
 func (i *Ingress) checkReady() error {
 	if i.stopper.IsLeaving() {
 		return errors.New("leaving")
@@ -195,17 +199,19 @@
 	return nil
 }
 
+// listen opens the listeners and starts the servers for callers, readiness checks and metrics. The
+// server for peers accepts links only once serve has started it.
 func (i *Ingress) listen(ctx context.Context) error {
 	s := i.settings
 	var err error
-	i.links, err = peers.NewServer(peers.Options{
-		Address: s.Peers.Listen, Link: i.newLink(),
-		Handler: &mesh.Handler{Maker: i.maker, Placer: i.desk, Screen: i.screen, Feeder: i.feeder, Log: i.log}, Log: i.log,
+	i.peerServer, err = peers.NewServer(peers.Options{
+		Address: s.Peers.Listen, Link: i.newLinkOptions(),
+		Handler: &mesh.Handler{Maker: i.producer, Placer: i.dispatcher, Screen: i.screen, Feeder: i.feeder, Log: i.log}, Log: i.log,
 	})
 	if err != nil {
 		return err
 	}
-	i.front, err = NewFront(ctx, FrontOptions{
+	i.callerServer, err = NewCallerServer(ctx, CallerServerOptions{
 		Address: s.Callers.Listen, Views: i.book, Log: i.log, MaxConnections: s.Callers.MaxConnections(),
 		Handler: public.NewRouter(public.Options{
 			Codec: heads.Codec{}, Views: i.book, Flow: i.flow, Admission: i.stopper, Peers: i.mesh, Store: i.book, Log: i.log,
@@ -217,22 +223,23 @@
 	o := ops.Options{
 		ReadyPath: s.Callers.ReadyPath, Ready: i.checkReady, MetricsPath: s.Metrics.Path, Metrics: i.meters.Handler(),
 	}
-	i.ready, err = listenHTTP(ctx, s.Callers.Ready, ops.NewReady(o))
+	i.readyServer, err = listenHTTP(ctx, s.Callers.Ready, ops.NewReady(o))
 	if err != nil {
 		return err
 	}
-	i.metrics, err = listenHTTP(ctx, s.Metrics.Listen, ops.NewMetrics(o))
+	i.metricsServer, err = listenHTTP(ctx, s.Metrics.Listen, ops.NewMetrics(o))
 	return err
 }
 
-// side is one of the small HTTP servers beside the callers'.
-type side struct {
+// auxServer is the HTTP server for readiness checks or the one for metrics.
+type auxServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-func (s side) run() { _ = s.server.Serve(s.listener) } // ends when the server is closed
+func (s auxServer) run() { _ = s.server.Serve(s.listener) } // returns when the server is closed
 
+// listenHTTP listens at an address and serves there until the returned server is closed.
 func listenHTTP(ctx context.Context, address netip.AddrPort, handler http.Handler) (*http.Server, error) {
 	settings := net.ListenConfig{}
 	listener, err := settings.Listen(ctx, "tcp", address.String())
@@ -240,12 +247,12 @@
 		return nil, err
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
-	s := side{server: server, listener: listener}
+	s := auxServer{server: server, listener: listener}
 	go s.run()
 	return server, nil
 }
 
-// serve runs until the drain is over.
+// serve runs the services until the drain has ended, then closes the servers and the registration.
 func (i *Ingress) serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -259,66 +266,67 @@
 	(&state.Sweeper{Book: i.book}).Start(ctx)
 	i.mesh.Start(ctx)
 	i.puller.Start(ctx)
-	i.owner.Start(ctx)
-	i.links.Start(ctx)
+	i.batcher.Start(ctx)
+	i.peerServer.Start(ctx)
 	i.log.Info("started", zap.Stringer("callers", s.Callers.Listen), zap.Stringer("peers", s.Peers.Listen),
 		zap.Stringer("metrics", s.Metrics.Listen), zap.Stringer("store", s.Store.Address),
 		zap.String("incarnation", i.self.Incarnation))
-	i.waitStop(ctx)
-	closing, done := context.WithTimeout(context.Background(), closeTimeout)
-	defer done()
-	err := errors.Join(i.front.Close(closing), i.ready.Close(), i.metrics.Close())
+	i.waitForStop(ctx)
+	closeCtx, cancelClose := context.WithTimeout(context.Background(), closeTimeout)
+	defer cancelClose()
+	err := errors.Join(i.callerServer.Close(closeCtx), i.readyServer.Close(), i.metricsServer.Close())
 	cancel()
-	i.links.Close()
-	registrar.Close(closing)
+	i.peerServer.Close()
+	registrar.Close(closeCtx)
 	i.log.Info("ended")
-	i.lines.Flush(flushTimeout)
+	i.logOutput.Flush(flushTimeout)
 	return err
 }
 
-// waitStop waits for the signal, lets the callers' connections end, and waits for the drain.
-func (i *Ingress) waitStop(ctx context.Context) {
+// waitForStop waits for the stop signal and the end of the drain. Until then, SIGHUP reloads the
+// settings.
+func (i *Ingress) waitForStop(ctx context.Context) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	stopped := make(chan struct{})
-	w := waiter{stopper: i.stopper, log: i.log, stopped: stopped}
+	w := stopWaiter{stopper: i.stopper, log: i.log, stopped: stopped}
 	go w.run(ctx)
 	for {
 		select {
 		case <-signals:
-			i.takeReload()
+			i.reloadSettings()
 		case <-stopped:
 			return
 		}
 	}
 }
 
-// takeReload puts in force what can change while the process runs. A file that
-// cannot be read changes nothing.
-func (i *Ingress) takeReload() {
+// reloadSettings loads the settings again and applies those that can change while the process runs:
+// the log level and the retry budget. Settings with any fault change nothing.
+func (i *Ingress) reloadSettings() {
 	s, err := i.reload()
 	if err != nil {
 		i.meters.CountReload("kept")
 		i.log.Error("reload", zap.String("outcome", "kept"), logs.Err(err))
 		return
 	}
-	i.lines.SetLevel(s.Log.Level)
+	i.logOutput.SetLevel(s.Log.Level)
 	i.flow.SetRepeats(s.Repeats.Settings)
-	i.owner.SetRepeats(s.Repeats.Settings)
+	i.batcher.SetRepeats(s.Repeats.Settings)
 	i.meters.CountReload("applied")
 	i.log.Info("reload", zap.String("outcome", "applied"), zap.String("log-level", s.Log.Level),
 		zap.Float64("repeats-ratio", s.Repeats.Ratio), zap.Float64("repeats-slack", s.Repeats.Slack))
 }
 
-// waiter waits for the drain beside the other signals.
-type waiter struct {
+// stopWaiter waits for the stop signal and the drain while waitForStop handles SIGHUP.
+type stopWaiter struct {
 	stopper *stops.Stopper
 	log     *zap.Logger
 	stopped chan struct{}
 }
 
-func (w waiter) run(ctx context.Context) {
+func (w stopWaiter) run(ctx context.Context) {
 	stops.Wait(ctx, w.stopper, w.log)
 	close(w.stopped)
 }
--- a/ingress/cmds/settings.go
+++ b/ingress/cmds/settings.go
@@ -1,4 +1,4 @@
-// Package cmds assembles the ingress from its settings.
+// Package cmds assembles the ingress from its settings and runs it.
 package cmds
 
 import (
@@ -13,55 +13,57 @@
 	"verbenaroad.example/share/modules/setup"
 )
 
-// Callers is the table [callers]: where requests come in.
+// Callers is the table [callers]: the addresses for callers and for the load balancer.
 type Callers struct {
 	Listen netip.AddrPort
-	// Ready is where the balancer asks whether the process takes new connections.
+	// Ready and ReadyPath are the address and path of the load balancer's readiness check.
 	Ready     netip.AddrPort
 	ReadyPath string
-	// Descriptors is how many the process may open; half of them are for callers.
+	// Descriptors is how many file descriptors the process may open; half of them are for
+	// callers' connections.
 	Descriptors int
 }
 
-// callersPart divides the descriptors: a caller's request needs one more towards its server.
-const callersPart = 2
+// descriptorsPerCaller is how many file descriptors a caller's request needs: one for the caller's
+// connection and one for the connection to the backend server.
+const descriptorsPerCaller = 2
 
-// MaxConnections returns how many connections of callers may be open.
-func (c *Callers) MaxConnections() int { return max(c.Descriptors/callersPart, 1) }
+// MaxConnections returns how many connections from callers may be open.
+func (c *Callers) MaxConnections() int { return max(c.Descriptors/descriptorsPerCaller, 1) }
 
 // Register declares the keys of the section.
 func (c *Callers) Register(fs *flag.FlagSet) {
 	fs.TextVar(&c.Listen, "callers.listen", netip.AddrPort{}, "`ip:port` for callers")
-	fs.TextVar(&c.Ready, "callers.ready", netip.AddrPort{}, "`ip:port` where the balancer asks whether the process is ready")
-	fs.StringVar(&c.ReadyPath, "callers.ready-path", "/readyz", "`path` of that question")
-	fs.IntVar(&c.Descriptors, "callers.descriptors", 4096, "`number` of descriptors that the process may open; half of them are for callers, and beyond that the connection that was idle longest is closed for a new one")
+	fs.TextVar(&c.Ready, "callers.ready", netip.AddrPort{}, "`ip:port` of the load balancer's readiness check")
+	fs.StringVar(&c.ReadyPath, "callers.ready-path", "/readyz", "`path` of the readiness check")
+	fs.IntVar(&c.Descriptors, "callers.descriptors", 4096, "`number` of file descriptors that the process may open; half of them are for callers' connections, and beyond that the connection that has been idle longest is closed for each new one")
 }
 
 // Check returns the faults of the section.
 func (c *Callers) Check() []error {
 	faults := checkAddresses(map[string]netip.AddrPort{"callers.listen": c.Listen, "callers.ready": c.Ready})
-	if c.Descriptors < callersPart {
-		faults = append(faults, errs.New("callers.descriptors: must be %d or more", callersPart))
+	if c.Descriptors < descriptorsPerCaller {
+		faults = append(faults, errs.New("callers.descriptors: must be %d or more", descriptorsPerCaller))
 	}
 	return faults
 }
 
-// Store is the table [store]: the platform's store.
+// Store is the table [store]: the connection to the platform's store.
 type Store struct {
 	Address netip.AddrPort
-	// Timeout bounds a call, Wait a watch.
+	// Timeout limits the duration of a call, Wait that of a watch.
 	Timeout time.Duration
 	Wait    time.Duration
-	// Lease is how long a dead ingress is still listed.
+	// Lease is how long an ingress stays registered after it has failed.
 	Lease time.Duration
 }
 
 // Register declares the keys of the section.
 func (s *Store) Register(fs *flag.FlagSet) {
 	fs.TextVar(&s.Address, "store.address", netip.AddrPort{}, "`ip:port` of the platform's store")
-	fs.DurationVar(&s.Timeout, "store.timeout", 1500*time.Millisecond, "longest `time` of a call")
-	fs.DurationVar(&s.Wait, "store.wait", 4*time.Second, "`time` that a watch waits; a change is seen that late where an open watch went silent")
-	fs.DurationVar(&s.Lease, "store.lease", 6*time.Second, "`time` that a dead ingress stays listed")
+	fs.DurationVar(&s.Timeout, "store.timeout", 1500*time.Millisecond, "longest `time` of a call to the store")
+	fs.DurationVar(&s.Wait, "store.wait", 4*time.Second, "longest `time` of a watch of the store; if an open watch stops delivering changes, they are seen after this time at the latest")
+	fs.DurationVar(&s.Lease, "store.lease", 6*time.Second, "`time` for which a failed ingress stays registered")
 }
 
 // Check returns the faults of the section.
@@ -73,14 +75,14 @@
 	return faults
 }
 
-// Place is the table [place]: who and where this process is.
+// Place is the table [place]: the name, location and capacity of this process.
 type Place struct {
 	Name   string
 	Domain string
 	Region string
 	// Regions maps each failure domain to its region.
 	Regions setup.LabelList
-	// Cores is the share of a processor core that the process has.
+	// Cores is the processor capacity of the process in cores.
 	Cores float64
 }
 
@@ -88,18 +90,18 @@
 func (p *Place) Register(fs *flag.FlagSet) {
 	p.Regions = setup.LabelList{}
 	fs.StringVar(&p.Name, "place.name", "", "unique `name` of this instance")
-	fs.StringVar(&p.Domain, "place.domain", "", "failure `domain` it stands in")
-	fs.StringVar(&p.Region, "place.region", "", "`region` it stands in")
-	fs.Float64Var(&p.Cores, "place.cores", 1, "`share` of a processor core that the process has; work for the other ingresses goes by it")
+	fs.StringVar(&p.Domain, "place.domain", "", "failure `domain` of this instance")
+	fs.StringVar(&p.Region, "place.region", "", "`region` of this instance")
+	fs.Float64Var(&p.Cores, "place.cores", 1, "`share` of a processor core that the process has; work that ingresses do for each other is distributed by it")
 	fs.Var(p.Regions, "place.regions", "regions of all failure domains as a list of `domain=region`")
 }
 
 // Check returns the faults of the section.
 func (p *Place) Check() []error {
 	faults := []error{}
-	for _, must := range [][2]string{{"name", p.Name}, {"domain", p.Domain}, {"region", p.Region}} {
-		if must[1] == "" {
-			faults = append(faults, errs.New("place.%s: must be set", must[0]))
+	for _, required := range [][2]string{{"name", p.Name}, {"domain", p.Domain}, {"region", p.Region}} {
+		if required[1] == "" {
+			faults = append(faults, errs.New("place.%s: must be set", required[0]))
 		}
 	}
 	if p.Cores <= 0 {
@@ -111,9 +113,9 @@
 // Peers is the table [peers]: the links between ingresses.
 type Peers struct {
 	Listen netip.AddrPort
-	// Seeds are ingresses that are asked while no other one is known.
+	// Seeds are ingresses that are asked for the store's records while no other ingress is known.
 	Seeds setup.AddrList
-	// Private allows plain links beyond loopback.
+	// Private allows links without TLS beyond loopback.
 	Private bool
 	// BeatEvery is the time between two heartbeats of a link.
 	BeatEvery time.Duration
@@ -122,9 +124,9 @@
 // Register declares the keys of the section.
 func (p *Peers) Register(fs *flag.FlagSet) {
 	fs.TextVar(&p.Listen, "peers.listen", netip.AddrPort{}, "`ip:port` for the other ingresses")
-	fs.Var(&p.Seeds, "peers.seeds", "list of `ip:port` of ingresses that are asked while no other one is known; they may be stale")
+	fs.Var(&p.Seeds, "peers.seeds", "list of `ip:port` of ingresses that are asked for the store's records while no other ingress is known; entries may be stale")
 	fs.BoolVar(&p.Private, "peers.private", false, "allow links without TLS beyond loopback, on a network that only the deployment's instances reach")
-	fs.DurationVar(&p.BeatEvery, "peers.beat-every", 300*time.Millisecond, "`time` between two heartbeats of a link; three and a half without one end it")
+	fs.DurationVar(&p.BeatEvery, "peers.beat-every", 300*time.Millisecond, "`time` between two heartbeats of a link; a link that is silent for three and a half times as long is closed")
 }
 
 // Check returns the faults of the section.
@@ -136,16 +138,16 @@
 	return faults
 }
 
-// Repeats is the table [repeats]: what may be sent once more.
+// Repeats is the table [repeats]: the retry budget.
 type Repeats struct {
 	budget.Settings
 }
 
 // Register declares the keys of the section.
 func (r *Repeats) Register(fs *flag.FlagSet) {
-	fs.Float64Var(&r.Ratio, "repeats.ratio", 0.1, "`share` of a service's requests that may be sent once more")
-	fs.Float64Var(&r.Slack, "repeats.slack", 20, "`number` of requests beside that, of all ingresses together in a window")
-	fs.DurationVar(&r.Window, "repeats.window", 10*time.Second, "`time` over which is counted")
+	fs.Float64Var(&r.Ratio, "repeats.ratio", 0.1, "`share` of a service's requests that may be retried")
+	fs.Float64Var(&r.Slack, "repeats.slack", 20, "`number` of further retries per window, by all ingresses together")
+	fs.DurationVar(&r.Window, "repeats.window", 10*time.Second, "`time` over which requests and retries are counted")
 }
 
 // Check returns the faults of the section.
@@ -156,15 +158,15 @@
 	return nil
 }
 
-// Cold is the table [cold]: what reaches a backend server that has just started.
+// Cold is the table [cold]: the rate limit of a backend server that has just started.
 type Cold struct {
 	cold.Settings
 }
 
 // Register declares the keys of the section.
 func (c *Cold) Register(fs *flag.FlagSet) {
-	fs.Float64Var(&c.Overage, "cold.overage", 1, "`times` its stated rate that a cold server may get, of all ingresses together")
-	fs.Float64Var(&c.Slack, "cold.slack", 0, "`number` of requests a second beside that")
+	fs.Float64Var(&c.Overage, "cold.overage", 1, "how many `times` its stated rate a cold server may receive, from all ingresses together")
+	fs.Float64Var(&c.Slack, "cold.slack", 0, "`number` of requests per second in addition to that")
 }
 
 // Check returns the faults of the section.
@@ -175,18 +177,19 @@
 	return nil
 }
 
-// Stop is the table [stop]: the graceful shutdown.
+// Stop is the table [stop]: the phases of the graceful shutdown.
 type Stop struct {
-	// Grace is the longest time from the signal to the end.
+	// Grace is the longest time from the stop signal to the end of the process.
 	Grace time.Duration
-	// Admit is how long new requests are still taken: the balancer needs some questions to notice.
+	// Admit is how long new requests are still admitted after the stop signal: the load balancer
+	// needs a few readiness checks to notice that the process is stopping.
 	Admit time.Duration
 }
 
 // Register declares the keys of the section.
 func (s *Stop) Register(fs *flag.FlagSet) {
-	fs.DurationVar(&s.Grace, "stop.grace", 8*time.Second, "longest `time` from the signal to the end")
-	fs.DurationVar(&s.Admit, "stop.admit", 3*time.Second, "`time` for which new requests are still taken")
+	fs.DurationVar(&s.Grace, "stop.grace", 8*time.Second, "longest `time` from the stop signal to the end of the process")
+	fs.DurationVar(&s.Admit, "stop.admit", 3*time.Second, "`time` for which new requests are still admitted after the stop signal")
 }
 
 // Check returns the faults of the section.
@@ -197,7 +200,7 @@
 	return nil
 }
 
-// Metrics is the table [metrics].
+// Metrics is the table [metrics]: where metrics are served.
 type Metrics struct {
 	Listen netip.AddrPort
 	Path   string
@@ -205,8 +208,8 @@
 
 // Register declares the keys of the section.
 func (m *Metrics) Register(fs *flag.FlagSet) {
-	fs.TextVar(&m.Listen, "metrics.listen", netip.AddrPort{}, "`ip:port` of the figures")
-	fs.StringVar(&m.Path, "metrics.path", "/metrics", "`path` of the figures")
+	fs.TextVar(&m.Listen, "metrics.listen", netip.AddrPort{}, "`ip:port` where metrics are served")
+	fs.StringVar(&m.Path, "metrics.path", "/metrics", "`path` of the metrics")
 }
 
 // Check returns the faults of the section.
@@ -214,7 +217,7 @@
 	return checkAddresses(map[string]netip.AddrPort{"metrics.listen": m.Listen})
 }
 
-// Settings are all tables of the ingress's settings.
+// Settings holds all tables of the ingress's settings.
 type Settings struct {
 	Log     setup.Log
 	Place   Place
@@ -228,7 +231,7 @@
 	Secure  setup.Secure
 }
 
-// Sections lists the tables for loading and for checks of example files.
+// Sections returns the tables, for setup.Load and setup.NewFlagSet.
 func (s *Settings) Sections() []setup.Section {
 	return []setup.Section{
 		&s.Log, &s.Place, &s.Callers, &s.Store, &s.Peers, &s.Repeats, &s.Cold, &s.Stop, &s.Metrics, &s.Secure,
--- a/ingress/cmds/settings_test.go
+++ b/ingress/cmds/settings_test.go
@@ -25,8 +25,9 @@
 	return settings, err
 }
 
-// TestExampleHoldsEveryKey fails where a flag is not in the example, or a key is none.
-func TestExampleHoldsEveryKey(t *testing.T) {
+// A setting is added to the code but not to the example file, or a key of the example file is not a
+// setting.
+func TestExampleListsEveryKey(t *testing.T) {
 	is := is.New(t)
 	_, err := load(example)
 	is.NoErr(err)
@@ -43,7 +44,8 @@
 	})
 }
 
-func TestFaultsAreToldAtOnce(t *testing.T) {
+// Loading that stops at the first fault makes an operator fix a settings file one fault at a time.
+func TestAllFaultsAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "ingress.toml")
 	is.NoErr(os.WriteFile(file, []byte("[place]\nname = \"a\"\ncores = 0\n[store]\naddress = \"host:1\"\nnew = 1\n"), 0o600))
@@ -54,13 +56,14 @@
 		"callers.listen: must be set", "peers.listen: must be set", "metrics.listen: must be set",
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not told in %q", want, err)
+			t.Errorf("%q is missing in %q", want, err)
 		}
 	}
 }
 
-// An operator types a word too many; everything behind it would be dropped.
-func TestStrayArgumentIsRefused(t *testing.T) {
+// An operator types a stray argument before the flags. Parsing stops there, so without an error all
+// flags after it would be ignored.
+func TestStrayArgumentIsRejected(t *testing.T) {
 	is := is.New(t)
 	settings := &cmds.Settings{}
 	_, err := setup.Load(settings.Sections(), setup.Options{
--- a/ingress/main.go
+++ b/ingress/main.go
@@ -1,5 +1,5 @@
-// Command ingress takes callers' requests and sends them to the backend
-// servers directly, on a platform that holds the configuration and the list of servers.
+// Command ingress accepts callers' requests and sends them directly to the backend servers. It
+// reads the configuration and the list of backend servers from the platform's store.
 package main
 
 import (
@@ -16,9 +16,9 @@
 	options := setup.Options{Program: "ingress", Args: os.Args[1:], Output: os.Stderr}
 	setup.LoadOrExit(settings.Sections(), options)
 	reload := func() (*cmds.Settings, error) {
-		again := &cmds.Settings{}
-		_, err := setup.Load(again.Sections(), options)
-		return again, err
+		reloaded := &cmds.Settings{}
+		_, err := setup.Load(reloaded.Sections(), options)
+		return reloaded, err
 	}
 	if err := cmds.Serve(context.Background(), settings, reload, os.Stdout); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "ingress:", err)
