--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -116,7 +116,7 @@
 	})
 	i.store = keyval.NewClient(keyval.Options{
 		Address: s.Store.Address, CallTimeout: s.Store.Timeout,
-		OnArrival: func() { i.book.ConfirmOwn(time.Now()) },
+		OnArrival: func() { i.book.ObserveOwnAnswer(time.Now()) },
 	})
 	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: i.log, OnChange: i.takeView})
 	i.mesh = mesh.NewMesh(mesh.Options{
--- a/ingress/services/mesh/deltas.go
+++ b/ingress/services/mesh/deltas.go
@@ -89,7 +89,7 @@
 // EncodeReading tells how well this ingress knows the store.
 func EncodeReading(b *state.Book) *wire.Reading {
 	e := b.Extent()
-	return &wire.Reading{Direct: b.IsDirect(), AgeNanos: int64(b.Age()), Newest: e.Newest, At: e.At}
+	return &wire.Reading{Direct: b.IsDirect(), AgeNanos: int64(b.Age()), Newest: e.NewestRevision, At: e.CompleteRevision}
 }
 
 func decodeWord(told *wire.Reading) feed.StoreStatus {
@@ -97,5 +97,5 @@
 }
 
 func decodeExtent(told *wire.Reading) state.Extent {
-	return state.Extent{Newest: told.GetNewest(), At: told.GetAt()}
+	return state.Extent{NewestRevision: told.GetNewest(), CompleteRevision: told.GetAt()}
 }
--- a/ingress/services/mesh/feeder.go
+++ b/ingress/services/mesh/feeder.go
@@ -85,7 +85,7 @@
 
 // runScout finds out who else there is.
 func (f *Feeder) runScout(ctx context.Context) {
-	f.options.Reader.Scout(ctx, func() bool { return f.options.Mesh.countKnown() > 0 })
+	f.options.Reader.DiscoverPeers(ctx, func() bool { return f.options.Mesh.countKnown() > 0 })
 	f.lock.Lock()
 	f.scouted = true
 	f.lock.Unlock()
@@ -126,7 +126,7 @@
 			zap.Int("followers", f.followers), zap.Duration("age", f.options.Book.Age()))
 	}
 	f.lock.Unlock()
-	f.options.Reader.Set(ctx, plan.Read)
+	f.options.Reader.SetWatching(ctx, plan.Read)
 	if plan.Check != "" && !f.options.Mesh.isOpen(plan.Check) {
 		go f.runReach(ctx, plan.Check)
 	}
@@ -186,7 +186,7 @@
 }
 
 func (f *Feeder) take(ctx context.Context, s *subscription) error {
-	stream, err := f.options.Mesh.Follow(ctx, s.name, &wire.Follow{At: f.options.Book.At()}, f.noteFed)
+	stream, err := f.options.Mesh.Follow(ctx, s.name, &wire.Follow{At: f.options.Book.CompleteRevision()}, f.noteFed)
 	if err != nil {
 		return err
 	}
@@ -201,7 +201,7 @@
 		if err != nil {
 			return err
 		}
-		f.options.Book.Take(delta)
+		f.options.Book.ApplyDelta(delta)
 		logLarge(f.options.Log, s.name, told, f.noteFedWhole())
 		if !opened {
 			f.noteOpened(s)
@@ -273,20 +273,20 @@
 	now := time.Now()
 	theirs := decodeExtent(told)
 	f.options.Book.Advance(theirs)
-	own := f.options.Book.At()
+	own := f.options.Book.CompleteRevision()
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	word := decodeWord(told)
 	f.chooser.ObserveStatus(now, name, word)
-	if f.current != nil && f.current.name == name && f.chooser.IsSourceFresh(now) && theirs.Newest <= own {
-		f.options.Book.Confirm(now.Add(-word.Age))
+	if f.current != nil && f.current.name == name && f.chooser.IsSourceFresh(now) && theirs.NewestRevision <= own {
+		f.options.Book.ObserveSourceAnswer(now.Add(-word.Age))
 	}
 	if own == 0 {
 		return // the first picture is on its way from elsewhere
 	}
-	if f.chooser.ObserveGap(now, name, theirs.Newest, own) {
+	if f.chooser.ObserveGap(now, name, theirs.NewestRevision, own) {
 		f.options.Log.Info("records-missing", zap.String("ahead", name))
-		go f.options.Puller.runPull(name, theirs.Newest)
+		go f.options.Puller.runPull(name, theirs.NewestRevision)
 	}
 }
 
--- a/ingress/services/mesh/fleet_test.go
+++ b/ingress/services/mesh/fleet_test.go
@@ -189,7 +189,7 @@
 		if err := s.down.pass(ctx, min(bytes, packetBytes)); err != nil {
 			return err
 		}
-		s.book.ConfirmOwn(time.Now())
+		s.book.ObserveOwnAnswer(time.Now())
 	}
 	return nil
 }
--- a/ingress/services/mesh/puller.go
+++ b/ingress/services/mesh/puller.go
@@ -86,7 +86,7 @@
 	if !p.Book.IsListed() {
 		return now.Sub(p.startedAt) >= firstPullAfter && !p.Feed.IsFollowing()
 	}
-	return p.Book.IsLost() || p.Book.Age() >= staleAfter
+	return p.Book.IsStoreUnavailable() || p.Book.Age() >= staleAfter
 }
 
 // pullSeeds asks ingresses that the settings name. A process that starts while the
@@ -108,7 +108,7 @@
 }
 
 func (p *Puller) newSync() *wire.Sync {
-	return &wire.Sync{At: p.Book.At()}
+	return &wire.Sync{At: p.Book.CompleteRevision()}
 }
 
 // runPull asks one ingress that is known to be ahead, until the records here have come up to it.
@@ -123,7 +123,7 @@
 func (p *Puller) runUntil(ctx context.Context, cancel context.CancelFunc, newest uint64) {
 	for {
 		changed := p.Book.Changed()
-		if p.Book.At() >= newest {
+		if p.Book.CompleteRevision() >= newest {
 			cancel()
 			return
 		}
@@ -158,5 +158,5 @@
 		p.Log.Warn("records-unreadable", logs.Err(err))
 		return
 	}
-	p.Book.Take(delta)
+	p.Book.ApplyDelta(delta)
 }
--- a/ingress/services/state/take.go
+++ b/ingress/services/state/apply.go
@@ -14,32 +14,33 @@
 	"verbenaroad.example/share/modules/logs"
 )
 
-// takeRecord applies one changed record.
-func (b *Book) takeRecord(r site.Record, source string) {
+// applyRecord updates the state derived from one changed record.
+func (b *Book) applyRecord(r site.Record, source string) {
 	c := b.options.Codec
 	switch {
 	case c.IsConfig(r.Key):
-		b.takeConfig(r, source)
+		b.applyConfig(r, source)
 	case strings.HasPrefix(r.Key, c.ServerPrefix()):
-		b.takeServer(r, source)
+		b.applyServer(r, source)
 	case strings.HasPrefix(r.Key, c.IngressPrefix()):
-		b.takeIngress(r)
+		b.applyIngress(r)
 	case strings.HasPrefix(r.Key, c.EvacuationPrefix()):
-		b.takeEvacuation(r, source)
+		b.applyEvacuation(r, source)
 	case strings.HasPrefix(r.Key, c.QuarantinePrefix()):
-		b.takeQuarantine(r, source)
+		b.applyQuarantine(r, source)
 	}
 }
 
-// takeQuarantine has a request that crashes servers refused, or let through again.
-func (b *Book) takeQuarantine(r site.Record, source string) {
+// applyQuarantine adds or removes the quarantine of a request that crashes servers. An unreadable
+// record removes it.
+func (b *Book) applyQuarantine(r site.Record, source string) {
 	id := poison.ID(b.options.Codec.QuarantineID(r.Key))
-	all := maps.Clone(b.quarantines)
-	if all == nil {
-		all = map[poison.ID]site.Quarantine{}
+	updated := maps.Clone(b.quarantines)
+	if updated == nil {
+		updated = map[poison.ID]site.Quarantine{}
 	}
-	delete(all, id)
-	b.quarantines = all
+	delete(updated, id)
+	b.quarantines = updated
 	if r.Deleted {
 		b.options.Log.Info("quarantine-ended", zap.String("digest", string(id)), zap.String("source", source))
 		return
@@ -50,14 +51,14 @@
 		return
 	}
 	q.Revision = r.Revision
-	all[id] = q
+	updated[id] = q
 	b.options.Log.Info("quarantine-seen", zap.String("digest", string(id)), zap.String("service", q.Service),
 		zap.Strings("servers", q.Servers), zap.Strings("versions", q.Versions),
 		zap.Uint64("revision", r.Revision), zap.String("source", source))
 }
 
-// takeEvacuation has a failure domain's servers get no new work, or some again.
-func (b *Book) takeEvacuation(r site.Record, source string) {
+// applyEvacuation starts or ends the evacuation of a failure domain.
+func (b *Book) applyEvacuation(r site.Record, source string) {
 	domain := b.options.Codec.EvacuatedDomain(r.Key)
 	if r.Deleted {
 		b.servers.EndEvacuation(domain, time.Now(), b.coldTime)
@@ -68,7 +69,7 @@
 		zap.Uint64("revision", r.Revision), zap.String("source", source))
 }
 
-// coldTime returns how long the servers of a service are cold after a start.
+// coldTime returns how long the servers of a service are cold after a start, 0 if unknown.
 func (b *Book) coldTime(service string) time.Duration {
 	if b.table == nil {
 		return 0
@@ -79,9 +80,10 @@
 	return 0
 }
 
-// takeConfig puts a higher version in force. A lower one comes from a peer or a
-// page that is behind, and an unreadable one must not take the routes away.
-func (b *Book) takeConfig(r site.Record, source string) {
+// applyConfig applies a configuration if its version is higher than the current one. A lower version
+// comes from a peer or a listing page that is outdated. The current configuration also stays in
+// force if the record is unreadable or deleted, because its routes are still needed.
+func (b *Book) applyConfig(r site.Record, source string) {
 	if r.Deleted {
 		b.options.Log.Warn("config-kept", zap.String("reason", "the record was deleted"), zap.Uint64("revision", r.Revision))
 		return
@@ -102,7 +104,7 @@
 		zap.Int("bytes", len(r.Value)), zap.Int("routes", len(config.Routes)), zap.Int("services", len(config.Services)), zap.Int("teams", len(config.Teams)))
 }
 
-func (b *Book) takeServer(r site.Record, source string) {
+func (b *Book) applyServer(r site.Record, source string) {
 	id := b.options.Codec.ServerID(r.Key)
 	if r.Deleted {
 		kept := b.servers.Remove(id, time.Now())
@@ -125,10 +127,10 @@
 		zap.Uint64("revision", r.Revision), zap.String("source", source))
 }
 
-func (b *Book) takeIngress(r site.Record) {
+func (b *Book) applyIngress(r site.Record) {
 	name := strings.TrimPrefix(r.Key, b.options.Codec.IngressPrefix())
 	if r.Deleted {
-		b.peersGone[name] = time.Now()
+		b.removedPeers[name] = time.Now()
 		b.options.Log.Info("ingress-removed", zap.String("ingress", name))
 		return
 	}
@@ -138,11 +140,11 @@
 		return
 	}
 	b.peers[name] = ingress
-	delete(b.peersGone, name)
+	delete(b.removedPeers, name)
 	b.options.Log.Info("ingress-seen", zap.String("ingress", name), zap.Stringer("address", ingress.Address))
 }
 
-// publish makes a new view; called under the lock.
+// publish replaces the view and passes it to OnChange. The caller must hold the lock.
 func (b *Book) publish() {
 	v := &View{Table: b.table, Servers: b.servers.List(), Evacuated: b.servers.Evacuated(), Quarantines: b.quarantines}
 	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
--- a/ingress/services/state/evacuation_test.go
+++ b/ingress/services/state/evacuation_test.go
@@ -20,13 +20,13 @@
 
 func countReady(b *state.Book) int { return len(b.View().Servers["engines"]) }
 
-// Guards against an ingress that hears of an evacuation only from the store: one that is
-// cut off is told by another ingress, and one that starts finds it in its first listing.
-func TestEvacuationIsHeardFromStoreAndPeers(t *testing.T) {
+// Guards against an evacuation that takes effect only in ingresses that can reach the store. An
+// ingress that cannot reach it must learn the start and the end of an evacuation from a peer.
+func TestEvacuationIsAppliedFromStoreAndPeers(t *testing.T) {
 	is := is.New(t)
 	options := state.Options{Codec: record.Codec{}, Log: zap.NewNop()}
 	b := state.NewBook(options)
-	b.Replace([]site.Record{
+	b.ApplyListing([]site.Record{
 		{Key: "op/config", Value: []byte(coldConfig), Revision: 1},
 		{Key: "servers/n", Value: []byte(northServer), Revision: 2},
 		{Key: "servers/s", Value: []byte(southServer), Revision: 3},
@@ -36,26 +36,27 @@
 	is.Equal(countReady(b), 1)
 	is.Equal(b.View().Evacuated, []string{"north-a"})
 
-	fed := state.NewBook(options)
-	fed.Take(b.Since(0))
-	is.Equal(countReady(fed), 1)
+	follower := state.NewBook(options)
+	follower.ApplyDelta(b.Since(0))
+	is.Equal(countReady(follower), 1)
 
 	b.Apply([]site.Record{{Key: evacuationKey, Revision: 5, Deleted: true}}, 5)
 	is.Equal(countReady(b), 2)
-	fed.Take(b.Since(4))
-	is.Equal(countReady(fed), 2)
-	for _, s := range fed.View().Servers["engines"] {
-		is.True(!s.ColdUntil.IsZero()) // the one just taken back, and the one that says so
+	follower.ApplyDelta(b.Since(4))
+	is.Equal(countReady(follower), 2)
+	for _, s := range follower.View().Servers["engines"] {
+		is.True(!s.ColdUntil.IsZero()) // n: its evacuation just ended; s: its registration says so
 	}
 }
 
-// Guards against an evacuation that ended while this ingress heard nothing.
-func TestEvacuationThatIsNotListedHasEnded(t *testing.T) {
+// Guards against an evacuation that stays in force because its record was deleted while this ingress
+// received no updates.
+func TestEvacuationMissingInListingHasEnded(t *testing.T) {
 	is := is.New(t)
 	b := state.NewBook(state.Options{Codec: record.Codec{}, Log: zap.NewNop()})
 	north := site.Record{Key: "servers/n", Value: []byte(northServer), Revision: 2}
-	b.Replace([]site.Record{{Key: evacuationKey, Value: []byte("{}"), Revision: 1}, north}, 2)
+	b.ApplyListing([]site.Record{{Key: evacuationKey, Value: []byte("{}"), Revision: 1}, north}, 2)
 	is.Equal(countReady(b), 0)
-	b.Replace([]site.Record{north}, 9)
+	b.ApplyListing([]site.Record{north}, 9)
 	is.Equal(countReady(b), 1)
 }
--- a/ingress/services/state/register.go
+++ b/ingress/services/state/register.go
@@ -12,7 +12,7 @@
 	"verbenaroad.example/share/modules/pauses"
 )
 
-// Leases writes the ingress's own record.
+// Leases writes the registration of this ingress to the store.
 type Leases interface {
 	Grant(ctx context.Context, ttl time.Duration) (lease uint64, err error)
 	Put(ctx context.Context, key string, value []byte, lease uint64) error
@@ -21,41 +21,45 @@
 }
 
 const (
-	// renewPart is how many renewals fit into a lease: two may be lost.
-	renewPart = 3
-	// leaseTimeout bounds each call. The store answers in milliseconds, and in up to a
-	// second where it is slow; a call that began while it was silent is never answered.
+	// renewalsPerLease is how many renewals are due within the TTL of a lease. Two of them may
+	// fail before the lease ends.
+	renewalsPerLease = 3
+	// leaseTimeout bounds each registration and each renewal. The store answers in milliseconds,
+	// or within a second if it is slow. It never answers a call that was started while it did not
+	// respond.
 	leaseTimeout = time.Second
 )
 
-// Registrar keeps the ingress registered under a lease.
+// Registrar keeps this ingress registered under a lease.
 type Registrar struct {
 	Leases Leases
 	Codec  Codec
 	Self   site.Ingress
-	// TTL is that of the lease: how long a dead ingress is still listed.
+	// TTL is the lease's duration: how long an ingress that crashed remains registered.
 	TTL time.Duration
-	// LeaseGone is the store's error for a lease that has ended.
+	// LeaseGone is the error that the store returns for a lease that has ended.
 	LeaseGone error
-	// Book is told of each answer.
+	// Book records each answer of the store.
 	Book *Book
-	// ProbeEvery is the time between renewals while this ingress watches the store, whose
-	// open watches tell nothing of a store that falls silent.
+	// ProbeEvery is the time between renewals while this ingress watches the store. An open watch
+	// alone does not reveal that the store has stopped responding.
 	ProbeEvery time.Duration
 	Log        *zap.Logger
 
+	// lease is 0 while the ingress is not registered.
 	lease uint64
+	// ended is closed when the loop has returned.
 	ended chan struct{}
 }
 
-// Start registers until the context ends.
+// Start keeps the ingress registered until the context ends.
 func (r *Registrar) Start(ctx context.Context) {
 	r.ended = make(chan struct{})
 	go r.loop(ctx)
 }
 
-// Close ends the registration, so that the others need not wait for the lease to end. The
-// context of Start has ended before.
+// Close ends the registration, so that the other ingresses need not wait until the lease expires.
+// The context given to Start must have ended.
 func (r *Registrar) Close(ctx context.Context) {
 	select {
 	case <-r.ended:
@@ -66,7 +70,7 @@
 		return
 	}
 	if err := r.Leases.Release(ctx, r.lease); err != nil {
-		r.Log.Info("registration-left", logs.Err(err))
+		r.Log.Info("registration-not-released", logs.Err(err))
 	}
 }
 
@@ -74,9 +78,9 @@
 	defer close(r.ended)
 	for {
 		began := time.Now()
-		err := r.step(ctx)
+		err := r.registerOrRenew(ctx)
 		if err == nil {
-			r.Book.ConfirmOwn(time.Now())
+			r.Book.ObserveOwnAnswer(time.Now())
 		} else {
 			r.Log.Warn("registration-lost", zap.Duration("store-age", r.Book.Age()), logs.Err(err))
 		}
@@ -89,23 +93,25 @@
 	}
 }
 
-// wait waits until the next renewal is due; false where the context ended. It looks again
-// every ProbeEvery, since this ingress may begin to watch the store meanwhile.
+// wait waits until the next registration or renewal is due. It returns false if the context ended.
+// It checks every ProbeEvery whether this ingress has begun to watch the store, because renewals
+// are due more often from then on.
 func (r *Registrar) wait(ctx context.Context, began time.Time, err error) bool {
 	if err != nil {
-		return pauses.Wait(ctx, maxRetry)
+		return pauses.Wait(ctx, maxRetryPause)
 	}
 	for {
-		if !pauses.Wait(ctx, min(r.ProbeEvery, r.TTL/renewPart)) {
+		if !pauses.Wait(ctx, min(r.ProbeEvery, r.TTL/renewalsPerLease)) {
 			return false
 		}
-		if r.Book.isReading() || time.Since(began) >= r.TTL/renewPart {
+		if r.Book.isWatching() || time.Since(began) >= r.TTL/renewalsPerLease {
 			return true
 		}
 	}
 }
 
-func (r *Registrar) step(ctx context.Context) error {
+// registerOrRenew renews the lease, or registers the ingress under a new one.
+func (r *Registrar) registerOrRenew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	if r.lease != 0 {
--- a/ingress/services/state/state.go
+++ b/ingress/services/state/state.go
@@ -1,7 +1,7 @@
-// Package state keeps what an ingress knows of the deployment: the
-// configuration, the backend servers and the other ingresses. In: the store's
-// listings and watches, and what other ingresses tell of them. Out: a View that
-// a request uses from its begin to its end, and deltas for other ingresses.
+// Package state keeps an ingress's view of the deployment: the configuration, the backend servers,
+// the other ingresses, the evacuations and the quarantines. Its input is the store's listings and
+// watches, and the records that other ingresses pass on. Its output is a View, which a request
+// uses unchanged from its start to its end, and deltas for other ingresses.
 package state
 
 import (
@@ -21,7 +21,7 @@
 	"verbenaroad.example/share/modules/logs"
 )
 
-// Codec reads the records of the store.
+// Codec encodes and decodes the records of the store and their keys.
 type Codec interface {
 	ServerPrefix() string
 	IngressPrefix() string
@@ -39,21 +39,21 @@
 	ReadIngress(key string, value []byte) (site.Ingress, error)
 }
 
-// View is what an ingress knows at one time. It does not change once made.
+// View is an immutable snapshot of the deployment as the ingress knows it.
 type View struct {
 	// Table is nil before the first configuration.
 	Table *access.Table
-	// Servers are those that take new work, by service.
+	// Servers are the backend servers that may be sent new work, by service.
 	Servers map[string][]site.Server
-	// Evacuated are the failure domains whose servers are not among them.
+	// Evacuated are the failure domains whose servers get no new work. Servers omits them.
 	Evacuated []string
-	// Ingresses are the registered ones, this one included.
+	// Ingresses are the registered ingresses, including this one.
 	Ingresses []site.Ingress
-	// Quarantines are those of requests that crash servers.
+	// Quarantines holds the quarantines of requests that crash servers.
 	Quarantines map[poison.ID]site.Quarantine
 }
 
-// Version returns that of the configuration, 0 where there is none.
+// Version returns the version of the configuration, 0 if there is none yet.
 func (v *View) Version() uint64 {
 	if v.Table == nil {
 		return 0
@@ -65,52 +65,58 @@
 type Options struct {
 	Codec Codec
 	Log   *zap.Logger
-	// OnChange is told of each new view.
+	// OnChange, if set, is called with each new view, under the lock of the Book.
 	OnChange func(*View)
 }
 
-// Book holds the records and makes the views.
+// Book holds the records that this ingress knows and publishes a View of them. It also tracks when
+// the store last answered and whether it is available.
 type Book struct {
 	options Options
 	view    atomic.Pointer[View]
-	// contact is the time of the last answer of the store, to this ingress or to the one
-	// that it follows, as nanoseconds since started.
-	contact atomic.Int64
-	// own is the same of the answers to this ingress itself.
-	own     atomic.Int64
-	started time.Time
+	// lastAnswer is when the store last answered this ingress while it watches the store, or
+	// answered the source, which is the ingress that this one follows. It is in nanoseconds since
+	// started.
+	lastAnswer atomic.Int64
+	// lastOwnAnswer is when the store last answered this ingress, also in nanoseconds since
+	// started.
+	lastOwnAnswer atomic.Int64
+	started       time.Time
 
 	lock    sync.Mutex
 	records *mirror.Mirror
 	servers *alive.Set
 	table   *access.Table
 	peers   map[string]site.Ingress
-	// peersGone holds since when registrations of ingresses are missing.
-	peersGone map[string]time.Time
-	// quarantines are replaced and not changed, since views hold them.
+	// removedPeers holds when the registration of a peer ended, until the peer is dropped or
+	// registers again.
+	removedPeers map[string]time.Time
+	// quarantines is replaced and never modified, because views share it.
 	quarantines map[poison.ID]site.Quarantine
-	// direct is set while this ingress watches the store itself, which it began at directSince.
+	// direct is set while this ingress watches the store itself. directSince is when direct was
+	// last set or cleared.
 	direct      bool
 	directSince time.Time
-	// lost holds what of the store has no answer; empty while direct is not set.
-	lost map[Duty]bool
-	// changed is closed at the next change of any record.
+	// unanswered holds the kinds of calls that the store does not answer. It is empty while
+	// direct is not set.
+	unanswered map[StoreCall]bool
+	// changed is closed and replaced when any record changes.
 	changed chan struct{}
 }
 
-// NewBook returns a book that knows nothing.
+// NewBook returns a book without records.
 func NewBook(options Options) *Book {
 	b := &Book{
-		options:   options,
-		started:   time.Now(),
-		records:   mirror.NewMirror(func(key string) bool { return isWanted(options.Codec, key) }),
-		servers:   alive.NewSet(),
-		peers:     map[string]site.Ingress{},
-		peersGone: map[string]time.Time{},
-		lost:      map[Duty]bool{},
-		changed:   make(chan struct{}),
+		options:      options,
+		started:      time.Now(),
+		records:      mirror.NewMirror(func(key string) bool { return isWanted(options.Codec, key) }),
+		servers:      alive.NewSet(),
+		peers:        map[string]site.Ingress{},
+		removedPeers: map[string]time.Time{},
+		unanswered:   map[StoreCall]bool{},
+		changed:      make(chan struct{}),
 	}
-	b.contact.Store(-int64(time.Hour))
+	b.lastAnswer.Store(-int64(time.Hour))
 	b.view.Store(&View{})
 	return b
 }
@@ -120,248 +126,257 @@
 		strings.HasPrefix(key, c.EvacuationPrefix()) || strings.HasPrefix(key, c.QuarantinePrefix())
 }
 
-// IngressPrefix is that of the ingresses' registrations.
+// IngressPrefix is the key prefix of the ingresses' registrations.
 func (b *Book) IngressPrefix() string { return b.options.Codec.IngressPrefix() }
 
-// View returns what is known now.
+// View returns the current view.
 func (b *Book) View() *View { return b.view.Load() }
 
-// Age returns how long the store has not answered, as far as this ingress knows.
+// Age returns the time since the store last answered this ingress while it watches the store, or
+// the ingress that it follows. Before the first such answer it is more than an hour.
 func (b *Book) Age() time.Duration {
-	return time.Since(b.started) - time.Duration(b.contact.Load())
+	return time.Since(b.started) - time.Duration(b.lastAnswer.Load())
 }
 
-// Confirm notes that the store answered at a time whom this ingress follows.
-func (b *Book) Confirm(at time.Time) { b.raise(&b.contact, at) }
+// ObserveSourceAnswer records that the store answered the followed ingress at the given time.
+func (b *Book) ObserveSourceAnswer(at time.Time) { b.storeLatest(&b.lastAnswer, at) }
 
-// ConfirmOwn notes that the store answered this ingress itself. While it does not watch,
-// that tells nothing of how old its records are.
-func (b *Book) ConfirmOwn(at time.Time) {
-	b.raise(&b.own, at)
-	if b.isReading() {
-		b.raise(&b.contact, at)
+// ObserveOwnAnswer records that the store answered this ingress at the given time. While this
+// ingress does not watch the store, such an answer does not show that its records are current.
+func (b *Book) ObserveOwnAnswer(at time.Time) {
+	b.storeLatest(&b.lastOwnAnswer, at)
+	if b.isWatching() {
+		b.storeLatest(&b.lastAnswer, at)
 	}
 }
 
-// raise sets a time unless it is later already.
-func (b *Book) raise(value *atomic.Int64, at time.Time) {
-	later := int64(at.Sub(b.started))
+// storeLatest sets value to the time at, unless value is already later.
+func (b *Book) storeLatest(value *atomic.Int64, at time.Time) {
+	nanos := int64(at.Sub(b.started))
 	for {
-		known := value.Load()
-		if later <= known || value.CompareAndSwap(known, later) {
+		current := value.Load()
+		if nanos <= current || value.CompareAndSwap(current, nanos) {
 			return
 		}
 	}
 }
 
-// OwnSilence returns how long the store has not answered this ingress itself.
+// OwnSilence returns the time since the store last answered this ingress.
 func (b *Book) OwnSilence() time.Duration {
-	return time.Since(b.started) - time.Duration(b.own.Load())
+	return time.Since(b.started) - time.Duration(b.lastOwnAnswer.Load())
 }
 
-// contactAt returns when the store last answered, as far as this ingress knows.
-func (b *Book) contactAt() time.Time {
-	return b.started.Add(time.Duration(b.contact.Load()))
+// lastAnswerAt returns the time from which Age counts.
+func (b *Book) lastAnswerAt() time.Time {
+	return b.started.Add(time.Duration(b.lastAnswer.Load()))
 }
 
-// SetDirect notes whether this ingress watches the store itself. One that does not
-// takes no view of whether the store is away.
+// SetDirect records whether this ingress watches the store itself. While it does not, it treats
+// the store as available.
 func (b *Book) SetDirect(direct bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.direct = direct
 	b.directSince = time.Now()
-	if direct || len(b.lost) == 0 {
+	if direct || len(b.unanswered) == 0 {
 		return
 	}
-	clear(b.lost)
+	clear(b.unanswered)
 	b.servers.MarkStoreAvailable(time.Now())
 }
 
-// isReading tells whether this ingress watches the store itself.
-func (b *Book) isReading() bool {
+// isWatching reports whether this ingress watches the store itself.
+func (b *Book) isWatching() bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.direct
 }
 
-// IsDirect tells whether this ingress watches the store and has its answers.
+// IsDirect reports whether this ingress watches the store and the store answers.
 func (b *Book) IsDirect() bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return b.direct && len(b.lost) == 0
+	return b.direct && len(b.unanswered) == 0
 }
 
-// IsListed tells whether there is a first picture of all records.
-func (b *Book) IsListed() bool { return b.At() > 0 }
+// IsListed reports whether the book has held a complete copy of the records at any revision.
+func (b *Book) IsListed() bool { return b.CompleteRevision() > 0 }
 
-// IsLost tells whether the store did not answer what was last asked of it.
-func (b *Book) IsLost() bool {
+// IsStoreUnavailable reports whether this ingress watches the store and the store does not answer
+// its watch or its lease renewals.
+func (b *Book) IsStoreUnavailable() bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return len(b.lost) > 0
+	return len(b.unanswered) > 0
 }
 
-// At returns the revision up to which the records are complete; a watch goes on after it.
-func (b *Book) At() uint64 {
+// CompleteRevision returns the revision up to which the records are complete. A watch continues
+// after it.
+func (b *Book) CompleteRevision() uint64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.records.CompleteRevision()
 }
 
-// Replace takes a whole listing.
-func (b *Book) Replace(records []site.Record, at uint64) {
+// ApplyListing applies a full listing of the store that was started at the given revision.
+func (b *Book) ApplyListing(records []site.Record, revision uint64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.take(b.records.ApplyListing(records, at), "store")
+	b.applyChanged(b.records.ApplyListing(records, revision), "store")
 }
 
-// Apply takes the changes that a watch brought.
-func (b *Book) Apply(changes []site.Record, at uint64) {
+// Apply applies the changes from a watch that is complete up to the given revision.
+func (b *Book) Apply(changes []site.Record, revision uint64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.take(b.records.Apply(changes, at), "store")
+	b.applyChanged(b.records.Apply(changes, revision), "store")
 }
 
-// Learn takes a part of the records.
-func (b *Book) Learn(records []site.Record) {
+// Merge applies a partial listing. The complete revision stays the same.
+func (b *Book) Merge(records []site.Record) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.take(b.records.Merge(records), "store")
+	b.applyChanged(b.records.Merge(records), "store")
 }
 
-// Take takes what another ingress tells.
-func (b *Book) Take(d mirror.Delta) {
+// ApplyDelta applies a delta from another ingress.
+func (b *Book) ApplyDelta(d mirror.Delta) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.take(b.records.ApplyDelta(d), "peer")
+	b.applyChanged(b.records.ApplyDelta(d), "peer")
 }
 
-// Since returns what a copy lacks that is complete up to a revision.
+// Since returns the delta for a copy that is complete up to the given revision.
 func (b *Book) Since(revision uint64) mirror.Delta {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.records.Since(revision)
 }
 
-// Extent says how far a copy of the records reaches.
+// Extent describes which changes a copy of the records reflects.
 type Extent struct {
-	// Newest is the highest revision of a change in it, At that up to which it is complete.
-	Newest uint64
-	At     uint64
+	// NewestRevision is the highest revision of any change in the copy. CompleteRevision is the
+	// revision up to which the copy lacks no change.
+	NewestRevision   uint64
+	CompleteRevision uint64
 }
 
-// Extent returns that of the records here.
+// Extent returns the extent of the records in the book.
 func (b *Book) Extent() Extent {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return Extent{Newest: b.records.NewestRevision(), At: b.records.CompleteRevision()}
+	return Extent{NewestRevision: b.records.NewestRevision(), CompleteRevision: b.records.CompleteRevision()}
 }
 
-// Advance takes the extent of another ingress, which may say that the records here are
-// complete up to a later revision.
+// Advance processes the extent of another ingress's copy. It may show that the records in this
+// book are complete up to a later revision.
 func (b *Book) Advance(e Extent) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.records.Advance(e.Newest, e.At)
+	b.records.Advance(e.NewestRevision, e.CompleteRevision)
 }
 
-// Changed returns a channel that is closed at the next change of any record.
+// Changed returns a channel that is closed when any record changes next.
 func (b *Book) Changed() <-chan struct{} {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.changed
 }
 
-// Duty is what an ingress that watches the store has it answer.
-type Duty string
+// StoreCall is a kind of call by which an ingress that watches the store checks its availability.
+type StoreCall string
 
-// The duties.
+// The kinds.
 const (
-	// Watching is the listing and the watch.
-	Watching Duty = "watch"
-	// Renewing is the renewal of the own registration's lease.
-	Renewing Duty = "renewals"
+	// WatchCall is the listing or the watch of the records.
+	WatchCall StoreCall = "watch"
+	// RenewalCall is the renewal of the lease of this ingress's registration.
+	RenewalCall StoreCall = "renewals"
 )
 
-// Reach notes that the store answered the watch.
-func (b *Book) Reach() {
-	b.ConfirmOwn(time.Now())
+// ObserveWatchAnswer records that the store answered the listing or the watch.
+func (b *Book) ObserveWatchAnswer() {
+	b.ObserveOwnAnswer(time.Now())
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.regain(Watching)
+	b.markStoreAvailable(WatchCall)
 }
 
-// regain notes that what was lost answers; called under the lock.
-func (b *Book) regain(what Duty) {
-	if !b.lost[what] {
+// markStoreAvailable records that the store answers a kind of call. The caller must hold the
+// lock.
+func (b *Book) markStoreAvailable(call StoreCall) {
+	if !b.unanswered[call] {
 		return
 	}
-	delete(b.lost, what)
-	b.options.Log.Info("store-regained", zap.String("what", string(what)))
-	if len(b.lost) == 0 {
+	delete(b.unanswered, call)
+	b.options.Log.Info("store-regained", zap.String("what", string(call)))
+	if len(b.unanswered) == 0 {
 		b.servers.MarkStoreAvailable(time.Now())
 	}
 }
 
-// Lose notes that the store has not answered the watch since a time.
-func (b *Book) Lose(since time.Time, err error) {
+// ObserveWatchFailure records that the store has not answered the listing or the watch since the
+// given time.
+func (b *Book) ObserveWatchFailure(since time.Time, err error) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.lose(Watching, since, err)
+	b.markStoreUnavailable(WatchCall, since, err)
 }
 
-// lose notes that the store does not answer; called under the lock.
-func (b *Book) lose(what Duty, since time.Time, err error) {
+// markStoreUnavailable records that the store has not answered a kind of call since the given
+// time. The caller must hold the lock.
+func (b *Book) markStoreUnavailable(call StoreCall, since time.Time, err error) {
 	if !b.direct {
-		return // a watch that was given up ended late
+		return // a watch that was canceled failed after direct was cleared
 	}
 	b.servers.MarkStoreUnavailable(since)
-	if b.lost[what] {
+	if b.unanswered[call] {
 		return
 	}
-	b.lost[what] = true
-	b.options.Log.Warn("store-lost", zap.String("what", string(what)), logs.Err(err), zap.Duration("age", b.Age()))
+	b.unanswered[call] = true
+	b.options.Log.Warn("store-lost", zap.String("what", string(call)), logs.Err(err), zap.Duration("age", b.Age()))
 }
 
-// maxSilence is how long the store may confirm nothing to an ingress that watches it:
-// the pause between two renewals of its lease, and the time of one at a store that is slow.
+// maxSilence is how long an ingress that watches the store may receive no answer from it. It covers
+// the pause between two renewals of the lease and the duration of one renewal at a slow store.
 const maxSilence = 1200 * time.Millisecond
 
-// errSilent says that the store confirmed nothing for maxSilence.
-var errSilent = errors.New("no renewal was answered")
+// errSilent is logged if the store did not answer this ingress for maxSilence.
+var errSilent = errors.New("the store answered no lease renewal in time")
 
-// CheckSilence notes a store that answers no renewals.
+// CheckRenewals marks the store as unavailable if it has not answered this ingress for maxSilence,
+// and as available otherwise.
 //
-// Guards against servers that are taken for gone when the store is back: an open watch
-// tells nothing of an outage that is shorter than its wait, and then brings the
-// entries that lapsed in it as if they had been removed.
-func (b *Book) CheckSilence(now time.Time) {
+// Without this check, servers would be dropped too early after an outage of the store that is
+// shorter than the wait of a watch: the open watch does not fail, and afterwards it reports the
+// records that expired during the outage like records that were removed.
+func (b *Book) CheckRenewals(now time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	own := b.started.Add(time.Duration(b.own.Load()))
-	if now.Sub(own) < maxSilence {
-		b.regain(Renewing)
+	lastOwn := b.started.Add(time.Duration(b.lastOwnAnswer.Load()))
+	if now.Sub(lastOwn) < maxSilence {
+		b.markStoreAvailable(RenewalCall)
 		return
 	}
 	if now.Sub(b.directSince) >= maxSilence {
-		b.lose(Renewing, own, errSilent)
+		b.markStoreUnavailable(RenewalCall, lastOwn, errSilent)
 	}
 }
 
-// Expire drops the servers that lapsed and did not come back.
-func (b *Book) Expire(now time.Time) {
+// DropExpired drops the expired servers that did not register again in time, and the ingresses
+// whose registration ended at least peerRetention ago.
+func (b *Book) DropExpired(now time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	dropped := b.servers.DropExpired(now)
 	if len(dropped) > 0 {
 		b.options.Log.Info("servers-not-back", zap.Strings("servers", dropped))
 	}
-	for name, since := range b.peersGone {
-		if now.Sub(since) < keepIngress {
+	for name, since := range b.removedPeers {
+		if now.Sub(since) < peerRetention {
 			continue
 		}
-		delete(b.peersGone, name)
+		delete(b.removedPeers, name)
 		delete(b.peers, name)
 		dropped = append(dropped, name)
 		b.options.Log.Info("ingress-dropped", zap.String("ingress", name))
@@ -371,21 +386,21 @@
 	}
 }
 
-// keepIngress is how long an ingress whose registration ended still counts as one.
+// peerRetention is how long an ingress stays in the view after its registration ended.
 //
-// Guards against a service whose work is batched at several places: leases run
-// out while the store is away, and ingresses that hear of that at different
-// times would choose differently. One that is really gone cannot be reached,
-// which its peers find by themselves.
-const keepIngress = 10 * time.Second
-
-// take applies changed records; called under the lock.
-func (b *Book) take(changed []site.Record, source string) {
+// Leases expire while the store is unavailable. Ingresses that observe this at different times would
+// choose different ingresses for the work of a service, so that it is batched in several places.
+// Peers detect by themselves that an ingress that has really stopped cannot be reached.
+const peerRetention = 10 * time.Second
+
+// applyChanged updates the state derived from the records that changed and publishes a new view.
+// The caller must hold the lock.
+func (b *Book) applyChanged(changed []site.Record, source string) {
 	if len(changed) == 0 {
 		return
 	}
 	for _, r := range changed {
-		b.takeRecord(r, source)
+		b.applyRecord(r, source)
 	}
 	b.publish()
 	close(b.changed)
--- a/ingress/services/state/watch.go
+++ b/ingress/services/state/watch.go
@@ -12,68 +12,75 @@
 	"verbenaroad.example/share/modules/pauses"
 )
 
-// Store reads the platform's records.
+// Store reads the records of the platform's store.
 type Store interface {
-	// List returns the records below a prefix and the revision after which a watch misses nothing.
+	// List returns the records below a prefix and a revision. A watch that starts after that
+	// revision misses no change.
 	List(ctx context.Context, prefix string) ([]site.Record, uint64, error)
-	// Peek returns the first records below a prefix, and whether these are all.
-	Peek(ctx context.Context, prefix string) (records []site.Record, at uint64, isWhole bool, err error)
-	// Watch waits for changes below a prefix.
+	// Peek returns the first page of the records below a prefix, and whether it contains all of
+	// them.
+	Peek(ctx context.Context, prefix string) (records []site.Record, revision uint64, isComplete bool, err error)
+	// Watch waits for changes below a prefix after a revision, for at most wait. It returns the
+	// changes and the revision up to which they are complete.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]site.Record, uint64, error)
 	// Close drops idle connections.
 	Close()
 }
 
 const (
-	// firstRetry is the pause after a call that failed; it doubles up to maxRetry. The store
-	// answers in milliseconds when it is well, and a few calls a second do it no harm. What
-	// lapsed meanwhile is kept for a while from the first answer on, so it should come soon.
-	firstRetry = 100 * time.Millisecond
-	maxRetry   = 400 * time.Millisecond
-	// probeWait is the wait of the first watch after a loss. A watch is silent until
-	// something changes, and tells as late that the store is back.
+	// minRetryPause is the pause after a failed call. It doubles with each further failure, up to
+	// maxRetryPause. A healthy store answers in milliseconds and can take a few calls per second.
+	// The pauses are short because expired servers are kept for only a limited time, which starts
+	// with the store's first answer after an outage.
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
+	// probeWait is the wait of the first watch and of a watch after a failure. The store answers a
+	// watch only when something changes or the wait is over, so a longer wait would delay the
+	// detection of its recovery.
 	probeWait = 20 * time.Millisecond
-	// gatherTime is the pause after a watch that brought changes. Each answer is a
-	// call to the platform; the servers of a deployment that starts come one by one,
-	// and so 100 of them need a tenth of the calls. Changes are due within seconds.
-	gatherTime = 250 * time.Millisecond
-	// expireEvery is how often lapsed servers are looked at.
-	expireEvery = 200 * time.Millisecond
+	// coalesceTime is the pause after a watch that returned changes. Each answer costs a call to
+	// the platform. The servers of a deployment that starts register one by one, and the pause
+	// reduces the calls for 100 of them to a tenth. Changes need to take effect only within
+	// seconds.
+	coalesceTime = 250 * time.Millisecond
+	// sweepEvery is how often the Sweeper checks for expired servers.
+	sweepEvery = 200 * time.Millisecond
 )
 
-// everything is the prefix of all keys. One watch of all of them costs a call where
-// one of each kind of record would cost three.
-const everything = ""
+// allKeys is the prefix of all keys. One watch of all keys costs one call; a separate watch for each
+// kind of record would cost at least three.
+const allKeys = ""
 
-// Watcher follows the records of the store.
+// Watcher applies the records of the store to a Book: it lists them and then watches for changes.
 type Watcher struct {
 	Book  *Book
 	Store Store
-	// Wait bounds one watch. An open watch can go silent for good while new ones
-	// work; a change is then seen after Wait at the latest.
+	// Wait bounds one watch. The connection of an open watch may stop delivering for good while
+	// new ones work. A change is then observed after Wait at the latest.
 	Wait time.Duration
-	// HistoryGone is the store's error for changes that are not kept any more.
+	// HistoryGone is the error that the store returns if it no longer holds the changes after the
+	// requested revision.
 	HistoryGone error
 }
 
-// Start follows until the context ends.
+// Start watches until the context ends.
 func (w *Watcher) Start(ctx context.Context) {
 	go w.loop(ctx)
 }
 
 func (w *Watcher) loop(ctx context.Context) {
-	// What other ingresses told is as good as a listing.
+	// A complete copy received from other ingresses replaces the listing.
 	listed := w.Book.IsListed()
 	answered := false
-	pause := firstRetry
+	pause := minRetryPause
 	wait := probeWait
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := w.step(ctx, &listed, wait)
+		err := w.listOrWatch(ctx, &listed, wait)
 		if err == nil {
-			w.Book.Reach()
+			w.Book.ObserveWatchAnswer()
 			answered = true
-			pause = firstRetry
+			pause = minRetryPause
 			wait = w.Wait
 			continue
 		}
@@ -81,74 +88,75 @@
 			return
 		}
 		if errors.Is(err, w.HistoryGone) {
-			listed = false // what was missed is only in a new listing
+			listed = false // only a new listing contains the missed changes
 			continue
 		}
-		since := silentSince(began, err)
-		if contact := w.Book.contactAt(); !answered && contact.Before(since) {
-			since = contact // nor did the store answer the ingress that was followed before
+		since := unavailableSince(began, err)
+		if last := w.Book.lastAnswerAt(); !answered && last.Before(since) {
+			since = last // the store did not answer the ingress followed before, either
 		}
-		w.Book.Lose(since, err)
+		w.Book.ObserveWatchFailure(since, err)
 		w.Store.Close()
 		wait = probeWait
 		if !pauses.Wait(ctx, pause) {
 			return
 		}
-		pause = min(2*pause, maxRetry)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
-// silentSince returns since when the store may have been away: a call that timed out
-// says nothing of the time since it began, any other failure is the store's
-// answer of now.
-func silentSince(began time.Time, err error) time.Time {
+// unavailableSince returns since when the store may have been unavailable, given a call that failed.
+// A call that timed out shows nothing about the time since it began, so the store may have been
+// unavailable since then. Any other error shows the state of the store now.
+func unavailableSince(began time.Time, err error) time.Time {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return began
 	}
 	return time.Now()
 }
 
-func (w *Watcher) step(ctx context.Context, listed *bool, wait time.Duration) error {
+// listOrWatch lists all records if listed is not set, and otherwise runs one watch.
+func (w *Watcher) listOrWatch(ctx context.Context, listed *bool, wait time.Duration) error {
 	if !*listed {
-		records, at, err := w.Store.List(ctx, everything)
+		records, revision, err := w.Store.List(ctx, allKeys)
 		if err != nil {
 			return err
 		}
-		w.Book.Replace(records, at)
+		w.Book.ApplyListing(records, revision)
 		*listed = true
 		return nil
 	}
-	changes, at, err := w.Store.Watch(ctx, everything, w.Book.At(), wait)
+	changes, revision, err := w.Store.Watch(ctx, allKeys, w.Book.CompleteRevision(), wait)
 	if err != nil {
 		return err
 	}
-	w.Book.Apply(changes, at)
+	w.Book.Apply(changes, revision)
 	if len(changes) > 0 {
-		pauses.Wait(ctx, gatherTime)
+		pauses.Wait(ctx, coalesceTime)
 	}
 	return nil
 }
 
-// Reader watches the store while this ingress is to do so.
+// Reader starts and stops the watch of the store, and discovers the other ingresses at the start.
 type Reader struct {
 	Book  *Book
 	Store Store
-	// Wait and HistoryGone are those of the watcher.
+	// Wait and HistoryGone are passed to the Watcher.
 	Wait        time.Duration
 	HistoryGone error
 	Log         *zap.Logger
 
-	// cancel ends the watch; nil while there is none.
+	// cancel ends the watch. It is nil while there is none.
 	cancel context.CancelFunc
 }
 
-// Set begins or ends the watch; one goroutine calls it.
-func (r *Reader) Set(ctx context.Context, reading bool) {
-	if reading == (r.cancel != nil) {
+// SetWatching starts or stops the watch. It is not safe for concurrent use.
+func (r *Reader) SetWatching(ctx context.Context, watching bool) {
+	if watching == (r.cancel != nil) {
 		return
 	}
-	r.Book.SetDirect(reading)
-	if !reading {
+	r.Book.SetDirect(watching)
+	if !watching {
 		r.cancel()
 		r.cancel = nil
 		return
@@ -157,58 +165,64 @@
 	(&Watcher{Book: r.Book, Store: r.Store, Wait: r.Wait, HistoryGone: r.HistoryGone}).Start(ctx)
 }
 
-// scoutPause is the time between the two looks of a first start, in which those that start
-// together register.
-const scoutPause = 300 * time.Millisecond
-
-// Scout finds out who else there is. It takes one call, which brings everything where the
-// deployment is small; a large one is left to those that watch. Where there is nobody yet
-// it looks once more.
-func (r *Reader) Scout(ctx context.Context, isMet func() bool) {
-	r.retry(ctx, r.peek)
-	if isMet() || !pauses.Wait(ctx, scoutPause) {
+// discoveryPause is the time between the two listings of DiscoverPeers. Ingresses that start at the
+// same time register during it.
+const discoveryPause = 300 * time.Millisecond
+
+// DiscoverPeers reads from the store which other ingresses are registered. One call returns all
+// records of a small deployment, which are then applied as a listing. In a large deployment only
+// the ingresses are listed, because the ingresses that watch the store pass on the other records.
+// Unless hasPeers returns true after that, DiscoverPeers lists the ingresses once more after
+// discoveryPause.
+func (r *Reader) DiscoverPeers(ctx context.Context, hasPeers func() bool) {
+	r.retry(ctx, r.listFirstPage)
+	if hasPeers() || !pauses.Wait(ctx, discoveryPause) {
 		return
 	}
-	r.retry(ctx, r.learnIngresses)
+	r.retry(ctx, r.listIngresses)
 }
 
-// retry does a step until it succeeds, the records came from elsewhere, or the context ends.
+// retry repeats a step until it succeeds, the records have arrived from a peer, or the context
+// ends.
 func (r *Reader) retry(ctx context.Context, step func(context.Context) error) {
-	pause := firstRetry
+	pause := minRetryPause
 	for step(ctx) != nil && !r.Book.IsListed() {
 		if !pauses.Wait(ctx, pause) {
 			return
 		}
-		pause = min(2*pause, maxRetry)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
-func (r *Reader) peek(ctx context.Context) error {
-	records, at, isWhole, err := r.Store.Peek(ctx, everything)
+// listFirstPage reads the first page of all records and applies it if it is complete. Otherwise it
+// lists only the ingresses.
+func (r *Reader) listFirstPage(ctx context.Context) error {
+	records, revision, isComplete, err := r.Store.Peek(ctx, allKeys)
 	if err != nil {
 		r.Log.Warn("first-look-failed", logs.Err(err))
 		return err
 	}
-	if !isWhole {
-		return r.learnIngresses(ctx)
+	if !isComplete {
+		return r.listIngresses(ctx)
 	}
-	r.Book.Replace(records, at)
-	r.Book.ConfirmOwn(time.Now())
+	r.Book.ApplyListing(records, revision)
+	r.Book.ObserveOwnAnswer(time.Now())
 	return nil
 }
 
-func (r *Reader) learnIngresses(ctx context.Context) error {
+func (r *Reader) listIngresses(ctx context.Context) error {
 	records, _, err := r.Store.List(ctx, r.Book.IngressPrefix())
 	if err != nil {
 		r.Log.Warn("first-look-failed", logs.Err(err))
 		return err
 	}
-	r.Book.Learn(records)
-	r.Book.ConfirmOwn(time.Now())
+	r.Book.Merge(records)
+	r.Book.ObserveOwnAnswer(time.Now())
 	return nil
 }
 
-// Sweeper drops lapsed servers in time.
+// Sweeper periodically checks the availability of the store and drops expired servers and
+// ingresses.
 type Sweeper struct {
 	Book *Book
 }
@@ -219,8 +233,8 @@
 }
 
 func (s *Sweeper) loop(ctx context.Context) {
-	for pauses.Wait(ctx, expireEvery) {
-		s.Book.CheckSilence(time.Now())
-		s.Book.Expire(time.Now())
+	for pauses.Wait(ctx, sweepEvery) {
+		s.Book.CheckRenewals(time.Now())
+		s.Book.DropExpired(time.Now())
 	}
 }
