--- a/ingress/services/state/state.go
+++ b/ingress/services/state/state.go
@@ -139,19 +139,19 @@
 }
 
 // ObserveSourceAnswer records that the store answered the followed ingress at the given time.
-func (b *Book) ObserveSourceAnswer(at time.Time) { b.storeLatest(&b.lastAnswer, at) }
+func (b *Book) ObserveSourceAnswer(at time.Time) { b.setIfLater(&b.lastAnswer, at) }
 
 // ObserveOwnAnswer records that the store answered this ingress at the given time. While this
 // ingress does not watch the store, such an answer does not show that its records are current.
 func (b *Book) ObserveOwnAnswer(at time.Time) {
-	b.storeLatest(&b.lastOwnAnswer, at)
+	b.setIfLater(&b.lastOwnAnswer, at)
 	if b.isWatching() {
-		b.storeLatest(&b.lastAnswer, at)
+		b.setIfLater(&b.lastAnswer, at)
 	}
 }
 
-// storeLatest sets value to the time at, unless value is already later.
-func (b *Book) storeLatest(value *atomic.Int64, at time.Time) {
+// setIfLater sets value to the time at, unless value is already later.
+func (b *Book) setIfLater(value *atomic.Int64, at time.Time) {
 	nanos := int64(at.Sub(b.started))
 	for {
 		current := value.Load()
@@ -199,7 +199,7 @@
 	return b.direct && len(b.unanswered) == 0
 }
 
-// IsListed reports whether the book has held a complete copy of the records at any revision.
+// IsListed reports whether the book holds a complete copy of the records as of some revision.
 func (b *Book) IsListed() bool { return b.CompleteRevision() > 0 }
 
 // IsStoreUnavailable reports whether this ingress watches the store and the store does not answer
@@ -344,8 +344,9 @@
 // errSilent is logged if the store did not answer this ingress for maxSilence.
 var errSilent = errors.New("the store answered no lease renewal in time")
 
-// CheckRenewals marks the store as unavailable if it has not answered this ingress for maxSilence,
-// and as available otherwise.
+// CheckRenewals records that the store does not answer renewals if this ingress has watched the store
+// for maxSilence and received no answer in this time. It records that the store answers them again
+// once there is an answer.
 //
 // Without this check, servers would be dropped too early after an outage of the store that is
 // shorter than the wait of a watch: the open watch does not fail, and afterwards it reports the
