--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -121,8 +121,8 @@
 	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: i.log, OnChange: i.takeView})
 	i.mesh = mesh.NewMesh(mesh.Options{
 		Self: i.self, Regions: s.Place.Regions, IsLeaving: i.stopper.IsLeaving, Link: i.newLink(), Log: i.log,
-		OnOutlook: func(told *wire.Outlook) { i.maker.TakeOutlook(told) },
-		OnReading: func(name string, told *wire.Reading) { i.feeder.TakeReading(name, told) },
+		OnBacklog:     func(told *wire.Outlook) { i.maker.TakeOutlook(told) },
+		OnStoreStatus: func(name string, told *wire.Reading) { i.feeder.ObserveStoreStatus(name, told) },
 	})
 	i.puller = &mesh.Puller{Mesh: i.mesh, Book: i.book, Seeds: s.Peers.Seeds, Log: i.log}
 	i.feeder = mesh.NewFeeder(mesh.FeederOptions{
@@ -164,7 +164,7 @@
 		SilentAfter: time.Duration(silentBeats * float64(beat)),
 		Beat: func() *wire.Beat {
 			return &wire.Beat{
-				Leaving: i.stopper.IsLeaving(), Outlooks: i.owner.Outlooks(), Reading: mesh.EncodeReading(i.book),
+				Leaving: i.stopper.IsLeaving(), Outlooks: i.owner.Outlooks(), Reading: mesh.EncodeStoreStatus(i.book),
 			}
 		},
 	}
@@ -175,7 +175,7 @@
 	i.placer.TakeView(v)
 	i.maker.TakeView(v)
 	i.owner.TakeView(v)
-	i.mesh.TakeView(v)
+	i.mesh.SetView(v)
 	i.screen.TakeView(v)
 	i.meters.SetVersion(v.Version())
 }
@@ -200,7 +200,7 @@
 	var err error
 	i.links, err = peers.NewServer(peers.Options{
 		Address: s.Peers.Listen, Link: i.newLink(),
-		Handler: &mesh.Handler{Maker: i.maker, Placer: i.desk, Screen: i.screen, Feeder: i.feeder, Log: i.log}, Log: i.log,
+		Handler: &mesh.Handler{Producer: i.maker, Placer: i.desk, Screen: i.screen, Feeder: i.feeder, Log: i.log}, Log: i.log,
 	})
 	if err != nil {
 		return err
--- a/ingress/services/mesh/deltas.go
+++ b/ingress/services/mesh/deltas.go
@@ -15,42 +15,43 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// packFromBytes is the size from which on records are deflated: a configuration, or a first picture
-// with every backend server, goes to each ingress, over links of 10 Mbit/s.
-const packFromBytes = 8 << 10
+// compressMinBytes is the encoded size at which records start to be compressed. Configurations and
+// first snapshots with every backend server are larger; they are sent to each ingress, also over
+// links of 10 Mbit/s.
+const compressMinBytes = 8 << 10
 
-// maxUnpacked bounds what is inflated.
-const maxUnpacked = 64 << 20
+// maxDecompressedBytes limits the size of decompressed records.
+const maxDecompressedBytes = 64 << 20
 
-// EncodeDelta writes what a copy of the store's records lacks.
+// EncodeDelta encodes a delta, compressed if it is large.
 func EncodeDelta(d mirror.Delta) *wire.Records {
-	told := &wire.Records{}
+	records := &wire.Records{}
 	for _, r := range d.Records {
-		told.Records = append(told.Records, &wire.Record{
+		records.Records = append(records.Records, &wire.Record{
 			Key: r.Key, Value: r.Value, Revision: r.Revision, Deleted: r.Deleted,
 		})
 	}
-	if proto.Size(told) >= packFromBytes {
-		if packed, err := pack(told); err == nil {
-			told = &wire.Records{Packed: packed}
+	if proto.Size(records) >= compressMinBytes {
+		if compressed, err := compress(records); err == nil {
+			records = &wire.Records{Packed: compressed}
 		}
 	}
-	told.Whole = d.Full
-	told.At = d.CompleteRevision
-	return told
+	records.Whole = d.Full
+	records.At = d.CompleteRevision
+	return records
 }
 
-// DecodeDelta reads it.
-func DecodeDelta(told *wire.Records) (mirror.Delta, error) {
-	d := mirror.Delta{Full: told.GetWhole(), CompleteRevision: told.GetAt()}
-	if len(told.GetPacked()) > 0 {
-		unpacked, err := unpack(told.GetPacked())
+// DecodeDelta decodes what EncodeDelta returns.
+func DecodeDelta(records *wire.Records) (mirror.Delta, error) {
+	d := mirror.Delta{Full: records.GetWhole(), CompleteRevision: records.GetAt()}
+	if len(records.GetPacked()) > 0 {
+		decompressed, err := decompress(records.GetPacked())
 		if err != nil {
 			return d, err
 		}
-		told = unpacked
+		records = decompressed
 	}
-	for _, r := range told.GetRecords() {
+	for _, r := range records.GetRecords() {
 		d.Records = append(d.Records, site.Record{
 			Key: r.GetKey(), Value: r.GetValue(), Revision: r.GetRevision(), Deleted: r.GetDeleted(),
 		})
@@ -58,44 +59,45 @@
 	return d, nil
 }
 
-func pack(told *wire.Records) ([]byte, error) {
-	plain, err := proto.Marshal(told)
+func compress(records *wire.Records) ([]byte, error) {
+	encoded, err := proto.Marshal(records)
 	if err != nil {
 		return nil, ErrMesh.Wrap(err)
 	}
-	packed := bytes.Buffer{}
-	w, err := flate.NewWriter(&packed, flate.BestSpeed)
+	compressed := bytes.Buffer{}
+	w, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, ErrMesh.Wrap(err)
 	}
-	if _, err := w.Write(plain); err != nil {
+	if _, err := w.Write(encoded); err != nil {
 		return nil, ErrMesh.Wrap(err)
 	}
 	if err := w.Close(); err != nil {
 		return nil, ErrMesh.Wrap(err)
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-func unpack(packed []byte) (*wire.Records, error) {
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked))
+func decompress(compressed []byte) (*wire.Records, error) {
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDecompressedBytes))
 	if err != nil {
 		return nil, ErrMesh.Wrap(err)
 	}
-	told := &wire.Records{}
-	return told, ErrMesh.Wrap(proto.Unmarshal(plain, told))
+	records := &wire.Records{}
+	return records, ErrMesh.Wrap(proto.Unmarshal(encoded, records))
 }
 
-// EncodeReading tells how well this ingress knows the store.
-func EncodeReading(b *state.Book) *wire.Reading {
+// EncodeStoreStatus encodes the status of this ingress's connection to the store and the extent of
+// its copy of the records, for its heartbeats.
+func EncodeStoreStatus(b *state.Book) *wire.Reading {
 	e := b.Extent()
 	return &wire.Reading{Direct: b.IsDirect(), AgeNanos: int64(b.Age()), Newest: e.Newest, At: e.At}
 }
 
-func decodeWord(told *wire.Reading) feed.StoreStatus {
-	return feed.StoreStatus{Direct: told.GetDirect(), Age: time.Duration(told.GetAgeNanos())}
+func decodeStatus(reading *wire.Reading) feed.StoreStatus {
+	return feed.StoreStatus{Direct: reading.GetDirect(), Age: time.Duration(reading.GetAgeNanos())}
 }
 
-func decodeExtent(told *wire.Reading) state.Extent {
-	return state.Extent{Newest: told.GetNewest(), At: told.GetAt()}
+func decodeExtent(reading *wire.Reading) state.Extent {
+	return state.Extent{Newest: reading.GetNewest(), At: reading.GetAt()}
 }
--- a/ingress/services/mesh/deltas_test.go
+++ b/ingress/services/mesh/deltas_test.go
@@ -13,7 +13,7 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// newDelta returns a whole delta of so many backend servers.
+// newDelta returns a full delta with the given number of backend servers.
 func newDelta(servers int) mirror.Delta {
 	d := mirror.Delta{Full: true, CompleteRevision: 1000}
 	for i := range servers {
@@ -26,37 +26,38 @@
 	return d
 }
 
-func TestDeltasArriveAsTheyWere(t *testing.T) {
+// Guards against a delta that the receiver decodes differently, in the plain and the compressed form.
+func TestDeltaRoundTrip(t *testing.T) {
 	for _, servers := range []int{0, 3, 3000} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
 			is := is.New(t)
 			sent := newDelta(servers)
 			encoded, err := proto.Marshal(mesh.EncodeDelta(sent))
 			is.NoErr(err)
-			told := &wire.Records{}
-			is.NoErr(proto.Unmarshal(encoded, told))
-			got, err := mesh.DecodeDelta(told)
+			records := &wire.Records{}
+			is.NoErr(proto.Unmarshal(encoded, records))
+			got, err := mesh.DecodeDelta(records)
 			is.NoErr(err)
 			is.Equal(got, sent)
 		})
 	}
 }
 
-// A fleet of hundreds starts at once before 3,000 backend servers, and one ingress of each
-// failure domain sends the first picture to 50 others over its link of 200 Mbit/s. Written
-// plainly that takes over a second, in which nobody serves.
-func TestFirstPictureIsSmall(t *testing.T) {
+// Guards against a slow start of hundreds of ingresses with 3,000 backend servers: one ingress of
+// each failure domain sends the first snapshot to 50 others over its link of 200 Mbit/s. Without
+// compression this takes over a second, during which none of them serves requests.
+func TestFirstSnapshotIsSmall(t *testing.T) {
 	is := is.New(t)
 	const followers, bytesPerSecond = 50, 200_000_000 / 8
 	size := proto.Size(mesh.EncodeDelta(newDelta(3000)))
 	is.True(followers*size < bytesPerSecond/4)
 }
 
-// Bytes that cannot be inflated must not pass for an empty store.
-func TestSpoiledDeltaIsRefused(t *testing.T) {
+// Guards against a truncated message that is taken for a full delta of an empty store.
+func TestTruncatedDeltaIsRejected(t *testing.T) {
 	is := is.New(t)
-	told := mesh.EncodeDelta(newDelta(3000))
-	told.Packed = told.GetPacked()[:len(told.GetPacked())/2]
-	_, err := mesh.DecodeDelta(told)
+	records := mesh.EncodeDelta(newDelta(3000))
+	records.Packed = records.GetPacked()[:len(records.GetPacked())/2]
+	_, err := mesh.DecodeDelta(records)
 	is.True(err != nil)
 }
--- a/ingress/services/mesh/feeder.go
+++ b/ingress/services/mesh/feeder.go
@@ -16,8 +16,8 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// feedEvery is how often the choice of whom to follow is looked at again.
-const feedEvery = 100 * time.Millisecond
+// planInterval is the interval at which the choice of the ingress to follow is reviewed.
+const planInterval = 100 * time.Millisecond
 
 // FeederOptions are the settings of a Feeder.
 type FeederOptions struct {
@@ -28,80 +28,82 @@
 	// Self is this ingress, and Regions maps each failure domain to its region.
 	Self    site.Ingress
 	Regions map[string]string
-	// IsLeaving tells whether this process is stopping.
+	// IsLeaving reports whether this process is stopping.
 	IsLeaving func() bool
 	Log       *zap.Logger
 }
 
-// Feeder hears of the store's changes from the ingress that watches it for this failure
-// domain, tells them to those that follow this one, and has the store read here where that
-// is needed. The choice is made by feed.Chooser.
+// Feeder receives the store's changes from the ingress that reads the store for this failure
+// domain, pushes changes to the ingresses that follow this one, and starts the Reader if this
+// ingress must read the store directly. feed.Chooser makes these decisions.
 type Feeder struct {
 	options FeederOptions
-	// wake has the loop look again before its time.
+	// wake makes the loop run its next step at once.
 	wake chan struct{}
 
 	lock    sync.Mutex
 	chooser *feed.Chooser
-	// current is the feed that is taken; nil: none.
-	current   *subscription
+	// source is the subscription to the followed ingress; nil: none.
+	source    *subscription
 	followers int
-	// reading is what was last told to the Reader.
+	// reading is set if the Reader was last set to read the store.
 	reading bool
-	// members is one more than the mesh's count of changes at which the chooser was last told
-	// of them, 0 before; scouted is set once it is known who else there is.
-	members uint64
-	scouted bool
-	// fedSince is when the message that arrives from the followed ingress began; zero: there is none.
-	fedSince time.Time
-
-	collectLock sync.Mutex
-	// collected is what was told last.
-	collected collected
+	// membersSeen is one more than the change count of the mesh at which the chooser last
+	// received the members; 0: never. discovered is set once the other ingresses are known.
+	membersSeen uint64
+	discovered  bool
+	// sourceMessageAt is when the first part of the message that is arriving from the followed
+	// ingress was received; zero: none is arriving.
+	sourceMessageAt time.Time
+
+	encodeLock sync.Mutex
+	// lastEncoded is the delta that was encoded last.
+	lastEncoded encodedDelta
 }
 
-// subscription is a feed from one ingress.
+// subscription is a stream of changes from one ingress.
 type subscription struct {
 	name   string
 	cancel context.CancelFunc
 }
 
-// NewFeeder returns a feeder that follows nobody.
+// NewFeeder returns a feeder that follows no ingress.
 func NewFeeder(options FeederOptions) *Feeder {
 	f := &Feeder{options: options, wake: make(chan struct{}, 1)}
 	f.chooser = feed.NewChooser(f.describe(options.Self), time.Now())
 	return f
 }
 
+// describe returns an ingress as the chooser sees it.
 func (f *Feeder) describe(i site.Ingress) feed.Member {
 	return feed.Member{Name: i.Name, Domain: i.Domain, Region: f.options.Regions[i.Domain], Weight: weigh(i).Weight}
 }
 
-// Start follows until the context ends.
+// Start follows other ingresses, as the chooser decides, until the context ends.
 func (f *Feeder) Start(ctx context.Context) {
-	go f.runScout(ctx)
+	go f.runDiscovery(ctx)
 	go f.loop(ctx)
 }
 
-// runScout finds out who else there is.
-func (f *Feeder) runScout(ctx context.Context) {
+// runDiscovery finds out which other ingresses are registered.
+func (f *Feeder) runDiscovery(ctx context.Context) {
 	f.options.Reader.Scout(ctx, func() bool { return f.options.Mesh.countKnown() > 0 })
 	f.lock.Lock()
-	f.scouted = true
+	f.discovered = true
 	f.lock.Unlock()
-	f.hurry()
+	f.wakeLoop()
 }
 
-// hurry has the loop look again at once.
-func (f *Feeder) hurry() {
+// wakeLoop makes the loop run its next step at once.
+func (f *Feeder) wakeLoop() {
 	select {
 	case f.wake <- struct{}{}:
-	default: // it is about to look
+	default: // a wake-up is pending
 	}
 }
 
 func (f *Feeder) loop(ctx context.Context) {
-	ticker := time.NewTicker(feedEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		f.step(ctx, time.Now())
@@ -114,10 +116,10 @@
 	}
 }
 
-// step does what the chooser wants.
+// step updates the chooser and carries out its plan.
 func (f *Feeder) step(ctx context.Context, now time.Time) {
 	f.lock.Lock()
-	f.tell(now)
+	f.updateChooser(now)
 	plan := f.chooser.Plan(now)
 	f.subscribe(ctx, plan.Follow)
 	if plan.Read != f.reading {
@@ -127,21 +129,21 @@
 	}
 	f.lock.Unlock()
 	f.options.Reader.Set(ctx, plan.Read)
-	if plan.Check != "" && !f.options.Mesh.isOpen(plan.Check) {
-		go f.runReach(ctx, plan.Check)
+	if plan.Check != "" && !f.options.Mesh.hasSession(plan.Check) {
+		go f.runConnect(ctx, plan.Check)
 	}
 }
 
-// tell tells the chooser what has changed; called under the lock.
-func (f *Feeder) tell(now time.Time) {
-	if changes := f.options.Mesh.countChanges(); f.scouted && changes+1 != f.members {
+// updateChooser passes the current state to the chooser. The caller holds the lock.
+func (f *Feeder) updateChooser(now time.Time) {
+	if changes := f.options.Mesh.countChanges(); f.discovered && changes+1 != f.membersSeen {
 		reachable, at := f.options.Mesh.listReachable()
 		members := make([]feed.Member, 0, len(reachable))
 		for _, i := range reachable {
 			members = append(members, f.describe(i))
 		}
 		f.chooser.SetMembers(now, members)
-		f.members = at + 1
+		f.membersSeen = at + 1
 	}
 	f.chooser.ObserveOwnAge(now, f.options.Book.OwnSilence())
 	f.chooser.SetFollowers(f.followers)
@@ -153,136 +155,142 @@
 	}
 }
 
-// subscribe follows an ingress in place of the one before; called under the lock.
+// subscribe follows an ingress in place of the previous one; an empty name: none. The caller holds
+// the lock.
 func (f *Feeder) subscribe(ctx context.Context, name string) {
-	if f.current != nil && f.current.name == name || f.current == nil && name == "" {
+	if f.source != nil && f.source.name == name || f.source == nil && name == "" {
 		return
 	}
-	if f.current != nil {
-		f.current.cancel()
-		f.current = nil
+	if f.source != nil {
+		f.source.cancel()
+		f.source = nil
 	}
 	if name == "" {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	f.current = &subscription{name: name, cancel: cancel}
-	go f.runFeed(ctx, f.current)
+	f.source = &subscription{name: name, cancel: cancel}
+	go f.runFeed(ctx, f.source)
 }
 
-// runFeed takes what the followed ingress sends until it or the context ends.
+// runFeed applies what the followed ingress sends until its stream or the context ends.
 func (f *Feeder) runFeed(ctx context.Context, s *subscription) {
-	defer f.hurry()
+	defer f.wakeLoop()
 	defer s.cancel()
-	err := f.take(ctx, s)
+	err := f.receive(ctx, s)
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if f.current != s {
-		return // it was given up here
+	if f.source != s {
+		return // this ingress ended the subscription itself
 	}
-	f.current = nil
+	f.source = nil
 	f.chooser.ObserveStreamEnded(time.Now(), s.name)
 	f.options.Log.Info("source-lost", zap.String("ingress", s.name), logs.Err(err))
 }
 
-func (f *Feeder) take(ctx context.Context, s *subscription) error {
-	stream, err := f.options.Mesh.Follow(ctx, s.name, &wire.Follow{At: f.options.Book.At()}, f.noteFed)
+// receive opens the stream of the followed ingress and applies its messages until it fails.
+func (f *Feeder) receive(ctx context.Context, s *subscription) error {
+	stream, err := f.options.Mesh.Follow(ctx, s.name, &wire.Follow{At: f.options.Book.At()}, f.observeSourcePart)
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	defer func() { f.noteFedWhole() }()
+	defer func() { f.observeSourceEnd() }()
 	for opened := false; ; opened = true {
-		told, err := stream.Next()
+		records, err := stream.Next()
 		if err != nil {
 			return err
 		}
-		delta, err := DecodeDelta(told)
+		delta, err := DecodeDelta(records)
 		if err != nil {
 			return err
 		}
 		f.options.Book.Take(delta)
-		logLarge(f.options.Log, s.name, told, f.noteFedWhole())
+		logLarge(f.options.Log, s.name, records, f.observeSourceEnd())
 		if !opened {
-			f.noteOpened(s)
+			f.observeSourceOpened(s)
 		}
 	}
 }
 
-// noteFed notes a part of a message of the followed ingress.
-func (f *Feeder) noteFed() {
+// observeSourcePart records that a part of a message from the followed ingress arrived.
+func (f *Feeder) observeSourcePart() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	now := time.Now()
 	f.chooser.ObserveMessagePart(now, true)
-	if f.fedSince.IsZero() {
-		f.fedSince = now
+	if f.sourceMessageAt.IsZero() {
+		f.sourceMessageAt = now
 	}
 }
 
-// noteFedWhole notes the end of such a message and returns how long it took to arrive.
-func (f *Feeder) noteFedWhole() time.Duration {
+// observeSourceEnd records the end of such a message and returns how long its transfer took.
+func (f *Feeder) observeSourceEnd() time.Duration {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.chooser.ObserveMessageEnd(true)
-	took := time.Since(f.fedSince)
-	f.fedSince = time.Time{}
+	took := time.Since(f.sourceMessageAt)
+	f.sourceMessageAt = time.Time{}
 	return took
 }
 
-// logLarge tells of records whose way over a slow link takes its time.
-func logLarge(log *zap.Logger, name string, told *wire.Records, took time.Duration) {
-	if size := proto.Size(told); size >= packFromBytes {
+// logLarge logs records that are large enough to take a noticeable time on a slow link.
+func logLarge(log *zap.Logger, name string, records *wire.Records, took time.Duration) {
+	if size := proto.Size(records); size >= compressMinBytes {
 		log.Info("records-received", zap.String("ingress", name), zap.Int("bytes", size), zap.Duration("took", took))
 	}
 }
 
-// NoteArrival notes a part of a message of records that this ingress asked for.
-func (f *Feeder) NoteArrival() {
+// ObserveMessagePart records that a part of a message of records that a Puller requested arrived.
+func (f *Feeder) ObserveMessagePart() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.chooser.ObserveMessagePart(time.Now(), false)
 }
 
-// NoteWhole notes the end of such a message.
-func (f *Feeder) NoteWhole() {
+// ObserveMessageEnd records that such a message was received and applied, or abandoned.
+func (f *Feeder) ObserveMessageEnd() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.chooser.ObserveMessageEnd(false)
 }
 
-// IsReceiving tells whether records are on their way here.
+// IsReceiving reports whether records are in flight to this ingress or were just requested.
 func (f *Feeder) IsReceiving() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.chooser.IsReceiving(time.Now())
 }
 
-func (f *Feeder) noteOpened(s *subscription) {
+// observeSourceOpened records that the first message of a subscription was applied.
+func (f *Feeder) observeSourceOpened(s *subscription) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if f.current != s {
+	if f.source != s {
 		return
 	}
 	f.chooser.ObserveStreamOpened(s.name)
 	f.options.Log.Info("source-followed", zap.String("ingress", s.name))
 }
 
-// TakeReading takes what the heartbeat of another ingress says of its reading.
-func (f *Feeder) TakeReading(name string, told *wire.Reading) {
+// ObserveStoreStatus processes the store status in a heartbeat of another ingress.
+//
+// A status of the fresh source confirms the records here if they are complete up to its newest
+// change. If another ingress stays ahead of the records here, it is asked for what is missing.
+func (f *Feeder) ObserveStoreStatus(name string, reading *wire.Reading) {
 	now := time.Now()
-	theirs := decodeExtent(told)
+	theirs := decodeExtent(reading)
 	f.options.Book.Advance(theirs)
 	own := f.options.Book.At()
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	word := decodeWord(told)
-	f.chooser.ObserveStatus(now, name, word)
-	if f.current != nil && f.current.name == name && f.chooser.IsSourceFresh(now) && theirs.Newest <= own {
-		f.options.Book.Confirm(now.Add(-word.Age))
+	status := decodeStatus(reading)
+	f.chooser.ObserveStatus(now, name, status)
+	if f.source != nil && f.source.name == name && f.chooser.IsSourceFresh(now) && theirs.Newest <= own {
+		f.options.Book.Confirm(now.Add(-status.Age))
 	}
 	if own == 0 {
-		return // the first picture is on its way from elsewhere
+		return // the first snapshot comes from the followed ingress, the store or a Puller
 	}
 	if f.chooser.ObserveGap(now, name, theirs.Newest, own) {
 		f.options.Log.Info("records-missing", zap.String("ahead", name))
@@ -290,28 +298,28 @@
 	}
 }
 
-// runReach opens a session whose heartbeats are wanted.
-func (f *Feeder) runReach(ctx context.Context, name string) {
-	if err := f.options.Mesh.Reach(ctx, name); err != nil {
-		f.options.Log.Debug("check-not-reached", zap.String("ingress", name), logs.Err(err))
+// runConnect opens a session to an ingress whose heartbeats are compared with the own records.
+func (f *Feeder) runConnect(ctx context.Context, name string) {
+	if err := f.options.Mesh.Connect(ctx, name); err != nil {
+		f.options.Log.Debug("check-peer-unreachable", zap.String("ingress", name), logs.Err(err))
 	}
 }
 
-// Serve sends a follower what its records lack that are complete up to a revision, now and
-// after each change, until the context ends.
-func (f *Feeder) Serve(ctx context.Context, stream net.Conn, at uint64) {
+// ServeFollower sends a follower what its copy of the records, which is complete up to the given
+// revision, lacks, now and after each change, until the context ends.
+func (f *Feeder) ServeFollower(ctx context.Context, stream net.Conn, revision uint64) {
 	f.addFollower(1)
 	defer f.addFollower(-1)
 	for first := true; ; first = false {
 		changed := f.options.Book.Changed()
-		records := f.collect(at)
+		records := f.encodeSince(revision)
 		if first || hasContent(records) {
 			if err := wire.WriteFrame(stream, &wire.Frame{Body: &wire.Frame_Records{Records: records}}); err != nil {
 				f.options.Log.Info("follower-lost", logs.Err(err))
 				return
 			}
 		}
-		at = max(at, records.GetAt())
+		revision = max(revision, records.GetAt())
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -320,42 +328,44 @@
 	}
 }
 
+// hasContent reports whether the message changes the records of its receiver.
 func hasContent(records *wire.Records) bool {
 	return records.GetWhole() || len(records.GetRecords()) > 0 || len(records.GetPacked()) > 0
 }
 
-// collected is what was told to a follower whose copy was complete up to a revision, while
-// the records here reached at least as far as extent.
-type collected struct {
+// encodedDelta is the encoded delta for a copy that was complete up to revision from. The records
+// here had reached at least the given extent when it was made.
+type encodedDelta struct {
 	from    uint64
 	extent  state.Extent
 	records *wire.Records
 }
 
-// collect returns what a copy lacks that is complete up to a revision. Followers mostly ask from
-// the same one, and it is looked up and written once for all of them.
-func (f *Feeder) collect(from uint64) *wire.Records {
-	f.collectLock.Lock()
-	defer f.collectLock.Unlock()
+// encodeSince returns the encoded delta for a copy that is complete up to revision from. Most
+// followers ask from the same revision, so the last result is cached and shared by them.
+func (f *Feeder) encodeSince(from uint64) *wire.Records {
+	f.encodeLock.Lock()
+	defer f.encodeLock.Unlock()
 	extent := f.options.Book.Extent()
-	c := f.collected
+	c := f.lastEncoded
 	if c.records == nil || c.from != from || c.extent != extent {
-		c = collected{from: from, extent: extent, records: EncodeDelta(f.options.Book.Since(from))}
-		f.collected = c
+		c = encodedDelta{from: from, extent: extent, records: EncodeDelta(f.options.Book.Since(from))}
+		f.lastEncoded = c
 	}
 	return c.records
 }
 
-// IsFollowing tells whether this ingress follows another one.
+// IsFollowing reports whether this ingress follows another one.
 func (f *Feeder) IsFollowing() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.current != nil
+	return f.source != nil
 }
 
+// addFollower changes the number of followers by n and lets the chooser react to it.
 func (f *Feeder) addFollower(n int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.followers += n
-	f.hurry()
+	f.wakeLoop()
 }
--- a/ingress/services/mesh/fleet_test.go
+++ b/ingress/services/mesh/fleet_test.go
@@ -25,9 +25,9 @@
 const (
 	beatEvery   = 300 * time.Millisecond
 	silentAfter = 1050 * time.Millisecond
-	// callBytes is about the size of a small call to the store and of its answer.
+	// callBytes is the approximate size of a small call to the store and of its answer.
 	callBytes = 400
-	// packetBytes is what passes a line at once.
+	// packetBytes is how many bytes a line transfers at once.
 	packetBytes = 4 << 10
 )
 
@@ -36,10 +36,10 @@
 	bytesPerSecond float64
 
 	lock sync.Mutex
-	// free is when the line has passed all that was put on it.
-	free time.Time
-	// passed counts the bytes.
-	passed int
+	// freeAt is when the line will have transferred everything that was queued on it.
+	freeAt time.Time
+	// transferred counts the bytes that were queued on the line, including those in flight.
+	transferred int
 }
 
 func newLine(mbps float64) *line {
@@ -47,18 +47,18 @@
 	return &line{bytesPerSecond: mbps * million / bitsPerByte}
 }
 
-// pass waits until n bytes have passed, in packets that share the line with all others.
-func (l *line) pass(ctx context.Context, n int) error {
+// transfer waits until the line has transferred n bytes, in packets that share it with all others.
+func (l *line) transfer(ctx context.Context, n int) error {
 	for n > 0 && l != nil {
 		packet := min(n, packetBytes)
 		n -= packet
 		l.lock.Lock()
-		l.passed += packet
-		if now := time.Now(); l.free.Before(now) {
-			l.free = now
+		l.transferred += packet
+		if now := time.Now(); l.freeAt.Before(now) {
+			l.freeAt = now
 		}
-		l.free = l.free.Add(time.Duration(float64(packet) / l.bytesPerSecond * float64(time.Second)))
-		wait := time.Until(l.free)
+		l.freeAt = l.freeAt.Add(time.Duration(float64(packet) / l.bytesPerSecond * float64(time.Second)))
+		wait := time.Until(l.freeAt)
 		l.lock.Unlock()
 		select {
 		case <-time.After(wait):
@@ -69,56 +69,56 @@
 	return nil
 }
 
-// count returns the bytes that were put on the line so far.
-func (l *line) count() int {
+// countBytes returns how many bytes were queued on the line so far.
+func (l *line) countBytes() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return l.passed
+	return l.transferred
 }
 
-// wan passes connections on to a target over two lines.
-type wan struct {
+// proxy forwards connections to a target over two lines.
+type proxy struct {
 	listener net.Listener
 	target   netip.AddrPort
 	// toTarget and toCaller carry the two directions.
 	toTarget, toCaller *line
 }
 
-func newWAN(t *testing.T, target netip.AddrPort, toTarget, toCaller *line) *wan {
+func newProxy(t *testing.T, target netip.AddrPort, toTarget, toCaller *line) *proxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	w := &wan{listener: listener, target: target, toTarget: toTarget, toCaller: toCaller}
-	go w.loop()
-	return w
+	p := &proxy{listener: listener, target: target, toTarget: toTarget, toCaller: toCaller}
+	go p.loop()
+	return p
 }
 
-func (w *wan) address() netip.AddrPort { return netip.MustParseAddrPort(w.listener.Addr().String()) }
+func (p *proxy) address() netip.AddrPort { return netip.MustParseAddrPort(p.listener.Addr().String()) }
 
-func (w *wan) loop() {
+func (p *proxy) loop() {
 	for {
-		caller, err := w.listener.Accept()
+		caller, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go w.run(caller)
+		go p.run(caller)
 	}
 }
 
-func (w *wan) run(caller net.Conn) {
-	target, err := net.Dial("tcp", w.target.String())
+func (p *proxy) run(caller net.Conn) {
+	target, err := net.Dial("tcp", p.target.String())
 	if err != nil {
 		_ = caller.Close()
 		return
 	}
-	go w.runCopy(target, caller, w.toTarget)
-	w.runCopy(caller, target, w.toCaller)
+	go p.runCopy(target, caller, p.toTarget)
+	p.runCopy(caller, target, p.toCaller)
 }
 
-func (*wan) runCopy(to, from net.Conn, l *line) {
+func (*proxy) runCopy(to, from net.Conn, l *line) {
 	defer func() { _, _ = to.Close(), from.Close() }()
 	packet := make([]byte, packetBytes)
 	for {
@@ -126,7 +126,7 @@
 		if err != nil {
 			return
 		}
-		if l.pass(context.Background(), n) != nil {
+		if l.transfer(context.Background(), n) != nil {
 			return
 		}
 		if _, err := to.Write(packet[:n]); err != nil {
@@ -135,31 +135,31 @@
 	}
 }
 
-// store is the platform's, seen over an instance's line.
+// store is the platform's store, reached by one instance over its own link.
 type store struct {
-	*records
+	*sharedRecords
 	down *line
 	book *state.Book
 }
 
-// errLeaseGone is never returned: no lease ends here.
+// errLeaseGone is never returned, because no lease ends in these tests.
 var errLeaseGone = errors.New("the lease has ended")
 
-// records are those of the platform's store.
-type records struct {
+// sharedRecords are the records of the platform's store, which all instances share.
+type sharedRecords struct {
 	lock     sync.Mutex
 	changed  *sync.Cond
 	revision uint64
 	all      map[string]site.Record
 }
 
-func newRecords() *records {
-	r := &records{all: map[string]site.Record{}}
+func newSharedRecords() *sharedRecords {
+	r := &sharedRecords{all: map[string]site.Record{}}
 	r.changed = sync.NewCond(&r.lock)
 	return r
 }
 
-func (r *records) put(key string, value []byte) {
+func (r *sharedRecords) put(key string, value []byte) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.revision++
@@ -167,26 +167,27 @@
 	r.changed.Broadcast()
 }
 
-func (r *records) since(revision uint64) ([]site.Record, uint64) {
+func (r *sharedRecords) since(revision uint64) ([]site.Record, uint64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	found := []site.Record{}
-	for _, one := range r.all {
-		if one.Revision > revision {
-			found = append(found, one)
+	for _, rec := range r.all {
+		if rec.Revision > revision {
+			found = append(found, rec)
 		}
 	}
 	return found, r.revision
 }
 
-// receive waits until records have come over the line; the store's answers hold them in base64.
+// receive waits until records have been transferred over the instance's link. The store's answers
+// contain them in base64.
 func (s store) receive(ctx context.Context, found []site.Record) error {
 	bytes := callBytes
-	for _, one := range found {
-		bytes += len(one.Value) * 4 / 3
+	for _, rec := range found {
+		bytes += len(rec.Value) * 4 / 3
 	}
 	for ; bytes > 0; bytes -= packetBytes {
-		if err := s.down.pass(ctx, min(bytes, packetBytes)); err != nil {
+		if err := s.down.transfer(ctx, min(bytes, packetBytes)); err != nil {
 			return err
 		}
 		s.book.ConfirmOwn(time.Now())
@@ -221,16 +222,17 @@
 func (store) Close() {}
 
 func (s store) Grant(ctx context.Context, _ time.Duration) (uint64, error) {
-	return 1, s.down.pass(ctx, callBytes)
+	return 1, s.down.transfer(ctx, callBytes)
 }
 
 func (s store) Put(ctx context.Context, key string, value []byte, _ uint64) error {
 	s.put(key, value)
-	return s.down.pass(ctx, callBytes)
+	return s.down.transfer(ctx, callBytes)
 }
 
-func (s store) Renew(ctx context.Context, _ uint64) error   { return s.down.pass(ctx, callBytes) }
-func (s store) Release(ctx context.Context, _ uint64) error { return s.down.pass(ctx, callBytes) }
+func (s store) Renew(ctx context.Context, _ uint64) error { return s.down.transfer(ctx, callBytes) }
+
+func (s store) Release(ctx context.Context, _ uint64) error { return s.down.transfer(ctx, callBytes) }
 
 // instance is an ingress without callers.
 type instance struct {
@@ -239,25 +241,25 @@
 	mesh   *mesh.Mesh
 	feeder *mesh.Feeder
 	puller *mesh.Puller
-	links  *peers.Server
-	// up and down are the lines of its link.
+	server *peers.Server
+	// up and down are the two directions of its link.
 	up, down *line
 }
 
-// fleet is some ingresses that reach each other and the store over their links.
+// fleet is a set of ingresses that reach each other and the store over their links.
 type fleet struct {
 	t         *testing.T
 	log       *zap.Logger
-	records   *records
+	records   *sharedRecords
 	regions   map[string]string
 	instances []*instance
-	// fronts are the addresses at which the others reach those on slow links; backs the
-	// addresses at which a slow one reaches the others, by its name and theirs.
-	fronts map[string]netip.AddrPort
-	backs  map[string]netip.AddrPort
+	// inbound holds, by name, the addresses at which the others reach an instance on a slow link;
+	// outbound, by its name followed by the other's, those at which it reaches each of the others.
+	inbound  map[string]netip.AddrPort
+	outbound map[string]netip.AddrPort
 }
 
-// linkRate is where an instance stands and how fast its link is; 0: infinitely fast.
+// linkRate is the failure domain of an instance and the rate of its link; 0: infinitely fast.
 type linkRate struct {
 	domain string
 	mbps   float64
@@ -266,8 +268,8 @@
 func newFleet(t *testing.T, regions map[string]string, rates []linkRate) *fleet {
 	t.Helper()
 	f := &fleet{
-		t: t, log: zap.NewNop(), records: newRecords(), regions: regions,
-		fronts: map[string]netip.AddrPort{}, backs: map[string]netip.AddrPort{},
+		t: t, log: zap.NewNop(), records: newSharedRecords(), regions: regions,
+		inbound: map[string]netip.AddrPort{}, outbound: map[string]netip.AddrPort{},
 	}
 	for number, rate := range rates {
 		f.add(fmt.Sprintf("ingress-%d", number), rate)
@@ -284,70 +286,70 @@
 		i.up, i.down = newLine(rate.mbps), newLine(rate.mbps)
 	}
 	log := f.log.With(zap.String("instance", name))
-	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: log, OnChange: func(v *state.View) { f.takeView(i, v) }})
+	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: log, OnChange: func(v *state.View) { f.setView(i, v) }})
 	options := link.Options{
 		Hello: &wire.Hello{Version: wire.Version, Name: name}, BeatEvery: beatEvery, SilentAfter: silentAfter,
-		Beat: func() *wire.Beat { return &wire.Beat{Reading: mesh.EncodeReading(i.book)} },
+		Beat: func() *wire.Beat { return &wire.Beat{Reading: mesh.EncodeStoreStatus(i.book)} },
 	}
 	isLeaving := func() bool { return false }
 	i.mesh = mesh.NewMesh(mesh.Options{
 		Self: i.self, Regions: f.regions, IsLeaving: isLeaving, Link: options, Log: log,
-		OnOutlook: func(*wire.Outlook) {},
-		OnReading: func(name string, told *wire.Reading) { i.feeder.TakeReading(name, told) },
+		OnBacklog:     func(*wire.Outlook) {},
+		OnStoreStatus: func(name string, status *wire.Reading) { i.feeder.ObserveStoreStatus(name, status) },
 	})
 	i.puller = &mesh.Puller{Mesh: i.mesh, Book: i.book, Log: log}
 	i.feeder = mesh.NewFeeder(mesh.FeederOptions{
 		Mesh: i.mesh, Book: i.book, Puller: i.puller, Self: i.self, Regions: f.regions, IsLeaving: isLeaving, Log: log,
-		Reader: &state.Reader{Book: i.book, Store: f.view(i), Wait: 4 * time.Second, Log: log},
+		Reader: &state.Reader{Book: i.book, Store: f.newStore(i), Wait: 4 * time.Second, Log: log},
 	})
 	i.puller.Feed = i.feeder
 	var err error
-	i.links, err = peers.NewServer(peers.Options{
+	i.server, err = peers.NewServer(peers.Options{
 		Address: netip.MustParseAddrPort("127.0.0.1:0"), Link: options,
 		Handler: &mesh.Handler{Feeder: i.feeder, Log: log}, Log: log,
 	})
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(i.links.Close)
-	i.self.Address = i.links.Address()
+	f.t.Cleanup(i.server.Close)
+	i.self.Address = i.server.Address()
 	f.instances = append(f.instances, i)
 }
 
-func (f *fleet) view(i *instance) store {
-	return store{records: f.records, down: i.down, book: i.book}
+func (f *fleet) newStore(i *instance) store {
+	return store{sharedRecords: f.records, down: i.down, book: i.book}
 }
 
-// connect puts the slow instances behind their links.
+// connect creates the proxies of the instances on slow links.
 func (f *fleet) connect() {
 	for _, slow := range f.instances {
 		if slow.down == nil {
 			continue
 		}
-		f.fronts[slow.self.Name] = newWAN(f.t, slow.self.Address, slow.down, slow.up).address()
+		f.inbound[slow.self.Name] = newProxy(f.t, slow.self.Address, slow.down, slow.up).address()
 		for _, other := range f.instances {
-			f.backs[slow.self.Name+other.self.Name] = newWAN(f.t, other.self.Address, slow.up, slow.down).address()
+			f.outbound[slow.self.Name+other.self.Name] = newProxy(f.t, other.self.Address, slow.up, slow.down).address()
 		}
 	}
 }
 
-// takeView tells an instance where it reaches the others.
-func (f *fleet) takeView(i *instance, v *state.View) {
-	seen := *v
-	seen.Ingresses = nil
+// setView gives an instance a view with the addresses at which it reaches the others.
+func (f *fleet) setView(i *instance, v *state.View) {
+	adjusted := *v
+	adjusted.Ingresses = nil
 	for _, other := range v.Ingresses {
-		if front, slow := f.fronts[other.Name]; slow {
-			other.Address = front
+		if address, slow := f.inbound[other.Name]; slow {
+			other.Address = address
 		}
-		if back, slow := f.backs[i.self.Name+other.Name]; slow {
-			other.Address = back
+		if address, slow := f.outbound[i.self.Name+other.Name]; slow {
+			other.Address = address
 		}
-		seen.Ingresses = append(seen.Ingresses, other)
+		adjusted.Ingresses = append(adjusted.Ingresses, other)
 	}
-	i.mesh.TakeView(&seen)
+	i.mesh.SetView(&adjusted)
 }
 
-// start starts all instances, and has each reach all others, as their requests do.
+// start starts all instances and connects each of them to all others, as their requests would do.
 func (f *fleet) start() {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(f.t.Context())
@@ -355,19 +357,19 @@
 	for _, i := range f.instances {
 		i.feeder.Start(ctx)
 		(&state.Registrar{
-			Leases: f.view(i), Codec: record.Codec{}, Self: i.self, TTL: 6 * time.Second, Book: i.book,
+			Leases: f.newStore(i), Codec: record.Codec{}, Self: i.self, TTL: 6 * time.Second, Book: i.book,
 			ProbeEvery: feed.ProbeEvery, LeaseGone: errLeaseGone, Log: f.log,
 		}).Start(ctx)
 		(&state.Sweeper{Book: i.book}).Start(ctx)
 		i.mesh.Start(ctx)
 		i.puller.Start(ctx)
-		i.links.Start(ctx)
+		i.server.Start(ctx)
 	}
 	f.eventually("all know each other", func(i *instance) bool { return len(i.book.View().Ingresses) == len(f.instances) })
 	for _, i := range f.instances {
 		for _, other := range f.instances {
 			if i != other {
-				_ = i.mesh.Reach(ctx, other.self.Name) // one that cannot be reached now is tried again
+				_ = i.mesh.Connect(ctx, other.self.Name) // the mesh retries an instance that cannot be reached now
 			}
 		}
 	}
@@ -376,9 +378,9 @@
 // eventually waits until a condition holds at all instances.
 func (f *fleet) eventually(what string, check func(i *instance) bool) {
 	f.t.Helper()
-	const patience = 20 * time.Second
-	if took := f.wait(patience, check); took >= patience {
-		f.t.Fatalf("not in %v: %s", patience, what)
+	const timeout = 20 * time.Second
+	if took := f.wait(timeout, check); took >= timeout {
+		f.t.Fatalf("not reached within %v: %s", timeout, what)
 	}
 }
 
@@ -398,12 +400,12 @@
 	return limit
 }
 
-// countReceived returns the bytes that have come to each instance on a slow link.
-func (f *fleet) countReceived() []int {
+// countReceivedBytes returns how many bytes were sent to each instance on a slow link.
+func (f *fleet) countReceivedBytes() []int {
 	counts := []int{}
 	for _, i := range f.instances {
 		if i.down != nil {
-			counts = append(counts, i.down.count())
+			counts = append(counts, i.down.countBytes())
 		}
 	}
 	return counts
--- a/ingress/services/mesh/mesh.go
+++ b/ingress/services/mesh/mesh.go
@@ -1,6 +1,7 @@
-// Package mesh reaches the other ingresses: it opens a session when one is
-// needed, tells which of them can be reached, and asks them for records when
-// the store does not answer here.
+// Package mesh connects an ingress to the other ingresses: it opens a session to one when it is
+// needed and tracks which of them are reachable. It also distributes the records of the platform's
+// store: a Feeder receives changes from another ingress and pushes them to its followers, and a
+// Puller asks other ingresses for records that reach this one in no other way.
 package mesh
 
 import (
@@ -29,13 +30,15 @@
 var ErrMesh = errs.Class("mesh") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
 const (
-	// retryPause is how long an ingress that could not be reached is left alone.
-	retryPause = 600 * time.Millisecond
-	// dialTimeout bounds opening a session; a link between regions needs three ways of 12 ms.
+	// reconnectBackoff is the delay before the next attempt to reach an ingress that could not
+	// be reached.
+	reconnectBackoff = 600 * time.Millisecond
+	// dialTimeout limits opening a session, which takes three one-way trips. Between regions each
+	// of them takes 12 ms.
 	dialTimeout = 600 * time.Millisecond
-	// syncStall bounds the pauses in the answer to a question for records. The whole answer
-	// takes as long as the link needs for it.
-	syncStall = 700 * time.Millisecond
+	// syncStallTimeout limits the time between two parts of the answer to a wire.Sync. The
+	// complete answer takes as long as the link needs for it.
+	syncStallTimeout = 700 * time.Millisecond
 )
 
 // Options are the settings of a Mesh.
@@ -43,36 +46,39 @@
 	Self site.Ingress
 	// Regions maps each failure domain to its region.
 	Regions map[string]string
-	// IsLeaving tells whether this process is stopping.
+	// IsLeaving reports whether this process is stopping.
 	IsLeaving func() bool
 	Link      link.Options
-	// OnOutlook is told what a batcher's jobs have to expect.
-	OnOutlook func(told *wire.Outlook)
-	// OnReading is told how well another ingress knows the store.
-	OnReading func(name string, told *wire.Reading)
-	Log       *zap.Logger
+	// OnBacklog is called with the backlog of each service that another ingress batches for, as
+	// reported in its heartbeats.
+	OnBacklog func(backlog *wire.Outlook)
+	// OnStoreStatus is called with the state of another ingress's connection to the store and of
+	// its copy of the records, as reported in its heartbeats.
+	OnStoreStatus func(name string, status *wire.Reading)
+	Log           *zap.Logger
 }
 
-// Mesh holds the sessions that this ingress opened.
+// Mesh holds the sessions that this ingress opened to the other ingresses.
 type Mesh struct {
 	options Options
 
 	lock sync.Mutex
-	// known are the registered ingresses by name, without this one.
+	// known are the registered ingresses by name, excluding this one. Each of them has an entry
+	// in peers.
 	known map[string]site.Ingress
 	peers map[string]*peer
-	// changes counts what changed of which ingresses can be reached.
+	// changes counts the changes of the set of reachable ingresses and of their registrations.
 	changes uint64
 }
 
 // peer is one other ingress.
 type peer struct {
 	address netip.AddrPort
-	// dialing guards the session against being opened twice.
+	// dialing protects session and is held while one is opened, so that it is opened only once.
 	dialing sync.Mutex
 	session *link.Session
-	// failed peers are not given work until a session to them was opened again, which
-	// is tried at retryAt. Leaving peers are not given work either.
+	// failed peers get no work until a session to them has been opened again, which is next
+	// attempted at retryAt. Peers that are leaving, that is shutting down, get no work either.
 	failed  bool
 	retryAt time.Time
 	leaving bool
@@ -86,8 +92,8 @@
 // Self returns the name of this ingress.
 func (m *Mesh) Self() string { return m.options.Self.Name }
 
-// TakeView takes the registered ingresses of a new view.
-func (m *Mesh) TakeView(v *state.View) {
+// SetView replaces the registered ingresses by those of a new view.
+func (m *Mesh) SetView(v *state.View) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	known := map[string]site.Ingress{}
@@ -102,14 +108,14 @@
 		}
 	}
 	if maps.Equal(known, m.known) {
-		return // a view of other servers
+		return // only other parts of the view changed
 	}
 	m.known = known
 	m.changes++
 }
 
-// listReachable returns the other ingresses that can be reached, and a count that
-// changes with them.
+// listReachable returns the other reachable ingresses and the change count to which this list
+// belongs.
 func (m *Mesh) listReachable() ([]site.Ingress, uint64) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -122,21 +128,21 @@
 	return list, m.changes
 }
 
-// countKnown returns the number of the other registered ingresses.
+// countKnown returns the number of other registered ingresses.
 func (m *Mesh) countKnown() int {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return len(m.known)
 }
 
-// countChanges returns the count of listReachable.
+// countChanges returns the current change count, as listReachable does.
 func (m *Mesh) countChanges() uint64 {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.changes
 }
 
-// Follow has another ingress send what this one's records lack, now and after each change.
+// Follow asks another ingress to send the records that this one lacks, now and after each change.
 func (m *Mesh) Follow(ctx context.Context, name string, f *wire.Follow, onArrival func()) (*link.Feed, error) {
 	session, err := m.getSession(ctx, name)
 	if err != nil {
@@ -145,10 +151,10 @@
 	return link.Follow(ctx, session, f, onArrival)
 }
 
-// listNear returns the names of the ingresses that can be reached in an order of chance,
-// those of the own failure domain first and then those of the own region: what they
-// tell crosses no slow link.
-func (m *Mesh) listNear() []string {
+// listByProximity returns the names of the other reachable ingresses: first those of the own
+// failure domain, then those of the own region, then all others, each group in random order.
+// Answers of nearby ingresses cross no slow link between regions.
+func (m *Mesh) listByProximity() []string {
 	reachable, _ := m.listReachable()
 	rand.Shuffle(len(reachable), func(i, j int) { reachable[i], reachable[j] = reachable[j], reachable[i] })
 	slices.SortStableFunc(reachable, func(a, b site.Ingress) int { return cmp.Compare(m.distance(a), m.distance(b)) })
@@ -159,7 +165,7 @@
 	return names
 }
 
-// distance is 0 in the own failure domain, 1 in the own region, 2 beyond.
+// distance returns 0 in the own failure domain, 1 in the own region, 2 in another region.
 func (m *Mesh) distance(i site.Ingress) int {
 	switch {
 	case i.Domain == m.options.Self.Domain:
@@ -171,8 +177,8 @@
 	}
 }
 
-// isOpen tells whether there is a session to another ingress, or one is being opened.
-func (m *Mesh) isOpen(name string) bool {
+// hasSession reports whether a session to another ingress is open or being opened.
+func (m *Mesh) hasSession(name string) bool {
 	m.lock.Lock()
 	p := m.peers[name]
 	m.lock.Unlock()
@@ -186,28 +192,29 @@
 	return p.session != nil && !p.session.IsClosed()
 }
 
-// Reach opens a session to another ingress where there is none, for its heartbeats.
-func (m *Mesh) Reach(ctx context.Context, name string) error {
+// Connect opens a session to another ingress unless one is open, in order to receive its
+// heartbeats.
+func (m *Mesh) Connect(ctx context.Context, name string) error {
 	_, err := m.getSession(ctx, name)
 	return err
 }
 
-// listLive returns the other ingresses that can be reached.
-func (m *Mesh) listLive() []rhash.Weighted {
+// listWeighted returns the other reachable ingresses with their weights.
+func (m *Mesh) listWeighted() []rhash.Weighted {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	live := []rhash.Weighted{}
+	weighted := []rhash.Weighted{}
 	for name, i := range m.known {
 		p := m.peers[name]
 		if p.failed || p.leaving {
 			continue
 		}
-		live = append(live, weigh(i))
+		weighted = append(weighted, weigh(i))
 	}
-	return live
+	return weighted
 }
 
-// Produce has another ingress make the results of a stage.
+// Produce asks another ingress to produce the results of a stage.
 func (m *Mesh) Produce(ctx context.Context, name string, p *wire.Produce) (*wire.Produced, error) {
 	session, err := m.getSession(ctx, name)
 	if err != nil {
@@ -215,12 +222,12 @@
 	}
 	got, err := link.Produce(ctx, session, p)
 	if err != nil && ctx.Err() == nil {
-		m.fail(name, err)
+		m.markFailed(name, err)
 	}
 	return got, err
 }
 
-// Assign has another ingress place a request.
+// Assign asks another ingress to place a request.
 func (m *Mesh) Assign(ctx context.Context, name string, a *wire.Assign) (*link.Assignment, error) {
 	session, err := m.getSession(ctx, name)
 	if err != nil {
@@ -229,7 +236,7 @@
 	return link.Assign(ctx, session, a)
 }
 
-// Discard has another ingress release results.
+// Discard asks another ingress to release results. There is no answer.
 func (m *Mesh) Discard(name string, d *wire.Discard) error {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -240,7 +247,8 @@
 	return link.Discard(session, d)
 }
 
-// TellCrash tells another ingress that a request ended with its server.
+// TellCrash reports to another ingress that an attempt of a request failed because its server
+// crashed. The answer says whether the request is quarantined.
 func (m *Mesh) TellCrash(ctx context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error) {
 	session, err := m.getSession(ctx, name)
 	if err != nil {
@@ -249,7 +257,7 @@
 	return link.TellCrash(ctx, session, c)
 }
 
-// TellServed tells another ingress that a request was served.
+// TellServed reports to another ingress that a request was served.
 func (m *Mesh) TellServed(ctx context.Context, name string, s *wire.Served) error {
 	session, err := m.getSession(ctx, name)
 	if err != nil {
@@ -258,34 +266,35 @@
 	return link.TellServed(session, s)
 }
 
-// Sync asks another ingress for records.
+// Sync asks another ingress for the records that this one lacks.
 func (m *Mesh) Sync(ctx context.Context, name string, s *wire.Sync, onArrival func()) (*wire.Records, error) {
 	session, err := m.getSession(ctx, name)
 	if err != nil {
 		return nil, err
 	}
-	return link.Sync(ctx, session, s, syncStall, onArrival)
+	return link.Sync(ctx, session, s, syncStallTimeout, onArrival)
 }
 
-// SyncAt asks an ingress of which only the address is known.
-func (m *Mesh) SyncAt(ctx context.Context, address netip.AddrPort, s *wire.Sync, onArrival func()) (*wire.Records, error) {
+// SyncAddress does the same with an ingress of which only the address is known.
+func (m *Mesh) SyncAddress(ctx context.Context, address netip.AddrPort, s *wire.Sync, onArrival func()) (*wire.Records, error) {
 	if address == m.options.Self.Address {
-		return nil, ErrMesh.New("%s is this ingress", address)
+		return nil, ErrMesh.New("address %s belongs to this ingress itself", address)
 	}
 	session, err := link.Dial(ctx, address, m.options.Link)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = session.Close() }()
-	return link.Sync(ctx, session, s, syncStall, onArrival)
+	return link.Sync(ctx, session, s, syncStallTimeout, onArrival)
 }
 
+// getSession returns the open session to another ingress and opens one if there is none.
 func (m *Mesh) getSession(ctx context.Context, name string) (*link.Session, error) {
 	m.lock.Lock()
 	p := m.peers[name]
 	m.lock.Unlock()
 	if p == nil {
-		return nil, ErrMesh.New("%s is not registered", name)
+		return nil, ErrMesh.New("ingress %s is not registered", name)
 	}
 	p.dialing.Lock()
 	defer p.dialing.Unlock()
@@ -293,14 +302,14 @@
 		return p.session, nil
 	}
 	options := m.options.Link
-	options.OnBeat = func(_ *link.Session, beat *wire.Beat, _ time.Time) { m.noteBeat(name, beat) }
-	options.OnDown = func(_ *link.Session, reason error) { m.fail(name, reason) }
+	options.OnBeat = func(_ *link.Session, beat *wire.Beat, _ time.Time) { m.observeHeartbeat(name, beat) }
+	options.OnDown = func(_ *link.Session, reason error) { m.markFailed(name, reason) }
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	session, err := link.Dial(dialCtx, p.address, options)
 	if err != nil {
 		if ctx.Err() == nil {
-			m.fail(name, err)
+			m.markFailed(name, err)
 		}
 		return nil, err
 	}
@@ -315,12 +324,12 @@
 	return session, nil
 }
 
-func (m *Mesh) noteBeat(name string, beat *wire.Beat) {
+func (m *Mesh) observeHeartbeat(name string, beat *wire.Beat) {
 	for _, o := range beat.GetOutlooks() {
-		m.options.OnOutlook(o)
+		m.options.OnBacklog(o)
 	}
 	if beat.GetReading() != nil {
-		m.options.OnReading(name, beat.GetReading())
+		m.options.OnStoreStatus(name, beat.GetReading())
 	}
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -333,16 +342,16 @@
 	m.options.Log.Info("peer-leaving", zap.String("ingress", name), zap.Bool("leaving", p.leaving))
 }
 
-// fail gives an ingress no work until it was reached again, so that jobs go on at
-// the next one at once and no request waits for a peer that is frozen or cut off.
-func (m *Mesh) fail(name string, reason error) {
+// markFailed excludes an ingress from new work until it has been reached again. Jobs thus move to
+// the next ingress at once, and no request waits for a peer that is frozen or partitioned.
+func (m *Mesh) markFailed(name string, reason error) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	p := m.peers[name]
 	if p == nil {
 		return
 	}
-	p.retryAt = time.Now().Add(retryPause)
+	p.retryAt = time.Now().Add(reconnectBackoff)
 	if p.leaving {
 		m.changes++
 	}
@@ -355,27 +364,27 @@
 	m.options.Log.Warn("peer-lost", zap.String("ingress", name), zap.Stringer("address", p.address), logs.Err(reason))
 }
 
-// Start tries lost ingresses again until the context ends.
+// Start reconnects to failed ingresses until the context ends.
 func (m *Mesh) Start(ctx context.Context) {
 	go m.loop(ctx)
 }
 
 func (m *Mesh) loop(ctx context.Context) {
-	for pauses.Wait(ctx, retryPause/2) {
-		for _, name := range m.listDue() {
-			go m.runRetry(ctx, name)
+	for pauses.Wait(ctx, reconnectBackoff/2) {
+		for _, name := range m.listRetryDue() {
+			go m.runReconnect(ctx, name)
 		}
 	}
 }
 
-func (m *Mesh) runRetry(ctx context.Context, name string) {
+func (m *Mesh) runReconnect(ctx context.Context, name string) {
 	if _, err := m.getSession(ctx, name); err != nil {
 		m.options.Log.Debug("peer-still-lost", zap.String("ingress", name), logs.Err(err))
 	}
 }
 
-// listDue returns the lost ingresses that are to be tried now.
-func (m *Mesh) listDue() []string {
+// listRetryDue returns the failed ingresses for which the next connection attempt is due.
+func (m *Mesh) listRetryDue() []string {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	now := time.Now()
@@ -383,7 +392,7 @@
 	for name := range m.known {
 		p := m.peers[name]
 		if p.failed && now.After(p.retryAt) {
-			p.retryAt = now.Add(dialTimeout + retryPause)
+			p.retryAt = now.Add(dialTimeout + reconnectBackoff)
 			names = append(names, name)
 		}
 	}
--- a/ingress/services/mesh/puller.go
+++ b/ingress/services/mesh/puller.go
@@ -16,49 +16,53 @@
 )
 
 const (
-	// pullEvery is how often peers are asked while the store does not answer here.
+	// pullEvery is the interval at which peers are asked while the records here may be stale.
 	pullEvery = 250 * time.Millisecond
-	// pullFrom is how many peers are asked each time: one of them may be cut off as well.
-	pullFrom = 2
-	// staleAfter is how long the store may have confirmed nothing, here or to whom this
-	// ingress follows, before peers are asked.
+	// peersPerPull is how many peers are asked each time. It is more than one because a peer may
+	// also be disconnected from the store.
+	peersPerPull = 2
+	// staleAfter is how long ago the store may last have answered this ingress or the ingress
+	// that it follows. After that, peers are asked.
 	staleAfter = 1500 * time.Millisecond
-	// firstPullAfter is how long a starting ingress waits for its first picture before it
-	// asks others: the store answers in milliseconds.
-	firstPullAfter = 600 * time.Millisecond
-	// pullTimeout bounds one question, together with syncStall.
+	// initialPullDelay is how long a starting ingress waits for its first snapshot before it asks
+	// peers. The store normally answers in milliseconds.
+	initialPullDelay = 600 * time.Millisecond
+	// pullTimeout limits one request for records, in addition to syncStallTimeout.
 	pullTimeout = 10 * time.Second
 )
 
-// Puller learns from other ingresses what the store does not tell here.
+// Puller requests records from other ingresses that do not reach this one in another way.
 //
-// Guards against a stale configuration at an ingress that the store turns
-// away while it serves the others: requests would be handled as only an old
-// version allows. An ingress whose store answers, or that of whom it follows, asks nobody.
+// Without it, an ingress that the store rejects while it serves the others would keep a stale
+// configuration and handle requests by rules that are no longer in force. An ingress asks peers only
+// if it has no first snapshot yet, if the store answers neither it nor the ingress that it follows,
+// or if a peer has reported newer records.
 type Puller struct {
 	Mesh *Mesh
 	Book *state.Book
-	// Feed is how this ingress hears of the store otherwise.
+	// Feed reports how this ingress receives records otherwise.
 	Feed Feed
-	// Seeds are asked while no other ingress is known.
+	// Seeds are the addresses of ingresses to ask while no other ingress is reachable.
 	Seeds []netip.AddrPort
 	Log   *zap.Logger
 
 	startedAt time.Time
 }
 
-// Feed tells what comes here without asking.
+// Feed reports how this ingress receives records without a Puller, and is informed about the
+// answers to a Puller's requests.
 type Feed interface {
-	// IsFollowing tells whether this ingress follows another one.
+	// IsFollowing reports whether this ingress follows another one.
 	IsFollowing() bool
-	// IsReceiving tells whether records are on their way here.
+	// IsReceiving reports whether records are in flight to this ingress.
 	IsReceiving() bool
-	// NoteArrival notes a part of a message of records, and NoteWhole its end.
-	NoteArrival()
-	NoteWhole()
+	// ObserveMessagePart records that a part of a requested message of records arrived.
+	ObserveMessagePart()
+	// ObserveMessageEnd records that such a message was received and applied, or abandoned.
+	ObserveMessageEnd()
 }
 
-// Start pulls until the context ends.
+// Start asks peers for records, when it is necessary, until the context ends.
 func (p *Puller) Start(ctx context.Context) {
 	go p.loop(ctx)
 }
@@ -69,58 +73,60 @@
 		if !p.mustPull(time.Now()) || p.Feed.IsReceiving() {
 			continue
 		}
-		near := p.Mesh.listNear()
-		if len(near) == 0 {
+		peers := p.Mesh.listByProximity()
+		if len(peers) == 0 {
 			p.pullSeeds(ctx)
 			continue
 		}
-		for _, name := range near[:min(pullFrom, len(near))] {
+		for _, name := range peers[:min(peersPerPull, len(peers))] {
 			p.pull(ctx, name)
 		}
 	}
 }
 
-// mustPull tells whether the records here may be old. A first picture comes from whom this
-// ingress follows, or from the store; peers are asked for it where neither brings it.
+// mustPull reports whether peers must be asked because the records here may be stale. The first
+// snapshot comes from the followed ingress or from the store; peers are asked for it if this
+// ingress follows none and the store has not delivered it within initialPullDelay.
 func (p *Puller) mustPull(now time.Time) bool {
 	if !p.Book.IsListed() {
-		return now.Sub(p.startedAt) >= firstPullAfter && !p.Feed.IsFollowing()
+		return now.Sub(p.startedAt) >= initialPullDelay && !p.Feed.IsFollowing()
 	}
 	return p.Book.IsLost() || p.Book.Age() >= staleAfter
 }
 
-// pullSeeds asks ingresses that the settings name. A process that starts while the
-// store does not answer it knows no other way to learn anything.
+// pullSeeds asks one of the ingresses that the settings name. An ingress that starts while the
+// store does not answer it has no other source of records.
 func (p *Puller) pullSeeds(ctx context.Context) {
 	if len(p.Seeds) == 0 {
 		return
 	}
-	seed := p.Seeds[rand.IntN(len(p.Seeds))] //nolint:gosec // any of them will do
+	seed := p.Seeds[rand.IntN(len(p.Seeds))] //nolint:gosec // not security-relevant
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	defer p.Feed.NoteWhole()
-	got, err := p.Mesh.SyncAt(ctx, seed, p.newSync(), p.Feed.NoteArrival)
+	defer p.Feed.ObserveMessageEnd()
+	records, err := p.Mesh.SyncAddress(ctx, seed, p.newSync(), p.Feed.ObserveMessagePart)
 	if err != nil {
 		p.Log.Info("pull-failed", zap.Stringer("seed", seed), logs.Err(err))
 		return
 	}
-	p.take(got)
+	p.apply(records)
 }
 
 func (p *Puller) newSync() *wire.Sync {
 	return &wire.Sync{At: p.Book.At()}
 }
 
-// runPull asks one ingress that is known to be ahead, until the records here have come up to it.
+// runPull asks one ingress that has newer records for them. It stops early once the records here
+// are complete up to revision newest.
 func (p *Puller) runPull(name string, newest uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go p.runUntil(ctx, cancel, newest)
+	go p.runCancelWhenComplete(ctx, cancel, newest)
 	p.pull(ctx, name)
 }
 
-// runUntil cancels a pull once the records here are complete up to a revision.
-func (p *Puller) runUntil(ctx context.Context, cancel context.CancelFunc, newest uint64) {
+// runCancelWhenComplete cancels a pull once the records here are complete up to revision newest.
+func (p *Puller) runCancelWhenComplete(ctx context.Context, cancel context.CancelFunc, newest uint64) {
 	for {
 		changed := p.Book.Changed()
 		if p.Book.At() >= newest {
@@ -135,25 +141,26 @@
 	}
 }
 
+// pull asks one ingress for the records that this one lacks and applies them.
 func (p *Puller) pull(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	defer p.Feed.NoteWhole()
+	defer p.Feed.ObserveMessageEnd()
 	began := time.Now()
-	got, err := p.Mesh.Sync(ctx, name, p.newSync(), p.Feed.NoteArrival)
+	records, err := p.Mesh.Sync(ctx, name, p.newSync(), p.Feed.ObserveMessagePart)
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return // the records came from elsewhere
+		return // the records arrived from another source meanwhile
 	}
 	if err != nil {
 		p.Log.Info("pull-failed", zap.String("ingress", name), zap.Duration("took", time.Since(began)), logs.Err(err))
 		return
 	}
-	logLarge(p.Log, name, got, time.Since(began))
-	p.take(got)
+	logLarge(p.Log, name, records, time.Since(began))
+	p.apply(records)
 }
 
-func (p *Puller) take(got *wire.Records) {
-	delta, err := DecodeDelta(got)
+func (p *Puller) apply(records *wire.Records) {
+	delta, err := DecodeDelta(records)
 	if err != nil {
 		p.Log.Warn("records-unreadable", logs.Err(err))
 		return
--- a/ingress/services/mesh/rank.go
+++ b/ingress/services/mesh/rank.go
@@ -7,34 +7,34 @@
 	"verbenaroad.example/share/modules/rhash"
 )
 
-// Rank lists the ingresses that can be reached by their score for a key, the
-// larger ones first more often. This one is among them, unless it is stopping and
-// another can take its work.
+// Rank returns the reachable ingresses in the order of their rendezvous scores for a key. Ingresses
+// with a higher capacity are first for more keys. This ingress is included unless it is stopping
+// and another one is reachable.
 func (m *Mesh) Rank(key string) []string {
-	live := m.listLive()
-	if len(live) == 0 || !m.options.IsLeaving() {
-		live = append(live, weigh(m.options.Self))
+	candidates := m.listWeighted()
+	if len(candidates) == 0 || !m.options.IsLeaving() {
+		candidates = append(candidates, weigh(m.options.Self))
 	}
-	return rhash.PickWeighted(key, live)
+	return rhash.PickWeighted(key, candidates)
 }
 
-// RankIn lists those of a region in the same way, and all of them where none of the
-// region can be reached; an empty region stands for all.
+// RankIn returns the ingresses of a region in the order of Rank. It returns those of all regions if
+// the region is empty or none of its ingresses is reachable.
 func (m *Mesh) RankIn(region, key string) []string {
 	ranked := m.Rank(key)
 	if region == "" {
 		return ranked
 	}
 	m.lock.Lock()
-	near := slices.DeleteFunc(slices.Clone(ranked), func(name string) bool { return m.regionOf(name) != region })
+	inRegion := slices.DeleteFunc(slices.Clone(ranked), func(name string) bool { return m.regionOf(name) != region })
 	m.lock.Unlock()
-	if len(near) == 0 {
+	if len(inRegion) == 0 {
 		return ranked
 	}
-	return near
+	return inRegion
 }
 
-// regionOf returns the region of an ingress; called under the lock.
+// regionOf returns the region of an ingress. The caller holds the lock.
 func (m *Mesh) regionOf(name string) string {
 	if name == m.options.Self.Name {
 		return m.options.Regions[m.options.Self.Domain]
@@ -42,14 +42,15 @@
 	return m.options.Regions[m.known[name].Domain]
 }
 
-// IsAlone tells whether no other ingress takes new requests, as far as this one knows.
-func (m *Mesh) IsAlone() bool { return len(m.listLive()) == 0 }
+// IsAlone reports whether no other ingress takes new requests, as far as this one knows.
+func (m *Mesh) IsAlone() bool { return len(m.listWeighted()) == 0 }
 
-// minCapacity stands for that of an ingress that does not say it.
+// minCapacity is the capacity assumed for an ingress that reports none, and the least that counts.
 const minCapacity = 0.1
 
-// weigh gives the work of others to larger ingresses much more often: a small one
-// that batches for all is slow for all.
+// weigh returns the weight of an ingress, which is the cube of its capacity. Larger ingresses are
+// thus chosen much more often to work for all others, because a small one that batches for all of
+// them slows all of them down.
 func weigh(i site.Ingress) rhash.Weighted {
 	capacity := max(i.Capacity, minCapacity)
 	return rhash.Weighted{Name: i.Name, Weight: capacity * capacity * capacity}
--- a/ingress/services/mesh/rank_test.go
+++ b/ingress/services/mesh/rank_test.go
@@ -11,16 +11,16 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// Guards against a region's queue that is held in another region, or by nobody where the
-// region has no ingress left.
-func TestRegionsQueueIsHeldInTheRegion(t *testing.T) {
+// Guards against a region's queue that is held by an ingress of another region, or by no ingress
+// at all if the region has none left.
+func TestRankInReturnsIngressesOfTheRegion(t *testing.T) {
 	is := is.New(t)
 	self := site.Ingress{Name: "n-1", Domain: "n1", Capacity: 1}
 	m := mesh.NewMesh(mesh.Options{
 		Self: self, Regions: map[string]string{"n1": "north", "s1": "south", "w1": "west"},
 		IsLeaving: func() bool { return false }, Log: zap.NewNop(),
 	})
-	m.TakeView(&state.View{Ingresses: []site.Ingress{
+	m.SetView(&state.View{Ingresses: []site.Ingress{
 		self, {Name: "s-1", Domain: "s1", Capacity: 1}, {Name: "s-2", Domain: "s1", Capacity: 1},
 	}})
 	is.Equal(m.RankIn("north", "q"), []string{"n-1"})
--- a/ingress/services/mesh/serve.go
+++ b/ingress/services/mesh/serve.go
@@ -11,8 +11,8 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// Maker does jobs for other ingresses.
-type Maker interface {
+// Producer produces results of stages, and releases them, for other ingresses.
+type Producer interface {
 	ServeProduce(ctx context.Context, p *wire.Produce) *wire.Produced
 	ServeDiscard(d *wire.Discard)
 }
@@ -22,7 +22,7 @@
 	ServeAssign(stream net.Conn, reader *wire.Reader, a *wire.Assign)
 }
 
-// Screen counts for other ingresses the servers that requests crash.
+// Screen counts, for other ingresses, the servers that crashed while they ran a request.
 type Screen interface {
 	ServeCrash(c *wire.Crash) *wire.CrashNoted
 	ServeServed(s *wire.Served)
@@ -30,11 +30,11 @@
 
 // Handler serves the sessions that other ingresses open.
 type Handler struct {
-	Maker  Maker
-	Placer Placer
-	Screen Screen
-	Feeder *Feeder
-	Log    *zap.Logger
+	Producer Producer
+	Placer   Placer
+	Screen   Screen
+	Feeder   *Feeder
+	Log      *zap.Logger
 }
 
 // ServeSession serves the streams of a session until it ends.
@@ -48,35 +48,35 @@
 	}
 }
 
-// runStream answers the one question of a stream.
+// runStream reads the one request frame of a stream and answers it.
 func (h *Handler) runStream(ctx context.Context, stream net.Conn) {
 	defer func() { _ = stream.Close() }()
 	reader := wire.NewReader(stream)
 	frame, err := reader.Next()
 	if err != nil {
-		return // the peer gave up before it asked
+		return // the peer closed the stream before it sent a request
 	}
 	switch {
 	case frame.GetSync() != nil:
 		w := watcher{reader: reader, cancel: func() { _ = stream.Close() }}
 		go w.run()
-		records := h.Feeder.collect(frame.GetSync().GetAt())
+		records := h.Feeder.encodeSince(frame.GetSync().GetAt())
 		h.answer(stream, &wire.Frame{Body: &wire.Frame_Records{Records: records}})
 	case frame.GetFollow() != nil:
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		w := watcher{reader: reader, cancel: cancel}
 		go w.run()
-		h.Feeder.Serve(ctx, stream, frame.GetFollow().GetAt())
+		h.Feeder.ServeFollower(ctx, stream, frame.GetFollow().GetAt())
 	case frame.GetProduce() != nil:
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		w := watcher{reader: reader, cancel: cancel}
 		go w.run()
-		made := h.Maker.ServeProduce(ctx, frame.GetProduce())
-		h.answer(stream, &wire.Frame{Body: &wire.Frame_Produced{Produced: made}})
+		produced := h.Producer.ServeProduce(ctx, frame.GetProduce())
+		h.answer(stream, &wire.Frame{Body: &wire.Frame_Produced{Produced: produced}})
 	case frame.GetDiscard() != nil:
-		h.Maker.ServeDiscard(frame.GetDiscard())
+		h.Producer.ServeDiscard(frame.GetDiscard())
 	case frame.GetCrash() != nil:
 		h.answer(stream, &wire.Frame{Body: &wire.Frame_CrashNoted{CrashNoted: h.Screen.ServeCrash(frame.GetCrash())}})
 	case frame.GetServed() != nil:
@@ -94,13 +94,13 @@
 	}
 }
 
-// watcher cancels the work behind a stream when the peer closes it.
+// watcher cancels the work for a stream when the peer closes it.
 type watcher struct {
 	reader *wire.Reader
 	cancel context.CancelFunc
 }
 
 func (w watcher) run() {
-	_, _ = w.reader.Next() // nothing more comes; its return is the end of the stream
+	_, _ = w.reader.Next() // the peer sends nothing more, so this returns when the stream ends
 	w.cancel()
 }
--- a/ingress/services/mesh/slowlink_test.go
+++ b/ingress/services/mesh/slowlink_test.go
@@ -12,41 +12,44 @@
 
 const (
 	configKey = "op/config"
-	// applyBound is within what time a configuration is in force everywhere.
-	applyBound = 4 * time.Second
-	// settleTime is long enough for each instance to follow another one, or to watch the store.
+	// applyLimit is the time within which a new configuration must be in force on all instances.
+	applyLimit = 4 * time.Second
+	// settleTime is long enough for each instance to follow another one or to read the store.
 	settleTime = 2 * time.Second
-	// manyRoutes make a configuration of a megabyte, the most that the store holds.
+	// manyRoutes is the number of routes that make a configuration of one megabyte, the largest
+	// that the store accepts.
 	manyRoutes = 3900
 )
 
-// newConfig returns a configuration with so many routes whose names are of chance.
+// newConfig returns a configuration with the given number of routes, whose names are random and
+// thus hardly compressible.
 func newConfig(version uint64, routes int) []byte {
 	random := rand.New(rand.NewPCG(version, 1)) //nolint:gosec // a test's data
-	word := func() string { return fmt.Sprintf("%08x", random.Uint32()) }
+	randomHex := func() string { return fmt.Sprintf("%08x", random.Uint32()) }
 	list := make([]map[string]any, 0, routes)
 	for range routes {
 		list = append(list, map[string]any{
-			"Name": "r-" + word(), "Host": word() + ".example", "Prefix": "/" + word() + "/", "Type": "safe",
-			"TimeoutMs": 1500, "TargetLatencyMs": 300, "Priority": 2, "Service": "s-" + word(), "MaxAttempts": 2,
+			"Name": "r-" + randomHex(), "Host": randomHex() + ".example", "Prefix": "/" + randomHex() + "/", "Type": "safe",
+			"TimeoutMs": 1500, "TargetLatencyMs": 300, "Priority": 2, "Service": "s-" + randomHex(), "MaxAttempts": 2,
 			"Stages": []any{}, "Public": false, "Sticky": false, "Resumable": false,
 		})
 	}
 	encoded, err := json.Marshal(map[string]any{"Version": version, "Routes": list, "Services": []any{}})
 	if err != nil {
-		panic(err) // only values of this file come here
+		panic(err) // impossible: all values are created above
 	}
 	return encoded
 }
 
+// hasVersion returns a condition that holds at an instance that has the version or a higher one.
 func hasVersion(version uint64) func(i *instance) bool {
 	return func(i *instance) bool { return i.book.View().Version() >= version }
 }
 
-// Guards against ingresses on slow links that never receive a large configuration, since each
-// transfer is given up before its end and begun anew.
+// Guards against ingresses on slow links that never receive a large configuration because each
+// transfer is abandoned before its end and started again.
 func TestLargeConfigReachesSlowLinks(t *testing.T) {
-	// On the slower ones even a compressed configuration takes longer than a link may be silent.
+	// On the slower links even a compressed configuration takes longer than silentAfter.
 	for _, mbps := range []float64{10, 1} {
 		t.Run(fmt.Sprint(mbps), func(t *testing.T) {
 			t.Parallel()
@@ -67,7 +70,8 @@
 	}
 }
 
-// Guards against a failure domain whose ingresses all have slow links, and so also the one that watches the store.
+// Guards against the same fault in a failure domain whose ingresses all have slow links, including
+// the one that reads the store.
 func TestLargeConfigReachesSlowDomain(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -83,16 +87,17 @@
 	}
 }
 
-// checkChange changes the configuration and checks that it reaches all instances in time, each of them once.
+// checkChange changes the configuration and checks that it reaches all instances within applyLimit,
+// and those on slow links only once.
 func (f *fleet) checkChange(is *is.I, config []byte, version uint64) {
 	f.t.Helper()
-	before := f.countReceived()
+	before := f.countReceivedBytes()
 	f.records.put(configKey, config)
-	took := f.wait(applyBound, hasVersion(version))
+	took := f.wait(applyLimit, hasVersion(version))
 	f.t.Logf("version %d of %d bytes took %v", version, len(config), took)
-	is.True(took < applyBound)
+	is.True(took < applyLimit)
 	time.Sleep(settleTime / 2)
-	for number, received := range f.countReceived() {
+	for number, received := range f.countReceivedBytes() {
 		is.True(received-before[number] < 2*len(config))
 	}
 }
