--- a/ingress/services/mesh/mesh.go
+++ b/ingress/services/mesh/mesh.go
@@ -247,9 +247,9 @@
 	return link.Discard(session, d)
 }
 
-// TellCrash reports to another ingress that an attempt of a request failed because its server
+// ReportCrash reports to another ingress that an attempt of a request failed because its server
 // crashed. The answer says whether the request is quarantined.
-func (m *Mesh) TellCrash(ctx context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error) {
+func (m *Mesh) ReportCrash(ctx context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error) {
 	session, err := m.getSession(ctx, name)
 	if err != nil {
 		return nil, err
@@ -257,8 +257,8 @@
 	return link.TellCrash(ctx, session, c)
 }
 
-// TellServed reports to another ingress that a request was served.
-func (m *Mesh) TellServed(ctx context.Context, name string, s *wire.Served) error {
+// ReportServed reports to another ingress that a request was served.
+func (m *Mesh) ReportServed(ctx context.Context, name string, s *wire.Served) error {
 	session, err := m.getSession(ctx, name)
 	if err != nil {
 		return err
--- a/ingress/services/screen/report.go
+++ b/ingress/services/screen/report.go
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 	defer cancel()
 	now := time.Now()
-	got, err := s.options.Peers.TellCrash(ctx, name, &wire.Crash{
+	got, err := s.options.Peers.ReportCrash(ctx, name, &wire.Crash{
 		Request: string(id), Service: service, ServerId: c.Server, Version: c.Version,
 		SentAgoNanos: int64(now.Sub(c.SentAt)), BrokeAgoNanos: int64(now.Sub(c.BrokeAt)),
 	})
@@ -133,7 +133,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
-		err := s.options.Peers.TellServed(ctx, name, &wire.Served{Request: string(id)})
+		err := s.options.Peers.ReportServed(ctx, name, &wire.Served{Request: string(id)})
 		cancel()
 		if err != nil {
 			s.options.Log.Info("served-untold", zap.String("digest", string(id)), zap.String("ingress", name), logs.Err(err))
--- a/ingress/services/screen/screen.go
+++ b/ingress/services/screen/screen.go
@@ -28,8 +28,8 @@
 	// Rank lists the ingresses that can be reached by their score for a key.
 	Rank(key string) []string
 	Self() string
-	TellCrash(ctx context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error)
-	TellServed(ctx context.Context, name string, s *wire.Served) error
+	ReportCrash(ctx context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error)
+	ReportServed(ctx context.Context, name string, s *wire.Served) error
 }
 
 // Store writes records.
--- a/ingress/services/screen/screen_test.go
+++ b/ingress/services/screen/screen_test.go
@@ -69,14 +69,14 @@
 
 func (p peer) Self() string { return p.name }
 
-func (p peer) TellCrash(_ context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error) {
+func (p peer) ReportCrash(_ context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error) {
 	if p.cut {
 		return nil, errors.New("cut off")
 	}
 	return p.screens[name].ServeCrash(c), nil
 }
 
-func (p peer) TellServed(_ context.Context, name string, s *wire.Served) error {
+func (p peer) ReportServed(_ context.Context, name string, s *wire.Served) error {
 	p.screens[name].ServeServed(s)
 	return nil
 }
