--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -123,8 +123,8 @@
 	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: i.log, OnChange: i.setView})
 	i.mesh = mesh.NewMesh(mesh.Options{
 		Self: i.self, Regions: s.Place.Regions, IsLeaving: i.stopper.IsLeaving, Link: i.newLinkOptions(), Log: i.log,
-		OnOutlook: func(backlog *wire.Outlook) { i.producer.RecordBacklog(backlog) },
-		OnReading: func(name string, status *wire.Reading) { i.feeder.TakeReading(name, status) },
+		OnBacklog:     func(backlog *wire.Outlook) { i.producer.RecordBacklog(backlog) },
+		OnStoreStatus: func(name string, status *wire.Reading) { i.feeder.ObserveStoreStatus(name, status) },
 	})
 	i.puller = &mesh.Puller{Mesh: i.mesh, Book: i.book, Seeds: s.Peers.Seeds, Log: i.log}
 	i.feeder = mesh.NewFeeder(mesh.FeederOptions{
@@ -167,7 +167,7 @@
 		SilentAfter: time.Duration(silenceFactor * float64(interval)),
 		Beat: func() *wire.Beat {
 			return &wire.Beat{
-				Leaving: i.stopper.IsLeaving(), Outlooks: i.batcher.Backlogs(), Reading: mesh.EncodeReading(i.book),
+				Leaving: i.stopper.IsLeaving(), Outlooks: i.batcher.Backlogs(), Reading: mesh.EncodeStoreStatus(i.book),
 			}
 		},
 	}
@@ -179,7 +179,7 @@
 	i.placer.SetView(v)
 	i.producer.SetView(v)
 	i.batcher.SetView(v)
-	i.mesh.TakeView(v)
+	i.mesh.SetView(v)
 	i.screen.SetView(v)
 	i.meters.SetVersion(v.Version())
 }
@@ -206,7 +206,7 @@
 	var err error
 	i.peerServer, err = peers.NewServer(peers.Options{
 		Address: s.Peers.Listen, Link: i.newLinkOptions(),
-		Handler: &mesh.Handler{Maker: i.producer, Placer: i.dispatcher, Screen: i.screen, Feeder: i.feeder, Log: i.log}, Log: i.log,
+		Handler: &mesh.Handler{Producer: i.producer, Placer: i.dispatcher, Screen: i.screen, Feeder: i.feeder, Log: i.log}, Log: i.log,
 	})
 	if err != nil {
 		return err
--- a/ingress/services/screen/report.go
+++ b/ingress/services/screen/report.go
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	now := time.Now()
-	got, err := s.options.Peers.TellCrash(ctx, name, &wire.Crash{
+	got, err := s.options.Peers.ReportCrash(ctx, name, &wire.Crash{
 		Request: string(id), Service: service, ServerId: c.Server, Version: c.Version,
 		SentAgoNanos: int64(now.Sub(c.SentAt)), BrokeAgoNanos: int64(now.Sub(c.BrokeAt)),
 	})
@@ -138,7 +138,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
-		err := s.options.Peers.TellServed(ctx, name, &wire.Served{Request: string(id)})
+		err := s.options.Peers.ReportServed(ctx, name, &wire.Served{Request: string(id)})
 		cancel()
 		if err != nil {
 			s.options.Log.Info("served-untold", zap.String("digest", string(id)), zap.String("ingress", name), logs.Err(err))
--- a/ingress/services/screen/screen.go
+++ b/ingress/services/screen/screen.go
@@ -29,10 +29,10 @@
 	Rank(key string) []string
 	// Self returns the name of this ingress.
 	Self() string
-	// TellCrash reports a crash to another ingress, which counts it and replies whether the request
-	// is quarantined. TellServed reports that a request was served.
-	TellCrash(ctx context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error)
-	TellServed(ctx context.Context, name string, s *wire.Served) error
+	// ReportCrash reports a crash to another ingress, which counts it and replies whether the request
+	// is quarantined. ReportServed reports that a request was served.
+	ReportCrash(ctx context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error)
+	ReportServed(ctx context.Context, name string, s *wire.Served) error
 }
 
 // Store writes records.
