--- a/ingress/services/screen/report.go
+++ b/ingress/services/screen/report.go
@@ -188,7 +188,7 @@
 		return s.options.Store.Put(ctx, s.options.Codec.QuarantineKey(string(id)), value, 0)
 	})
 	for _, old := range poison.FindExcessQuarantines(s.view.Load().Quarantines) {
-		s.runEnd(old, "too many quarantines")
+		s.runEnd(old, "there are too many")
 	}
 }
 
--- a/ingress/services/screen/screen.go
+++ b/ingress/services/screen/screen.go
@@ -115,7 +115,7 @@
 		delete(s.pending, id)
 		s.changedAt[id] = time.Now()
 		if s.served.Has(id) {
-			go s.runEnd(id, "request was served at this ingress")
+			go s.runEnd(id, "it was served here")
 		}
 	}
 	for id := range before.Quarantines {
@@ -149,7 +149,7 @@
 		go s.runReportServed(id)
 	}
 	if _, quarantined := s.view.Load().Quarantines[id]; quarantined {
-		go s.runEnd(id, "request was served")
+		go s.runEnd(id, "it was served")
 	}
 }
 
