--- a/ingress/routers/public/public.go
+++ b/ingress/routers/public/public.go
@@ -44,8 +44,8 @@
 // Doorman knows whether the process is stopping.
 type Doorman interface {
 	AdmitWork(id string) bool
-	// AdmitLast is asked for work that no other ingress takes and that ends within bound.
-	AdmitLast(id string, bound time.Duration) bool
+	// AdmitLastResort is asked for work that no other ingress takes and that ends within bound.
+	AdmitLastResort(id string, bound time.Duration) bool
 	EndWork(id string)
 	IsLeaving() bool
 }
@@ -136,7 +136,7 @@
 	if q.CallerTimeout > 0 && (bound == 0 || q.CallerTimeout < bound) {
 		bound = q.CallerTimeout
 	}
-	return route.Kind != site.KindStream && bound > 0 && t.options.Doorman.AdmitLast(work, bound)
+	return route.Kind != site.KindStream && bound > 0 && t.options.Doorman.AdmitLastResort(work, bound)
 }
 
 // read checks the request and takes its body. The check comes first: what is
--- a/ingress/routers/public/unready_test.go
+++ b/ingress/routers/public/unready_test.go
@@ -21,10 +21,10 @@
 func (starting) IsAlone() bool               { return true }
 func (starting) View() *state.View           { return &state.View{} }
 
-func (starting) AdmitWork(string) bool                { return true }
-func (starting) AdmitLast(string, time.Duration) bool { return false }
-func (starting) EndWork(string)                       {}
-func (starting) IsLeaving() bool                      { return false }
+func (starting) AdmitWork(string) bool                      { return true }
+func (starting) AdmitLastResort(string, time.Duration) bool { return false }
+func (starting) EndWork(string)                             {}
+func (starting) IsLeaving() bool                            { return false }
 
 func (starting) ReadRequest(http.Header) site.Request { return site.Request{AttemptID: "a"} }
 func (starting) StripRequest(http.Header)             {}
--- a/share/services/stops/stopper.go
+++ b/share/services/stops/stopper.go
@@ -1,6 +1,6 @@
-// Package stops runs a process's graceful shutdown by the decisions of
-// share/decide/drain. In: signals, work that comes and ends. Out: the moment
-// to leave, with the work that was cut.
+// Package stops runs the graceful stop of a process as package drain decides it. It reports the
+// process's signals and the start and end of its work to a drain.Instance. When the process may exit,
+// it lists the work that has not ended.
 package stops
 
 import (
@@ -11,21 +11,23 @@
 	"verbenaroad.example/share/decide/drain"
 )
 
-const wakeEvery = 50 * time.Millisecond
+// checkInterval is the period of TimerFired events during a drain.
+const checkInterval = 50 * time.Millisecond
 
-// Stopper guards a drain.Instance with a lock.
+// Stopper runs a drain.Instance. It is safe for concurrent use.
 type Stopper struct {
-	// announced is closed when the drain begins, stopped when the process may leave.
+	// announced is closed when the drain begins, stopped when the process may exit.
 	announced chan struct{}
 	stopped   chan struct{}
 
 	lock     sync.Mutex
 	instance *drain.Instance
-	// cut is set before stopped is closed.
-	cut []string
+	// unfinished holds the ids of the work that had not ended when the process was allowed to exit.
+	// It is set before stopped is closed.
+	unfinished []string
 }
 
-// NewStopper returns a stopper of a serving instance.
+// NewStopper returns a Stopper whose instance is serving.
 func NewStopper(settings drain.Settings) *Stopper {
 	return &Stopper{
 		announced: make(chan struct{}),
@@ -34,15 +36,16 @@
 	}
 }
 
-// AdmitWork says whether the work may run; false once the drain has begun.
+// AdmitWork reports whether the work may start. During a drain, work is admitted only within
+// drain.Settings.AdmitPeriod.
 func (s *Stopper) AdmitWork(id string) bool {
 	return isAdmitted(s.step(drain.WorkOffered{ID: id}))
 }
 
-// AdmitLast says whether work may run that was not admitted, that no other instance
-// takes, and that ends within a bound.
-func (s *Stopper) AdmitLast(id string, bound time.Duration) bool {
-	return isAdmitted(s.step(drain.LastResortOffered{ID: id, MaxDuration: bound}))
+// AdmitLastResort reports whether work may start that AdmitWork refused and that no other instance
+// takes. The work ends within maxDuration.
+func (s *Stopper) AdmitLastResort(id string, maxDuration time.Duration) bool {
+	return isAdmitted(s.step(drain.LastResortOffered{ID: id, MaxDuration: maxDuration}))
 }
 
 func isAdmitted(actions []drain.Action) bool {
@@ -54,12 +57,12 @@
 	return false
 }
 
-// EndWork notes that the work's answer was handed to the network.
+// EndWork records that the work's answer was handed to the network.
 func (s *Stopper) EndWork(id string) {
 	s.step(drain.WorkEnded{ID: id})
 }
 
-// RequestStop begins the drain; a second request changes nothing.
+// RequestStop begins the drain. Further requests have no effect.
 func (s *Stopper) RequestStop(ctx context.Context) {
 	for _, action := range s.step(drain.StopRequested{}) {
 		if _, ok := action.(drain.Announce); ok {
@@ -68,26 +71,28 @@
 	}
 }
 
-// IsLeaving tells whether the drain has begun.
+// IsLeaving reports whether the drain has begun.
 func (s *Stopper) IsLeaving() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.instance.State() != drain.StateServing
 }
 
-// Announced is closed when the drain begins.
+// Announced returns a channel that is closed when the drain begins.
 func (s *Stopper) Announced() <-chan struct{} { return s.announced }
 
-// Stopped is closed when the process may leave.
+// Stopped returns a channel that is closed when the process may exit.
 func (s *Stopper) Stopped() <-chan struct{} { return s.stopped }
 
-// FindCut lists the work that was still running when the grace period ended.
-func (s *Stopper) FindCut() []string {
+// FindUnfinished returns the ids of the work that was still running when the grace period ended. It
+// returns nil until Stopped is closed.
+func (s *Stopper) FindUnfinished() []string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.cut
+	return s.unfinished
 }
 
+// step applies an event to the instance and carries out the actions Announce and Stop.
 func (s *Stopper) step(e drain.Event) []drain.Action {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -97,16 +102,16 @@
 		case drain.Announce:
 			close(s.announced)
 		case drain.Stop:
-			s.cut = a.Unfinished
+			s.unfinished = a.Unfinished
 			close(s.stopped)
 		}
 	}
 	return actions
 }
 
-// loop lets the drain look at the time until it is over.
+// loop sends TimerFired events to the instance until it has stopped.
 func (s *Stopper) loop(ctx context.Context) {
-	ticker := time.NewTicker(wakeEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/share/services/stops/wait.go
+++ b/share/services/stops/wait.go
@@ -10,7 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// Wait waits for a signal and then for the drain; a second signal changes nothing.
+// Wait requests a stop at the first SIGTERM or SIGINT and returns when the process may exit, or when
+// ctx ends. Further signals have no effect.
 func Wait(ctx context.Context, stopper *Stopper, log *zap.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -21,8 +22,8 @@
 			log.Info("stop-requested", zap.Stringer("signal", got))
 			stopper.RequestStop(ctx)
 		case <-stopper.Stopped():
-			cut := stopper.FindCut()
-			log.Info("stopped", zap.Int("cut", len(cut)), zap.String("requests", strings.Join(cut, ",")))
+			unfinished := stopper.FindUnfinished()
+			log.Info("stopped", zap.Int("cut", len(unfinished)), zap.String("requests", strings.Join(unfinished, ",")))
 			return
 		case <-ctx.Done():
 			return
