--- a/share/services/follow/fetch.go
+++ b/share/services/follow/fetch.go
@@ -43,7 +43,7 @@
 		}
 		index = answer.Index
 		// The answer may be as old as the request, so the request's time is the safe one.
-		f.Tell(gossip.HeadObserved{Head: answer.Head, RequestedAt: answer.AskedAt, FromWatch: true})
+		f.Tell(gossip.HeadObserved{Head: answer.Head, RequestedAt: answer.RequestedAt, FromWatch: true})
 		if index == 0 {
 			pauses.Wait(ctx, watchPause)
 		}
--- a/share/services/store/reader.go
+++ b/share/services/store/reader.go
@@ -7,44 +7,44 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// Reader reads the configuration from the key-value service.
+// Reader reads configurations from the key-value service.
 type Reader struct {
 	kv     KeyValue
 	prefix string
 }
 
-// NewReader returns a reader of the keys below a prefix.
+// NewReader returns a Reader of the keys that begin with prefix.
 func NewReader(kv KeyValue, prefix string) *Reader {
 	return &Reader{kv: kv, prefix: prefix}
 }
 
-// HeadAnswer is the head as one read or watch showed it.
+// HeadAnswer is the head as one read or watch request returned it.
 type HeadAnswer struct {
-	// Head is zero and Index 0 where no configuration exists.
+	// Head is zero and Index is 0 if no configuration exists.
 	Head  config.Head
 	Index uint64
-	// AskedAt is when the question was sent; the answer is no newer than that for sure.
-	AskedAt time.Time
-	// Record is the head as the service holds it.
+	// RequestedAt is when the request was sent. The answer is only certain to have been current then.
+	RequestedAt time.Time
+	// Record is the encoded head as the key-value service stores it.
 	Record []byte
 }
 
-// ReadHead reads the head consistently.
+// ReadHead returns the head by a consistent read.
 func (r *Reader) ReadHead(ctx context.Context) (HeadAnswer, error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	value, err := r.kv.Get(ctx, r.prefix+headKey)
-	return decodeHead(value, asked, err)
+	return decodeHead(value, requestedAt, err)
 }
 
-// WatchHead returns the head once its index differs or the wait is over.
+// WatchHead returns the head once its index differs from index, or after the wait.
 func (r *Reader) WatchHead(ctx context.Context, index uint64, wait time.Duration) (HeadAnswer, error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	value, err := r.kv.Watch(ctx, r.prefix+headKey, index, wait)
-	return decodeHead(value, asked, err)
+	return decodeHead(value, requestedAt, err)
 }
 
-func decodeHead(value Value, asked time.Time, err error) (HeadAnswer, error) {
-	answer := HeadAnswer{Index: value.Index, AskedAt: asked, Record: value.Data}
+func decodeHead(value Value, requestedAt time.Time, err error) (HeadAnswer, error) {
+	answer := HeadAnswer{Index: value.Index, RequestedAt: requestedAt, Record: value.Data}
 	if err != nil {
 		return answer, ErrStore.Wrap(err)
 	}
@@ -55,11 +55,12 @@
 	return answer, ErrStore.Wrap(err)
 }
 
-// ReadChunks reads values by their hashes; every one must exist.
+// ReadChunks returns the chunks with the given hashes. It fails if one does not exist or does not match
+// its hash.
 func (r *Reader) ReadChunks(ctx context.Context, hashes []config.Hash) ([]config.Chunk, error) {
 	chunks := make([]config.Chunk, 0, len(hashes))
 	for _, hash := range hashes {
-		value, err := r.kv.Get(ctx, r.prefix+chunkKey+string(hash))
+		value, err := r.kv.Get(ctx, r.prefix+chunkKeyPrefix+string(hash))
 		if err != nil {
 			return nil, ErrStore.Wrap(err)
 		}
@@ -75,7 +76,8 @@
 	return chunks, nil
 }
 
-// Load reads the configuration at a place; chunks of old, which may be nil, are used again.
-func (r *Reader) Load(ctx context.Context, old *config.Loaded, place config.Version) (*config.Loaded, error) {
-	return Load(ctx, r, old, place)
+// Load reads the configuration of a version. It reads only the chunks that old does not hold; old may
+// be nil.
+func (r *Reader) Load(ctx context.Context, old *config.Loaded, version config.Version) (*config.Loaded, error) {
+	return Load(ctx, r, old, version)
 }
--- a/share/services/store/store.go
+++ b/share/services/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps the configuration in the key-value service: it carries
-// out the decisions of package head, and reads heads, manifests and chunks.
+// Package store stores configurations in the key-value service. It carries out the decisions of
+// package head, and reads heads, manifests and chunks.
 package store
 
 import (
@@ -14,47 +14,50 @@
 // ErrStore is the class of errors of this package.
 var ErrStore = errs.Class("store") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// DefaultPrefix is where the configuration's keys stand.
+// DefaultPrefix is the prefix of the configuration's keys.
 const DefaultPrefix = "verbenaroad/config/"
 
 const (
-	headKey  = "head"
-	chunkKey = "chunk/"
+	headKey = "head"
+	// chunkKeyPrefix is followed by the chunk's hash. Manifests are stored under it too.
+	chunkKeyPrefix = "chunk/"
 )
 
-// Value is what the key-value service holds under a key.
+// Value is the value of a key in the key-value service.
 type Value struct {
 	Data []byte
-	// Index changes with every write of the key; 0 means that there is no value.
+	// Index changes with every write of the key; 0 means that the key does not exist.
 	Index uint64
 }
 
 // KeyValue is the part of the key-value service that the configuration needs.
 type KeyValue interface {
-	// Get reads consistently; a missing key is a Value with index 0 and no error.
+	// Get returns the value of a key by a consistent read. For a missing key it returns a Value with
+	// index 0 and no error.
 	Get(ctx context.Context, key string) (Value, error)
-	// CompareAndSwap writes where the key still has the index; 0 stands for a
-	// missing key. After an error the outcome is unknown.
+	// CompareAndSwap writes data if the key still has the index, and reports whether it did. Index 0
+	// means that the key must not exist. After an error the outcome is unknown.
 	CompareAndSwap(ctx context.Context, key string, data []byte, index uint64) (bool, error)
-	// Watch returns once the key has another index, or when wait is over.
+	// Watch returns the value of a key once its index differs from index, or after the wait.
 	Watch(ctx context.Context, key string, index uint64, wait time.Duration) (Value, error)
 }
 
-// ChunkSource gives chunks and manifests by hash: the key-value service or a peer.
+// ChunkSource returns chunks and manifests by hash, from the key-value service or from a peer.
 type ChunkSource interface {
 	ReadChunks(ctx context.Context, hashes []config.Hash) ([]config.Chunk, error)
 }
 
-// Load reads the configuration at a place from a source; chunks of old, which may be nil, are used again.
-func Load(ctx context.Context, source ChunkSource, old *config.Loaded, place config.Version) (*config.Loaded, error) {
-	chunks, err := source.ReadChunks(ctx, []config.Hash{place.ManifestHash})
+// Load reads the configuration of a version from a source. It reads only the chunks that old does not
+// hold; old may be nil.
+func Load(ctx context.Context, source ChunkSource, old *config.Loaded, version config.Version) (*config.Loaded, error) {
+	chunks, err := source.ReadChunks(ctx, []config.Hash{version.ManifestHash})
 	if err != nil {
 		return nil, ErrStore.Wrap(err)
 	}
 	if len(chunks) != 1 {
-		return nil, ErrStore.New("manifest %s is missing", place.ManifestHash)
+		return nil, ErrStore.New("manifest %s is missing", version.ManifestHash)
 	}
-	manifest, err := config.DecodeManifest(place.ManifestHash, chunks[0].Data)
+	manifest, err := config.DecodeManifest(version.ManifestHash, chunks[0].Data)
 	if err != nil {
 		return nil, ErrStore.Wrap(err)
 	}
@@ -62,6 +65,6 @@
 	if err != nil {
 		return nil, ErrStore.Wrap(err)
 	}
-	loaded, err := config.Load(old, place, manifest, fetched)
+	loaded, err := config.Load(old, version, manifest, fetched)
 	return loaded, ErrStore.Wrap(err)
 }
--- a/share/services/store/store_test.go
+++ b/share/services/store/store_test.go
@@ -17,14 +17,14 @@
 
 var errDown = errors.New("down")
 
-// fakeKV holds values in memory; faults are taken from lists, one a call.
+// fakeKV is an in-memory key-value service with injected faults.
 type fakeKV struct {
 	mutex  sync.Mutex
 	index  uint64
 	values map[string]store.Value
-	// down makes every call fail without effect.
+	// down makes every call fail and take no effect.
 	down bool
-	// loseAnswers makes so many swaps of the head take effect and fail.
+	// loseAnswers is the number of swaps of the head that take effect but return an error.
 	loseAnswers int
 	reads       int
 	writes      int
@@ -91,13 +91,13 @@
 	loaded, err := reader.Load(ctx, nil, answer.Head.Version)
 	is.NoErr(err)
 	is.Equal(loaded.Snapshot.GetPoolByName("gpu").Price, 3.0)
-	// A peer that holds the configuration can give every part of it.
+	// A peer that has loaded the configuration can serve all of its chunks.
 	again, err := store.Load(ctx, peer{loaded}, nil, answer.Head.Version)
 	is.NoErr(err)
 	is.Equal(again.Snapshot.Set, loaded.Snapshot.Set)
 }
 
-// peer gives chunks out of a loaded configuration.
+// peer serves the chunks of a loaded configuration.
 type peer struct{ loaded *config.Loaded }
 
 func (p peer) ReadChunks(_ context.Context, hashes []config.Hash) ([]config.Chunk, error) {
@@ -112,8 +112,8 @@
 	return chunks, nil
 }
 
-// The service applies the head's move and the connection breaks before its
-// answer. The operator sees "accepted" under revision 1, applied once.
+// The key-value service updates the head, but the connection breaks before its answer arrives. Guards
+// against a change that is reported as failed, or applied twice: the verdict is accepted, revision 1.
 func TestSubmitReadsBackALostAnswer(t *testing.T) {
 	is := is.New(t)
 	kv := newFakeKV()
@@ -133,7 +133,7 @@
 	is.Equal(kv.writes, 0)
 }
 
-func TestConflictTellsWhatChanged(t *testing.T) {
+func TestConflictReportsWhatChanged(t *testing.T) {
 	is := is.New(t)
 	kv := newFakeKV()
 	writer, _ := newWriter(kv)
@@ -148,9 +148,9 @@
 	is.Equal(answer.Changes, []config.FieldChange{{Kind: config.KindPool, Name: "gpu", Field: "price", Old: "1", New: "2"}})
 }
 
-// Operators submit at once from several processes. Each accepted change has a
-// revision of its own and all of them are in the head's history.
-func TestConcurrentWritersLoseNothing(t *testing.T) {
+// Operators submit changes concurrently from several processes. Guards against accepted changes that
+// overwrite each other: each has its own revision and is in the head's history.
+func TestConcurrentWritersLoseNoChange(t *testing.T) {
 	is := is.New(t)
 	kv := newFakeKV()
 	var group sync.WaitGroup
--- a/share/services/store/writer.go
+++ b/share/services/store/writer.go
@@ -9,26 +9,27 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// chunkAttempts bounds the writes of one chunk whose answer is lost.
-const chunkAttempts = 3
+// maxChunkAttempts limits the writes of one chunk while their answers are lost.
+const maxChunkAttempts = 3
 
-// Writer carries changes to the key-value service; many may be under way at once.
+// Writer writes changes to the key-value service. It is safe for concurrent use.
 type Writer struct {
 	kv     KeyValue
 	reader *Reader
 
 	mutex sync.Mutex
-	// last is the newest configuration loaded, kept to decode only what differs.
-	last *config.Loaded
+	// newest is the loaded configuration with the highest revision. It is kept so that only chunks
+	// that differ from it are read and decoded.
+	newest *config.Loaded
 }
 
-// NewWriter returns a writer of the keys below the reader's prefix.
+// NewWriter returns a Writer of the keys with the reader's prefix.
 func NewWriter(kv KeyValue, reader *Reader) *Writer {
 	return &Writer{kv: kv, reader: reader}
 }
 
-// Submit carries one change to its verdict. Only a canceled context can make
-// it end before the service was asked everything it should be.
+// Submit carries out one submission and returns its result. It sends all requests that the submission
+// needs, retries included, unless ctx ends first.
 func (w *Writer) Submit(ctx context.Context, s head.Submission) head.Answer {
 	writer := head.NewWriter(s)
 	actions := writer.Handle(head.Started{}, time.Now())
@@ -42,7 +43,7 @@
 	}
 }
 
-// LoadHead returns the configuration that the key-value service holds now, or nil when there is none.
+// LoadHead returns the current configuration in the key-value service, or nil if there is none.
 func (w *Writer) LoadHead(ctx context.Context) (*config.Loaded, error) {
 	answer, err := w.reader.ReadHead(ctx)
 	if err != nil || answer.Index == 0 {
@@ -51,6 +52,7 @@
 	return w.load(ctx, answer.Head.Version)
 }
 
+// findAnswer returns the answer among the actions and whether the submission has ended.
 func findAnswer(actions []head.Action) (answer head.Answer, ended bool) {
 	if len(actions) == 0 {
 		return head.Answer{Verdict: head.VerdictUnknown, Detail: "the writer stopped without a verdict"}, true
@@ -59,7 +61,8 @@
 	return answer, ended
 }
 
-// carryOut does what the decision asks for; it asks for one thing at a time.
+// carryOut carries out the first action and returns its result. Package head returns one action at a
+// time.
 func (w *Writer) carryOut(ctx context.Context, actions []head.Action) head.Event {
 	switch a := actions[0].(type) {
 	case head.ReadHead:
@@ -86,49 +89,50 @@
 	if err != nil {
 		return head.ReadFailed{}
 	}
-	if place := answer.Head.FindVersion(base); base != 0 && base != answer.Head.Revision && place.ManifestHash != "" {
-		event.Base, err = w.reader.Load(ctx, event.Loaded, place)
+	if version := answer.Head.FindVersion(base); base != 0 && base != answer.Head.Revision && version.ManifestHash != "" {
+		event.Base, err = w.reader.Load(ctx, event.Loaded, version)
 		if err != nil {
-			event.Base = nil // the conflict is certain; only its diff can't be told
+			event.Base = nil // the change conflicts in any case; only the list of changes is missing
 		}
 	}
 	return event
 }
 
-func (w *Writer) load(ctx context.Context, place config.Version) (*config.Loaded, error) {
+// load returns the configuration of a version, from newest if it has that version.
+func (w *Writer) load(ctx context.Context, version config.Version) (*config.Loaded, error) {
 	w.mutex.Lock()
-	old := w.last
+	old := w.newest
 	w.mutex.Unlock()
-	if old != nil && old.Version == place {
+	if old != nil && old.Version == version {
 		return old, nil
 	}
-	loaded, err := w.reader.Load(ctx, old, place)
+	loaded, err := w.reader.Load(ctx, old, version)
 	if err != nil {
 		return nil, err
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.last == nil || w.last.Version.Revision < place.Revision {
-		w.last = loaded
+	if w.newest == nil || w.newest.Version.Revision < version.Revision {
+		w.newest = loaded
 	}
 	return loaded, nil
 }
 
-func (w *Writer) writeChunks(ctx context.Context, values []config.Chunk) head.Event {
-	for _, value := range values {
-		if !w.writeChunk(ctx, value) {
+func (w *Writer) writeChunks(ctx context.Context, chunks []config.Chunk) head.Event {
+	for _, chunk := range chunks {
+		if !w.writeChunk(ctx, chunk) {
 			return head.ChunkWriteFailed{}
 		}
 	}
 	return head.ChunksWritten{}
 }
 
-// writeChunk stores a value unless it is there. An answer lost after the
-// write took effect does no harm: the value under a hash is always the same,
-// so that the next attempt finds it there.
-func (w *Writer) writeChunk(ctx context.Context, value config.Chunk) bool {
-	for range chunkAttempts {
-		_, err := w.kv.CompareAndSwap(ctx, w.reader.prefix+chunkKey+string(value.Hash), value.Data, 0)
+// writeChunk stores a chunk unless its key exists, and reports whether the chunk is stored. An answer
+// that is lost after the write took effect does no harm: the data under a hash is always the same, so
+// the next attempt finds the key with this data.
+func (w *Writer) writeChunk(ctx context.Context, chunk config.Chunk) bool {
+	for range maxChunkAttempts {
+		_, err := w.kv.CompareAndSwap(ctx, w.reader.prefix+chunkKeyPrefix+string(chunk.Hash), chunk.Data, 0)
 		if err == nil {
 			return true
 		}
