--- a/agent/cmds/serve.go
+++ b/agent/cmds/serve.go
@@ -170,13 +170,13 @@
 }
 
 func (a *Agent) newBeat() *wire.Beat {
-	beat := a.follower.NewBeat(a.stopper.IsLeaving())
+	beat := a.follower.NewHeartbeat(a.stopper.IsLeaving())
 	beat.Load = a.intake.GetLoad()
 	return beat
 }
 
 func (a *Agent) takeBeat(session *link.Session, beat *wire.Beat, notBefore time.Time) {
-	a.follower.OnPeerBeat(session.Peer().GetName(), beat, notBefore)
+	a.follower.OnPeerHeartbeat(session.Peer().GetName(), beat, notBefore)
 }
 
 // FetchChunks asks an entry for configuration.
--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -147,7 +147,7 @@
 }
 
 func (e *Entry) newBeat() *wire.Beat {
-	return e.follower.NewBeat(e.stopper.IsLeaving())
+	return e.follower.NewHeartbeat(e.stopper.IsLeaving())
 }
 
 func (e *Entry) routeSettings(service string) route.Settings {
--- a/entry/services/fleet/fleet.go
+++ b/entry/services/fleet/fleet.go
@@ -35,8 +35,8 @@
 
 // Watcher is told what heartbeats and the list say of the configuration.
 type Watcher interface {
-	OnPeerBeat(peer string, beat *wire.Beat, notBefore time.Time)
-	OnPeerGone(peer string)
+	OnPeerHeartbeat(peer string, beat *wire.Beat, notBefore time.Time)
+	OnPeerDisconnected(peer string)
 	OnInstances(instances []member.Instance)
 	// AnswerFetch serves an agent that asks for configuration.
 	AnswerFetch(fetch *wire.Fetch) *wire.Chunks
--- a/entry/services/fleet/peers.go
+++ b/entry/services/fleet/peers.go
@@ -221,13 +221,13 @@
 	f.lock.Unlock()
 	f.options.Log.Warn("session-down", zap.String("agent", name), zap.Error(reason))
 	f.onSession(instance, route.SessionDown, session.Peer().GetIncarnation())
-	f.options.Watcher.OnPeerGone(name)
+	f.options.Watcher.OnPeerDisconnected(name)
 	f.wakeLoop()
 }
 
 func (f *Fleet) takeBeat(session *link.Session, beat *wire.Beat, notBefore time.Time) {
 	name := session.Peer().GetName()
-	f.options.Watcher.OnPeerBeat(name, beat, notBefore)
+	f.options.Watcher.OnPeerHeartbeat(name, beat, notBefore)
 	s := f.getService(session.Peer().GetService())
 	now := time.Now()
 	s.lock.Lock()
--- a/entry/services/status/board.go
+++ b/entry/services/status/board.go
@@ -14,8 +14,8 @@
 
 // Watcher is told what heartbeats and the list say of the configuration.
 type Watcher interface {
-	OnPeerBeat(peer string, beat *wire.Beat, notBefore time.Time)
-	OnPeerGone(peer string)
+	OnPeerHeartbeat(peer string, beat *wire.Beat, notBefore time.Time)
+	OnPeerDisconnected(peer string)
 	OnInstances(instances []member.Instance)
 	AnswerFetch(fetch *wire.Fetch) *wire.Chunks
 }
@@ -37,20 +37,20 @@
 	return &Board{next: next, beats: map[string]*wire.Beat{}}
 }
 
-// OnPeerBeat keeps the heartbeat.
-func (b *Board) OnPeerBeat(peer string, beat *wire.Beat, notBefore time.Time) {
+// OnPeerHeartbeat keeps the heartbeat.
+func (b *Board) OnPeerHeartbeat(peer string, beat *wire.Beat, notBefore time.Time) {
 	b.lock.Lock()
 	b.beats[peer] = beat
 	b.lock.Unlock()
-	b.next.OnPeerBeat(peer, beat, notBefore)
+	b.next.OnPeerHeartbeat(peer, beat, notBefore)
 }
 
-// OnPeerGone forgets the agent's heartbeat.
-func (b *Board) OnPeerGone(peer string) {
+// OnPeerDisconnected forgets the agent's heartbeat.
+func (b *Board) OnPeerDisconnected(peer string) {
 	b.lock.Lock()
 	delete(b.beats, peer)
 	b.lock.Unlock()
-	b.next.OnPeerGone(peer)
+	b.next.OnPeerDisconnected(peer)
 }
 
 // OnInstances keeps the list.
--- a/entry/services/status/status_test.go
+++ b/entry/services/status/status_test.go
@@ -25,11 +25,11 @@
 	lists    int
 }
 
-func (e *entry) OnPeerBeat(string, *wire.Beat, time.Time) { e.beats++ }
-func (e *entry) OnPeerGone(string)                        { e.gone++ }
-func (e *entry) OnInstances([]member.Instance)            { e.lists++ }
-func (e *entry) AnswerFetch(*wire.Fetch) *wire.Chunks     { return &wire.Chunks{Revision: 3} }
-func (e *entry) Snapshot() *config.Snapshot               { return e.snapshot }
+func (e *entry) OnPeerHeartbeat(string, *wire.Beat, time.Time) { e.beats++ }
+func (e *entry) OnPeerDisconnected(string)                     { e.gone++ }
+func (e *entry) OnInstances([]member.Instance)                 { e.lists++ }
+func (e *entry) AnswerFetch(*wire.Fetch) *wire.Chunks          { return &wire.Chunks{Revision: 3} }
+func (e *entry) Snapshot() *config.Snapshot                    { return e.snapshot }
 
 func (e *entry) GetRevision(time.Time) (uint64, time.Duration) { return 3, 400 * time.Millisecond }
 
@@ -68,11 +68,11 @@
 		{Name: "entry-1", Role: member.RoleEntry},
 	})
 	load := &wire.Load{Running: 3, Queued: 1, Slots: 8, WaitNanos: 2000}
-	board.OnPeerBeat("llm-1", &wire.Beat{Revision: 3, Load: load}, time.Time{})
-	board.OnPeerBeat("llm-2", &wire.Beat{Revision: 2, Leaving: true}, time.Time{})
-	board.OnPeerBeat("llm-3", &wire.Beat{Revision: 3, Load: load}, time.Time{})
-	board.OnPeerBeat("llm-6", &wire.Beat{Revision: 3}, time.Time{})
-	board.OnPeerGone("llm-6")
+	board.OnPeerHeartbeat("llm-1", &wire.Beat{Revision: 3, Load: load}, time.Time{})
+	board.OnPeerHeartbeat("llm-2", &wire.Beat{Revision: 2, Leaving: true}, time.Time{})
+	board.OnPeerHeartbeat("llm-3", &wire.Beat{Revision: 3, Load: load}, time.Time{})
+	board.OnPeerHeartbeat("llm-6", &wire.Beat{Revision: 3}, time.Time{})
+	board.OnPeerDisconnected("llm-6")
 	is.Equal([]int{e.beats, e.gone, e.lists}, []int{4, 1, 1}) // the board passes everything on
 	is.Equal(board.AnswerFetch(nil).GetRevision(), uint64(3))
 	got, err := newStatus(e, board).GetStatus(t.Context())
--- a/share/services/follow/fetch.go
+++ b/share/services/follow/fetch.go
@@ -12,15 +12,16 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
+// runPoll reads the head once and reports the result to the control loop.
 func (f *Follower) runPoll(ctx context.Context) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	answer, err := f.options.Store.ReadHead(ctx)
 	if err != nil {
 		f.countFailedRead(err)
-		f.Tell(gossip.ReadFailed{RequestedAt: asked})
+		f.Send(gossip.ReadFailed{RequestedAt: requestedAt})
 		return
 	}
-	f.Tell(gossip.HeadObserved{Head: answer.Head, RequestedAt: asked})
+	f.Send(gossip.HeadObserved{Head: answer.Head, RequestedAt: requestedAt})
 }
 
 func (f *Follower) countFailedRead(err error) {
@@ -30,44 +31,47 @@
 	f.options.Log.Debug("store-read-failed", zap.Error(err))
 }
 
-// loopWatch keeps a watch on the head until the context ends.
+// loopWatch watches the head and reports what it returns, until ctx ends.
 func (f *Follower) loopWatch(ctx context.Context) {
 	index := uint64(0)
 	for ctx.Err() == nil {
-		answer, err := f.options.Store.WatchHead(ctx, index, watchWait)
+		answer, err := f.options.Store.WatchHead(ctx, index, watchTimeout)
 		if err != nil {
 			f.countFailedRead(err)
 			index = 0
-			pauses.Wait(ctx, watchPause)
+			pauses.Wait(ctx, watchRetryDelay)
 			continue
 		}
 		index = answer.Index
-		// The answer may be as old as the request, so the request's time is the safe one.
-		f.Tell(gossip.HeadObserved{Head: answer.Head, RequestedAt: answer.RequestedAt, FromWatch: true})
+		// The answer is only certain to have been current when the request was sent.
+		f.Send(gossip.HeadObserved{Head: answer.Head, RequestedAt: answer.RequestedAt, FromWatch: true})
 		if index == 0 {
-			pauses.Wait(ctx, watchPause)
+			pauses.Wait(ctx, watchRetryDelay)
 		}
 	}
 }
 
+// runFetchStore fetches the configuration of the head from the key-value service.
 func (f *Follower) runFetchStore(ctx context.Context) {
 	answer, err := f.options.Store.ReadHead(ctx)
 	if err != nil {
-		f.tellFetched(nil, err, true)
+		f.reportFetched(nil, err, true)
 		return
 	}
 	loaded, err := f.options.Store.Load(ctx, f.GetLoaded(), answer.Head.Version)
-	f.tellFetched(loaded, err, true)
+	f.reportFetched(loaded, err, true)
 }
 
+// runFetchPeer fetches the configuration from a peer, within the settings' ReadTimeout.
 func (f *Follower) runFetchPeer(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, f.options.Settings.ReadTimeout)
 	defer cancel()
-	loaded, err := f.fetchPeer(ctx, peer)
-	f.tellFetched(loaded, err, false)
+	loaded, err := f.fetchFromPeer(ctx, peer)
+	f.reportFetched(loaded, err, false)
 }
 
-func (f *Follower) tellFetched(loaded *config.Loaded, err error, fromStore bool) {
+// reportFetched counts the result of a fetch and reports it to the control loop.
+func (f *Follower) reportFetched(loaded *config.Loaded, err error, fromStore bool) {
 	f.lock.Lock()
 	switch {
 	case err != nil:
@@ -80,14 +84,15 @@
 	f.lock.Unlock()
 	if err != nil {
 		f.options.Log.Info("fetch-failed", zap.Bool("from-store", fromStore), zap.Error(err))
-		f.Tell(gossip.FetchFailed{})
+		f.Send(gossip.FetchFailed{})
 		return
 	}
-	f.Tell(gossip.FetchDone{Loaded: loaded})
+	f.Send(gossip.FetchDone{Loaded: loaded})
 }
 
-// fetchPeer asks a peer for its manifest and then for the chunks that are missing here.
-func (f *Follower) fetchPeer(ctx context.Context, peer string) (*config.Loaded, error) {
+// fetchFromPeer requests a peer's manifest and then the manifest's chunks that this process has not
+// loaded.
+func (f *Follower) fetchFromPeer(ctx context.Context, peer string) (*config.Loaded, error) {
 	old := f.GetLoaded()
 	answer, err := f.options.Peers.FetchChunks(ctx, peer, &wire.Fetch{})
 	if err != nil {
@@ -96,10 +101,10 @@
 	if len(answer.GetChunks()) == 0 {
 		return nil, ErrFollow.New("peer %s has no configuration", peer)
 	}
-	f.meter.fetched.Add(sizeOf(answer))
+	f.meter.fetchedBytes.Add(chunkBytes(answer))
 	first := answer.GetChunks()[0]
-	place := config.Version{Revision: answer.GetRevision(), ManifestHash: config.Hash(first.GetHash())}
-	manifest, err := config.DecodeManifest(place.ManifestHash, first.GetData())
+	version := config.Version{Revision: answer.GetRevision(), ManifestHash: config.Hash(first.GetHash())}
+	manifest, err := config.DecodeManifest(version.ManifestHash, first.GetData())
 	if err != nil {
 		return nil, err
 	}
@@ -107,12 +112,13 @@
 	if err != nil {
 		return nil, err
 	}
-	started := time.Now()
-	loaded, err := config.Load(old, place, manifest, chunks)
-	f.meter.adopting.Add(int64(time.Since(started)))
+	startedAt := time.Now()
+	loaded, err := config.Load(old, version, manifest, chunks)
+	f.meter.adoptingNanos.Add(int64(time.Since(startedAt)))
 	return loaded, err
 }
 
+// fetchMissing requests the given chunks from a peer.
 func (f *Follower) fetchMissing(ctx context.Context, peer string, missing []config.Hash) ([]config.Chunk, error) {
 	if len(missing) == 0 {
 		return nil, nil
@@ -125,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.meter.fetched.Add(sizeOf(answer))
+	f.meter.fetchedBytes.Add(chunkBytes(answer))
 	chunks := make([]config.Chunk, 0, len(answer.GetChunks()))
 	for _, chunk := range answer.GetChunks() {
 		chunks = append(chunks, config.Chunk{Hash: config.Hash(chunk.GetHash()), Data: chunk.GetData()})
--- a/share/services/follow/meter.go
+++ b/share/services/follow/meter.go
@@ -7,26 +7,25 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// meter counts control work outside the control loop, without its lock.
+// meter holds the counts that are updated outside the control loop, without its lock.
 type meter struct {
-	beatsSent, beatsReceived, lists, fetched, served atomic.Uint64
-	// adopting is in nanoseconds.
-	adopting atomic.Int64
+	heartbeatsSent, heartbeatsReceived, listReads, fetchedBytes, servedBytes atomic.Uint64
+	adoptingNanos                                                            atomic.Int64
 }
 
-// addTo returns the counts with those of the meter filled in.
-func (m *meter) addTo(c Counts) Counts {
-	c.BeatsSent = m.beatsSent.Load()
-	c.BeatsReceived = m.beatsReceived.Load()
-	c.Lists = m.lists.Load()
-	c.FetchedBytes = m.fetched.Load()
-	c.ServedBytes = m.served.Load()
-	c.Adopting = time.Duration(m.adopting.Load())
-	return c
+// fillIn returns counts with the meter's counts filled in.
+func (m *meter) fillIn(counts Counts) Counts {
+	counts.HeartbeatsSent = m.heartbeatsSent.Load()
+	counts.HeartbeatsReceived = m.heartbeatsReceived.Load()
+	counts.ListReads = m.listReads.Load()
+	counts.FetchedBytes = m.fetchedBytes.Load()
+	counts.ServedBytes = m.servedBytes.Load()
+	counts.Adopting = time.Duration(m.adoptingNanos.Load())
+	return counts
 }
 
-// sizeOf returns the bytes of an answer's chunks.
-func sizeOf(answer *wire.Chunks) uint64 {
+// chunkBytes returns the total size of an answer's chunks in bytes.
+func chunkBytes(answer *wire.Chunks) uint64 {
 	size := 0
 	for _, chunk := range answer.GetChunks() {
 		size += len(chunk.GetData())
--- a/share/services/follow/watch.go
+++ b/share/services/follow/watch.go
@@ -9,29 +9,30 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// neverConfirmed marks a message that says nothing of a confirmation.
+// neverConfirmed is the ConfirmedAge of a report that carries no confirmation.
 const neverConfirmed = -1
 
-// OnPeerBeat takes what a peer's heartbeat says of its configuration.
-func (f *Follower) OnPeerBeat(peer string, beat *wire.Beat, notBefore time.Time) {
-	f.meter.beatsReceived.Add(1)
-	f.Tell(gossip.PeerReport{
+// OnPeerHeartbeat passes on the configuration state that a peer reports in a heartbeat. notBefore is
+// the earliest local time at which the peer can have written the heartbeat; zero: unknown.
+func (f *Follower) OnPeerHeartbeat(peer string, heartbeat *wire.Beat, notBefore time.Time) {
+	f.meter.heartbeatsReceived.Add(1)
+	f.Send(gossip.PeerReport{
 		Peer:         peer,
-		Revision:     beat.GetRevision(),
-		ConfirmedAge: time.Duration(beat.GetConfirmedAgeNanos()),
+		Revision:     heartbeat.GetRevision(),
+		ConfirmedAge: time.Duration(heartbeat.GetConfirmedAgeNanos()),
 		NotBefore:    notBefore,
 	})
 }
 
-// OnPeerCall takes the revision under which a peer decided a call. The peer has
-// that configuration, so it can be fetched at once; the peer's next heartbeat
-// would tell it up to a second later, and the call waits meanwhile.
+// OnPeerCall passes on the revision under which a peer decided a call, if it is higher than the one in
+// force here. The peer has that configuration, so it can be fetched from the peer at once. The call
+// waits for it, and the peer's next heartbeat would report it up to a second later.
 func (f *Follower) OnPeerCall(peer string, call *wire.Call, notBefore time.Time) {
-	known, _ := f.GetRevision(time.Now())
-	if call.GetRevision() <= known {
+	inForce, _ := f.GetRevision(time.Now())
+	if call.GetRevision() <= inForce {
 		return
 	}
-	f.Tell(gossip.PeerReport{
+	f.Send(gossip.PeerReport{
 		Peer:         peer,
 		Revision:     call.GetRevision(),
 		ConfirmedAge: time.Duration(call.GetConfirmedAgeNanos()),
@@ -39,46 +40,48 @@
 	})
 }
 
-// OnPeerRevision takes a revision that a peer's answer named.
+// OnPeerRevision passes on the revision that a peer's answer carries, if it is higher than the one in
+// force here.
 func (f *Follower) OnPeerRevision(peer string, revision uint64) {
-	known, _ := f.GetRevision(time.Now())
-	if revision <= known {
+	inForce, _ := f.GetRevision(time.Now())
+	if revision <= inForce {
 		return
 	}
-	f.Tell(gossip.PeerReport{Peer: peer, Revision: revision, ConfirmedAge: neverConfirmed})
+	f.Send(gossip.PeerReport{Peer: peer, Revision: revision, ConfirmedAge: neverConfirmed})
 }
 
-// OnPeerGone notes that the session with a peer ended.
-func (f *Follower) OnPeerGone(peer string) {
-	f.Tell(gossip.PeerDisconnected{Peer: peer})
+// OnPeerDisconnected reports to the control loop that the session with a peer ended.
+func (f *Follower) OnPeerDisconnected(peer string) {
+	f.Send(gossip.PeerDisconnected{Peer: peer})
 }
 
-// OnInstances takes the list and passes on the instances of the own failure domain, which share its watches.
+// OnInstances passes on the names of the listed instances in this instance's failure domain, without
+// leaving ones and always with its own. They determine which instances of the domain hold a watch.
 func (f *Follower) OnInstances(instances []member.Instance) {
-	f.meter.lists.Add(1)
+	f.meter.listReads.Add(1)
 	names := []string{f.options.Self}
 	for _, instance := range instances {
-		own := instance.Domain == f.options.Domain && !instance.Leaving
-		if own && instance.Name != f.options.Self {
+		inDomain := instance.Domain == f.options.Domain && !instance.Leaving
+		if inDomain && instance.Name != f.options.Self {
 			names = append(names, instance.Name)
 		}
 	}
-	f.Tell(gossip.InstancesListed{DomainInstances: names})
+	f.Send(gossip.InstancesListed{DomainInstances: names})
 }
 
-// NewBeat returns the heartbeat of this process, without a load report.
-func (f *Follower) NewBeat(leaving bool) *wire.Beat {
-	f.meter.beatsSent.Add(1)
+// NewHeartbeat returns a heartbeat of this process, without a load report, and counts it as sent.
+func (f *Follower) NewHeartbeat(leaving bool) *wire.Beat {
+	f.meter.heartbeatsSent.Add(1)
 	revision, age := f.GetRevision(time.Now())
 	return &wire.Beat{Revision: revision, ConfirmedAgeNanos: int64(age), Leaving: leaving}
 }
 
-// Adopt takes a configuration that this process itself saw accepted.
+// Adopt puts the configuration of a change in force that this process submitted and that was accepted.
 //
-// Guards against an outage that begins right after a change: the operator was
-// told "accepted", and no process could fetch it until the key-value service
-// was back. The one that made the change has every part, and its peers take it
-// from there.
+// It guards against an outage of the key-value service that begins right after the change: the
+// operator was told "accepted", but no process could fetch the configuration until the service
+// recovered. The process that submitted the change has all of its chunks, and its peers fetch them
+// from it.
 func (f *Follower) Adopt(loaded *config.Loaded) {
-	f.Tell(gossip.FetchDone{Loaded: loaded})
+	f.Send(gossip.FetchDone{Loaded: loaded})
 }
