--- a/share/services/kvport/kvport.go
+++ b/share/services/kvport/kvport.go
@@ -1,5 +1,5 @@
-// Package kvport fits the client of the key-value service to what the
-// configuration and the claims need of it.
+// Package kvport adapts the client of the key-value service to the interfaces that the configuration
+// and the claims use.
 package kvport
 
 import (
@@ -17,26 +17,28 @@
 // ErrPort is the class of errors of this package.
 var ErrPort = errs.Class("key-value service") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// claimPrefix keeps claims apart from the configuration's keys.
+// claimPrefix precedes the keys that package claim forms. With claim.KeyPrefix it keeps the claims apart
+// from the configuration's keys, which begin with store.DefaultPrefix.
 const claimPrefix = "verbenaroad/"
 
-// Port is a client of the key-value service as the programs use it.
+// Port is the key-value service as the configuration and the claims use it.
 type Port struct {
 	client *kvapi.Client
 }
 
-// NewPort returns a port on a client.
+// NewPort returns a Port that uses the client.
 func NewPort(client *kvapi.Client) *Port {
 	return &Port{client: client}
 }
 
-// Get reads consistently; a missing key is a value with index 0.
+// Get returns the value of a key by a consistent read. For a missing key it returns a Value with index 0
+// and no error.
 func (p *Port) Get(ctx context.Context, key string) (store.Value, error) {
 	pair, err := p.client.Get(ctx, key)
 	return toValue(pair, err)
 }
 
-// Watch returns once the key has another index, or when the wait is over.
+// Watch returns the value of a key once its index differs from index, or after the wait.
 func (p *Port) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (store.Value, error) {
 	pair, err := p.client.Watch(ctx, key, index, wait)
 	return toValue(pair, err)
@@ -52,13 +54,14 @@
 	return store.Value{Data: pair.Value, Index: pair.ModifyIndex}, nil
 }
 
-// CompareAndSwap writes where the key still has the index; after an error the outcome is unknown.
+// CompareAndSwap writes data if the key still has the index, and reports whether it did. Index 0 means
+// that the key must not exist. After an error the outcome is unknown.
 func (p *Port) CompareAndSwap(ctx context.Context, key string, data []byte, index uint64) (bool, error) {
 	swapped, err := p.client.CompareAndSwap(ctx, key, data, index)
 	return swapped, ErrPort.Wrap(err)
 }
 
-// GetClaim returns the record of a claim with its index; nil where there is none.
+// GetClaim returns the record of a claim with its index, or nil if there is none.
 func (p *Port) GetClaim(ctx context.Context, key string) (*claim.Stored, error) {
 	value, err := p.Get(ctx, claimPrefix+key)
 	if err != nil || value.Index == 0 {
@@ -71,7 +74,8 @@
 	return &claim.Stored{Record: record, Index: value.Index}, nil
 }
 
-// SwapClaim writes the record if the key's index still is index; after an error the outcome is unknown.
+// SwapClaim writes the record if the key still has the index, and reports whether it did. After an error
+// the outcome is unknown.
 func (p *Port) SwapClaim(ctx context.Context, key string, record claim.Record, index uint64) (bool, error) {
 	data, err := claim.Encode(record)
 	if err != nil {
@@ -80,7 +84,7 @@
 	return p.CompareAndSwap(ctx, claimPrefix+key, data, index)
 }
 
-// FindClaimKeys returns the keys of all claims.
+// FindClaimKeys returns the keys of all claims, without claimPrefix.
 func (p *Port) FindClaimKeys(ctx context.Context) ([]string, error) {
 	found, err := p.client.FindKeys(ctx, claimPrefix+claim.KeyPrefix)
 	if err != nil {
@@ -93,7 +97,7 @@
 	return keys, nil
 }
 
-// DeleteClaim deletes a claim if its index still is index.
+// DeleteClaim deletes a claim if its key still has the index.
 func (p *Port) DeleteClaim(ctx context.Context, key string, index uint64) error {
 	_, err := p.client.DeleteIf(ctx, claimPrefix+key, index)
 	return ErrPort.Wrap(err)
