--- a/share/services/peers/server.go
+++ b/share/services/peers/server.go
@@ -1,4 +1,4 @@
-// Package peers accepts the sessions that other processes open.
+// Package peers accepts the sessions that other processes open to this one.
 package peers
 
 import (
@@ -17,7 +17,7 @@
 // ErrPeers is the class of errors of this package.
 var ErrPeers = errs.Class("peers") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// Handler serves the streams of a session until it ends.
+// Handler serves the streams of a session until the session ends.
 type Handler interface {
 	ServeSession(ctx context.Context, session *link.Session)
 }
@@ -30,17 +30,17 @@
 	Log     *zap.Logger
 }
 
-// Server accepts sessions.
+// Server accepts sessions and keeps the open ones by process name.
 type Server struct {
 	options  Options
 	listener net.Listener
 
 	lock sync.Mutex
-	// sessions holds the open ones by the name of the process that opened them.
+	// sessions holds the latest open session of each process, by the name of the process.
 	sessions map[string]*link.Session
 }
 
-// NewServer listens; Start accepts.
+// NewServer returns a Server that listens on options.Address. It accepts sessions only after Start.
 func NewServer(options Options) (*Server, error) {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(options.Address))
 	if err != nil {
@@ -49,18 +49,18 @@
 	return &Server{options: options, listener: listener, sessions: map[string]*link.Session{}}, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() netip.AddrPort {
 	address, _ := netip.ParseAddrPort(s.listener.Addr().String())
 	return address
 }
 
-// Start accepts sessions until the context ends.
+// Start accepts sessions until Close. ctx is passed to the handler.
 func (s *Server) Start(ctx context.Context) {
 	go s.loop(ctx)
 }
 
-// Close stops accepting and ends every session.
+// Close stops accepting sessions and ends those that GetSession can return.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.lock.Lock()
@@ -74,32 +74,33 @@
 	}
 }
 
-// GetSession returns the open session of a process, or nil.
+// GetSession returns the latest open session of a process, or nil.
 func (s *Server) GetSession(name string) *link.Session {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.sessions[name]
 }
 
-// CountSessions returns the number of open sessions.
+// CountSessions returns the number of processes that have an open session.
 func (s *Server) CountSessions() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return len(s.sessions)
 }
 
-// CountBytes returns the bytes read and written on the open sessions.
+// CountBytes returns the bytes read and written so far on the latest open session of each process.
 func (s *Server) CountBytes() (read, written uint64) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, session := range s.sessions {
-		r, w := session.Traffic()
-		read += r
-		written += w
+		sessionRead, sessionWritten := session.Traffic()
+		read += sessionRead
+		written += sessionWritten
 	}
 	return read, written
 }
 
+// loop accepts connections until the listener is closed.
 func (s *Server) loop(ctx context.Context) {
 	for {
 		conn, err := s.listener.Accept()
@@ -110,9 +111,10 @@
 	}
 }
 
+// run opens a session on an accepted connection and serves it until it ends.
 func (s *Server) run(ctx context.Context, conn net.Conn) {
 	options := s.options.Link
-	options.OnDown = s.takeDown
+	options.OnDown = s.removeSession
 	session, err := link.Accept(conn, options)
 	if err != nil {
 		_ = conn.Close()
@@ -121,15 +123,16 @@
 	}
 	name := session.Peer().GetName()
 	s.lock.Lock()
-	// A process that connects again has given up on its old session, which may
-	// be silent here; the old one keeps its streams until it ends by itself.
+	// A process that connects again has abandoned its old session, which may still look open here. The
+	// old session keeps its streams until it ends by itself.
 	s.sessions[name] = session
 	s.lock.Unlock()
 	s.options.Log.Info("session-up", zap.String("peer", name))
 	s.options.Handler.ServeSession(ctx, session)
 }
 
-func (s *Server) takeDown(session *link.Session, reason error) {
+// removeSession removes a session that has ended, unless the process has already opened another.
+func (s *Server) removeSession(session *link.Session, reason error) {
 	name := session.Peer().GetName()
 	s.lock.Lock()
 	defer s.lock.Unlock()
