--- a/agent/cmds/serve.go
+++ b/agent/cmds/serve.go
@@ -52,7 +52,7 @@
 	stopper  *stops.Stopper
 	server   *peers.Server
 	metrics  *stats.Server
-	watcher  *procs.ListWatcher
+	watcher  *procs.ListPoller
 }
 
 // Serve runs the agent until a signal has stopped it, and reports whether any work was cut.
@@ -111,11 +111,11 @@
 		Log:            a.log,
 		MaxAnswerBytes: s.Backend.MaxAnswerBytes,
 	})
-	a.watcher = procs.NewListWatcher(procs.ListOptions{
-		List:      roster.NewClient(roster.Options{Address: s.Platform.List, CallTimeout: s.Platform.StoreTimeout}),
-		Every:     s.Platform.ListEvery,
-		Instances: a.follower,
-		Log:       a.log,
+	a.watcher = procs.NewListPoller(procs.ListOptions{
+		List:     roster.NewClient(roster.Options{Address: s.Platform.List, CallTimeout: s.Platform.StoreTimeout}),
+		Interval: s.Platform.ListEvery,
+		Observer: a.follower,
+		Log:      a.log,
 	})
 }
 
@@ -181,7 +181,7 @@
 
 // FetchChunks asks an entry for configuration.
 func (a *Agent) FetchChunks(ctx context.Context, peer string, fetch *wire.Fetch) (*wire.Chunks, error) {
-	return procs.FetchFrom(ctx, a.server.GetSession(peer), fetch)
+	return procs.FetchChunks(ctx, a.server.GetSession(peer), fetch)
 }
 
 func (a *Agent) checkReady() error {
@@ -212,7 +212,7 @@
 func (a *Agent) waitUnwritten() {
 	limit := time.Now().Add(a.settings.Stop.Grace)
 	for a.keeper.CountUnwritten() > 0 && time.Now().Before(limit) {
-		time.Sleep(procs.StopCheck)
+		time.Sleep(procs.StopCheckInterval)
 	}
 	if left := a.keeper.CountUnwritten(); left > 0 {
 		a.log.Error("answers-unwritten", zap.Int("count", left))
--- a/share/services/procs/list.go
+++ b/share/services/procs/list.go
@@ -9,44 +9,44 @@
 	"verbenaroad.example/share/models/member"
 )
 
-// List is the platform's lagging list of instances.
+// List is the platform's list of instances. It lags behind the actual instances.
 type List interface {
 	FindInstances(ctx context.Context, role member.Role) ([]member.Instance, error)
 }
 
-// Instances is told what the list says.
-type Instances interface {
+// Observer receives the listed instances after each read of the list.
+type Observer interface {
 	OnInstances(instances []member.Instance)
 }
 
-// ListOptions are the settings of a ListWatcher.
+// ListOptions are the settings of a ListPoller.
 type ListOptions struct {
-	List      List
-	Every     time.Duration
-	Instances Instances
-	Log       *zap.Logger
+	List     List
+	Interval time.Duration
+	Observer Observer
+	Log      *zap.Logger
 }
 
-// ListWatcher reads the list for processes that keep no sessions from it.
-type ListWatcher struct {
+// ListPoller polls the list in processes that do not open sessions to the listed instances.
+type ListPoller struct {
 	options ListOptions
 }
 
-// NewListWatcher returns a watcher.
-func NewListWatcher(options ListOptions) *ListWatcher {
-	return &ListWatcher{options: options}
+// NewListPoller returns a ListPoller.
+func NewListPoller(options ListOptions) *ListPoller {
+	return &ListPoller{options: options}
 }
 
-// Start reads the list until the context ends.
-func (w *ListWatcher) Start(ctx context.Context) {
-	go w.loop(ctx)
+// Start polls the list until ctx ends.
+func (p *ListPoller) Start(ctx context.Context) {
+	go p.loop(ctx)
 }
 
-func (w *ListWatcher) loop(ctx context.Context) {
-	ticker := time.NewTicker(w.options.Every)
+func (p *ListPoller) loop(ctx context.Context) {
+	ticker := time.NewTicker(p.options.Interval)
 	defer ticker.Stop()
 	for {
-		w.read(ctx)
+		p.read(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -55,16 +55,17 @@
 	}
 }
 
-// read keeps what is known when the list gives no answer.
-func (w *ListWatcher) read(ctx context.Context) {
-	all := []member.Instance{}
+// read reads the entries and agents of the list and passes them to the observer. If a read fails, it
+// passes nothing, so that the instances of the last read stay in use.
+func (p *ListPoller) read(ctx context.Context) {
+	instances := []member.Instance{}
 	for _, role := range []member.Role{member.RoleEntry, member.RoleAgent} {
-		found, err := w.options.List.FindInstances(ctx, role)
+		found, err := p.options.List.FindInstances(ctx, role)
 		if err != nil {
-			w.options.Log.Warn("list-unavailable", zap.Error(err))
+			p.options.Log.Warn("list-unavailable", zap.Error(err))
 			return
 		}
-		all = append(all, found...)
+		instances = append(instances, found...)
 	}
-	w.options.Instances.OnInstances(all)
+	p.options.Observer.OnInstances(instances)
 }
--- a/share/services/procs/procs.go
+++ b/share/services/procs/procs.go
@@ -1,5 +1,5 @@
-// Package procs holds what the assemblies of entry and agent share: readiness, the
-// list of instances and the figures of the configuration.
+// Package procs holds the parts of a process that the programs entry and agent share: the follower of
+// the configuration with its figures, the readiness check and the poller of the list of instances.
 package procs
 
 import (
@@ -22,10 +22,10 @@
 // ErrProcess is the class of errors of this package.
 var ErrProcess = errs.Class("process") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// StopCheck is how often a stopping process looks whether it may leave.
-const StopCheck = 50 * time.Millisecond
+// StopCheckInterval is the interval at which a stopping process checks whether it may exit.
+const StopCheckInterval = 50 * time.Millisecond
 
-// NewFollower returns the follower of an instance's configuration.
+// NewFollower returns the configuration follower of the instance with this name and failure domain.
 func NewFollower(name, domain string, port *kvport.Port, peers follow.Peers, log *zap.Logger) *follow.Follower {
 	return follow.NewFollower(follow.Options{
 		Self:     name,
@@ -38,15 +38,16 @@
 	})
 }
 
-// FetchFrom asks the other end of a session for configuration.
-func FetchFrom(ctx context.Context, session *link.Session, fetch *wire.Fetch) (*wire.Chunks, error) {
+// FetchChunks fetches configuration from the other end of a session. It fails if session is nil.
+func FetchChunks(ctx context.Context, session *link.Session, fetch *wire.Fetch) (*wire.Chunks, error) {
 	if session == nil {
-		return nil, ErrProcess.New("no session")
+		return nil, ErrProcess.New("no session to the peer")
 	}
 	return link.FetchChunks(ctx, session, fetch)
 }
 
-// CheckReady says why the process is not ready: no configuration yet, or leaving.
+// CheckReady returns an error with the reason if the process is not ready: it is leaving, or it has no
+// configuration yet.
 func CheckReady(follower *follow.Follower, stopper *stops.Stopper) error {
 	if stopper.IsLeaving() {
 		return ErrProcess.New("leaving")
@@ -57,44 +58,44 @@
 	return nil
 }
 
-// ConfigReport is the configuration part of a process's figures.
+// ConfigReport is the part of a process's figures that describes its configuration.
 type ConfigReport struct {
-	Revision        uint64  `json:"revision"`
-	ConfirmedAge    float64 `json:"confirmed-age-seconds"`
-	Published       uint64  `json:"published"`
-	FetchedPeer     uint64  `json:"fetched-from-peer"`
-	FetchedStore    uint64  `json:"fetched-from-store"`
-	FailedFetches   uint64  `json:"failed-fetches"`
-	FailedReads     uint64  `json:"failed-reads"`
-	ControlBusySecs float64 `json:"control-busy-seconds"`
-	AdoptingSecs    float64 `json:"adopting-seconds"`
-	BeatsSent       uint64  `json:"beats-sent"`
-	BeatsReceived   uint64  `json:"beats-received"`
-	Lists           uint64  `json:"list-reads"`
-	FetchedBytes    uint64  `json:"fetched-bytes"`
-	ServedBytes     uint64  `json:"served-bytes"`
-	Teams           int     `json:"teams"`
+	Revision           uint64  `json:"revision"`
+	ConfirmedAge       float64 `json:"confirmed-age-seconds"`
+	Published          uint64  `json:"published"`
+	FetchedPeer        uint64  `json:"fetched-from-peer"`
+	FetchedStore       uint64  `json:"fetched-from-store"`
+	FailedFetches      uint64  `json:"failed-fetches"`
+	FailedReads        uint64  `json:"failed-reads"`
+	ControlBusySeconds float64 `json:"control-busy-seconds"`
+	AdoptingSeconds    float64 `json:"adopting-seconds"`
+	HeartbeatsSent     uint64  `json:"beats-sent"`
+	HeartbeatsReceived uint64  `json:"beats-received"`
+	ListReads          uint64  `json:"list-reads"`
+	FetchedBytes       uint64  `json:"fetched-bytes"`
+	ServedBytes        uint64  `json:"served-bytes"`
+	Teams              int     `json:"teams"`
 }
 
-// DescribeConfig returns the configuration part of a process's figures.
+// DescribeConfig returns the figures of a follower and its configuration.
 func DescribeConfig(follower *follow.Follower) ConfigReport {
 	revision, age := follower.GetRevision(time.Now())
 	counts := follower.GetCounts()
 	report := ConfigReport{
-		Revision:        revision,
-		ConfirmedAge:    age.Seconds(),
-		Published:       counts.Published,
-		FetchedPeer:     counts.FetchedPeer,
-		FetchedStore:    counts.FetchedStore,
-		FailedFetches:   counts.FailedFetches,
-		FailedReads:     counts.FailedReads,
-		ControlBusySecs: counts.ControlBusy.Seconds(),
-		AdoptingSecs:    counts.Adopting.Seconds(),
-		BeatsSent:       counts.HeartbeatsSent,
-		BeatsReceived:   counts.HeartbeatsReceived,
-		Lists:           counts.ListReads,
-		FetchedBytes:    counts.FetchedBytes,
-		ServedBytes:     counts.ServedBytes,
+		Revision:           revision,
+		ConfirmedAge:       age.Seconds(),
+		Published:          counts.Published,
+		FetchedPeer:        counts.FetchedPeer,
+		FetchedStore:       counts.FetchedStore,
+		FailedFetches:      counts.FailedFetches,
+		FailedReads:        counts.FailedReads,
+		ControlBusySeconds: counts.ControlBusy.Seconds(),
+		AdoptingSeconds:    counts.Adopting.Seconds(),
+		HeartbeatsSent:     counts.HeartbeatsSent,
+		HeartbeatsReceived: counts.HeartbeatsReceived,
+		ListReads:          counts.ListReads,
+		FetchedBytes:       counts.FetchedBytes,
+		ServedBytes:        counts.ServedBytes,
 	}
 	if loaded := follower.GetLoaded(); loaded != nil {
 		report.Teams = len(loaded.Snapshot.Set.Teams)
