--- a/entry/routers/admin/commands.go
+++ b/entry/routers/admin/commands.go
@@ -98,7 +98,7 @@
 
 // writeAnswer turns a verdict into its HTTP answer.
 func (c *call) writeAnswer(w http.ResponseWriter, changeID string, a head.Answer) {
-	changes, omitted := admapi.CutChanges(a.Changes)
+	changes, omitted := admapi.TruncateChanges(a.Changes)
 	body := admapi.Error{
 		ChangeID:       changeID,
 		Revision:       a.Revision,
--- a/entry/routers/admin/queries.go
+++ b/entry/routers/admin/queries.go
@@ -27,7 +27,7 @@
 
 func (r *Router) getHistory(w http.ResponseWriter, c *call) {
 	moves, err := r.options.Lookups.FindMoves(c.request.Context())
-	c.write(w, admapi.History{Moves: moves}, err)
+	c.write(w, admapi.History{Changes: moves}, err)
 }
 
 func (r *Router) getStatus(w http.ResponseWriter, c *call) {
--- a/entry/services/explan/explan.go
+++ b/entry/services/explan/explan.go
@@ -174,16 +174,16 @@
 
 func newServer(t *route.Explanation, rules []admapi.RuleVerdict) admapi.ServerExplanation {
 	return admapi.ServerExplanation{
-		Instance:   t.Name,
-		Region:     t.Region,
-		Chosen:     t.Reason == route.ReasonNone,
-		Reason:     string(t.Reason),
-		Score:      round(t.Score),
-		Wait:       round(t.Wait),
-		Slow:       round(t.SlowStartPenalty),
-		Affinity:   round(t.Affinity),
-		Preference: round(t.Preference),
-		Rules:      rules,
+		Instance:         t.Name,
+		Region:           t.Region,
+		Eligible:         t.Reason == route.ReasonNone,
+		Reason:           string(t.Reason),
+		Score:            round(t.Score),
+		Wait:             round(t.Wait),
+		SlowStartPenalty: round(t.SlowStartPenalty),
+		Affinity:         round(t.Affinity),
+		Preference:       round(t.Preference),
+		Rules:            rules,
 	}
 }
 
@@ -194,19 +194,19 @@
 // rank puts those that may be taken first, the least score before the others.
 func rank(servers []admapi.ServerExplanation) {
 	slices.SortFunc(servers, func(a, b admapi.ServerExplanation) int {
-		if a.Chosen != b.Chosen {
-			if a.Chosen {
+		if a.Eligible != b.Eligible {
+			if a.Eligible {
 				return -1
 			}
 			return 1
 		}
-		if !a.Chosen {
+		if !a.Eligible {
 			return cmp.Compare(a.Instance, b.Instance)
 		}
 		return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.Instance, b.Instance))
 	})
 	for i := range servers {
-		if servers[i].Chosen {
+		if servers[i].Eligible {
 			servers[i].Rank = i + 1
 		}
 	}
--- a/entry/services/explan/explan_test.go
+++ b/entry/services/explan/explan_test.go
@@ -78,7 +78,7 @@
 	is.True(servers[0].Preference > 0)
 	is.Equal(servers[1].Instance, "llm-1")
 	is.Equal(servers[2].Instance, "llm-3")
-	is.Equal(servers[2].Chosen, false)
+	is.Equal(servers[2].Eligible, false)
 	is.Equal(servers[2].Reason, string(route.ReasonForbidden))
 	is.Equal(len(servers[2].Rules), 2) // the rule for celje does not apply
 	is.Equal(servers[2].Rules[0].Rule, "not-spare")
--- a/entry/services/settle/settle.go
+++ b/entry/services/settle/settle.go
@@ -91,7 +91,7 @@
 		return admapi.Claim{}, err
 	}
 	settled := describe(team, key, &record)
-	settled.AgentSays = string(told)
+	settled.AgentReport = string(told)
 	return settled, nil
 }
 
--- a/entry/services/status/status.go
+++ b/entry/services/status/status.go
@@ -58,10 +58,10 @@
 		Instance:     s.options.Self,
 		Revision:     revision,
 		ConfirmedAge: config.Duration(age.Round(time.Millisecond)),
-		Use:          "ready",
+		Readiness:    "ready",
 	}
 	if err := s.options.Ready(); err != nil {
-		status.Use = err.Error()
+		status.Readiness = err.Error()
 	}
 	snapshot := s.options.Configuration.Snapshot()
 	for _, instance := range s.options.Board.FindInstances() {
@@ -117,7 +117,7 @@
 			BeyondSpend:    r.BeyondSpend,
 		})
 		for _, l := range r.Lines {
-			use := admapi.TeamUse{Pool: r.Pool, Stage: l.Stage, Team: l.Team, Used: l.Used, Beyond: l.Beyond}
+			use := admapi.TeamUsage{Pool: r.Pool, Stage: l.Stage, Team: l.Team, Used: l.Used, Beyond: l.Beyond}
 			status.Teams = append(status.Teams, use)
 		}
 	}
@@ -127,7 +127,7 @@
 	stages := s.options.Calls().Stages
 	for _, name := range slices.Sorted(maps.Keys(stages)) {
 		use := stages[name]
-		status.Stages = append(status.Stages, admapi.StageUse{
+		status.Stages = append(status.Stages, admapi.StageUsage{
 			Stage:  name,
 			Runs:   use.Runs,
 			Cost:   use.Cost,
--- a/entry/services/status/status_test.go
+++ b/entry/services/status/status_test.go
@@ -77,7 +77,7 @@
 	is.Equal(board.AnswerFetch(nil).GetRevision(), uint64(3))
 	got, err := newStatus(e, board).GetStatus(t.Context())
 	is.NoErr(err)
-	is.Equal(got.Use, "leaving")
+	is.Equal(got.Readiness, "leaving")
 	want := []struct {
 		name     string
 		state    admapi.InstanceState
@@ -107,7 +107,7 @@
 	got, err := newStatus(e, status.NewBoard(e)).GetStatus(t.Context())
 	is.NoErr(err)
 	is.Equal(got.Pools[0].Idle, 40.0)
-	is.Equal(got.Teams[0], admapi.TeamUse{Pool: "gpu", Stage: "notes/generate", Team: "kranj", Used: 20, Beyond: 1})
+	is.Equal(got.Teams[0], admapi.TeamUsage{Pool: "gpu", Stage: "notes/generate", Team: "kranj", Used: 20, Beyond: 1})
 	is.Equal(got.Stages[0].Busy.Value(), 1500*time.Millisecond)
 	is.Equal(got.Results[0], admapi.ResultCount{Name: "ok", Count: 2})
 }
--- a/proofs/harns/config_test.go
+++ b/proofs/harns/config_test.go
@@ -38,14 +38,14 @@
 	history := admapi.History{}
 	waitFor(d.t, "history", func() bool {
 		v := d.vctl(entry, operatorToken, "history")
-		return v.code == exitOK && json.Unmarshal([]byte(v.output), &history) == nil && len(history.Moves) > 0
+		return v.code == exitOK && json.Unmarshal([]byte(v.output), &history) == nil && len(history.Changes) > 0
 	})
-	for _, m := range history.Moves {
+	for _, m := range history.Changes {
 		if m.ChangeID == change {
 			times++
 		}
 	}
-	return history.Moves[0].Revision, times
+	return history.Changes[0].Revision, times
 }
 
 // waitRevision waits until the revision is in force at every process, and returns how long that took.
--- a/share/services/admapi/explain.go
+++ b/share/services/admapi/explain.go
@@ -4,14 +4,14 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// Explanation tells why work of a team would go where, stage by stage.
+// Explanation describes, stage by stage, where work of a team would be sent and why.
 type Explanation struct {
 	Revision uint64             `json:"revision"`
 	Team     string             `json:"team"`
 	Stages   []StageExplanation `json:"stages"`
 }
 
-// StageExplanation tells of one stage of a pipeline, or of the direct calls of a service.
+// StageExplanation describes the choice for one stage of a pipeline, or for direct calls of a service.
 type StageExplanation struct {
 	// Pipeline and Stage are empty for direct calls.
 	Pipeline string              `json:"pipeline,omitempty"`
@@ -20,31 +20,34 @@
 	Servers  []ServerExplanation `json:"servers"`
 }
 
-// ServerExplanation tells what the rules and the policy say of one backend server.
+// ServerExplanation describes how the rules and the routing policy rate one backend server.
 type ServerExplanation struct {
 	Instance string `json:"instance"`
 	Region   string `json:"region"`
-	// Chosen is set for those that may be taken now; Rank is their order, from 1.
-	Chosen bool `json:"chosen"`
-	Rank   int  `json:"rank,omitempty"`
-	// Reason says why it may not be taken.
+	// Eligible is set if the backend server may be chosen now. Rank is its position among the eligible
+	// ones, from 1; 0 if it is not eligible.
+	Eligible bool `json:"chosen"`
+	Rank     int  `json:"rank,omitempty"`
+	// Reason is why the backend server is not eligible.
 	Reason string `json:"reason,omitempty"`
-	// Score is Wait + Slow - Affinity - Preference; the least goes first.
-	Score      config.Duration `json:"score"`
-	Wait       config.Duration `json:"wait"`
-	Slow       config.Duration `json:"slow"`
-	Affinity   config.Duration `json:"affinity"`
-	Preference config.Duration `json:"preference"`
-	// Rules are those that apply to the team and stage, in the order of the configuration.
+	// Score is Wait + SlowStartPenalty - Affinity - Preference with route.PolicyDeadline; the other
+	// policies leave out Affinity and Preference. The lowest score ranks first.
+	Score            config.Duration `json:"score"`
+	Wait             config.Duration `json:"wait"`
+	SlowStartPenalty config.Duration `json:"slow"`
+	Affinity         config.Duration `json:"affinity"`
+	Preference       config.Duration `json:"preference"`
+	// Rules are the verdicts of the rules that apply to the team and stage, in the order of the
+	// configuration.
 	Rules []RuleVerdict `json:"rules"`
 }
 
-// RuleVerdict tells what one rule did to a backend server.
+// RuleVerdict is the effect of one rule on a backend server.
 type RuleVerdict struct {
 	Rule    string        `json:"rule"`
 	Effect  config.Effect `json:"effect"`
 	Matched bool          `json:"matched"`
-	// Drops is set where this rule bars the backend server.
+	// Drops is set if this rule excludes the backend server.
 	Drops  bool `json:"drops,omitempty"`
 	Weight int  `json:"weight,omitempty"`
 }
--- a/share/services/admapi/status.go
+++ b/share/services/admapi/status.go
@@ -4,37 +4,38 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// Status shows the system as one entry sees it.
+// Status describes the system as one entry observes it.
 type Status struct {
 	Instance string `json:"instance"`
 	Revision uint64 `json:"revision"`
-	// ConfirmedAge is how long ago the key-value service confirmed the revision; negative: never.
+	// ConfirmedAge is the time since the key-value service confirmed the revision; negative: never.
 	ConfirmedAge config.Duration `json:"confirmed-age"`
-	// Use is "ready", or why the entry takes no work.
-	Use       string           `json:"use"`
+	// Readiness is "ready", or the reason why the entry accepts no work.
+	Readiness string           `json:"use"`
 	Instances []InstanceStatus `json:"instances"`
 	Pools     []PoolStatus     `json:"pools"`
-	Teams     []TeamUse        `json:"teams"`
-	Stages    []StageUse       `json:"stages"`
+	Teams     []TeamUsage      `json:"teams"`
+	Stages    []StageUsage     `json:"stages"`
 	Results   []ResultCount    `json:"results"`
 }
 
-// InstanceState says whether an instance gets new work from the entry that answers.
+// InstanceState is the state of an instance as the entry that answers observes it.
 type InstanceState string
 
 // The states of an instance.
 const (
-	// StateListed is an entry, or an agent without a session to the entry that answers.
+	// StateListed is another entry, or an agent without a session to the entry that answers.
 	StateListed InstanceState = "listed"
-	// StateConnected is an agent whose heartbeats come.
+	// StateConnected is the entry that answers, or an agent whose heartbeats it receives.
 	StateConnected InstanceState = "connected"
-	// StateDrained is an agent that an operator took out.
+	// StateDrained is an agent that an operator drained.
 	StateDrained InstanceState = "drained"
-	// StateLeaving is an instance that stops by itself or that the list shows as leaving.
+	// StateLeaving is an instance that reports in its heartbeat, or whose list entry shows, that it is
+	// stopping.
 	StateLeaving InstanceState = "leaving"
 )
 
-// InstanceStatus shows an instance known to the entry.
+// InstanceStatus describes an instance known to the entry.
 type InstanceStatus struct {
 	Name    string        `json:"name"`
 	Role    string        `json:"role"`
@@ -42,7 +43,8 @@
 	Region  string        `json:"region"`
 	Domain  string        `json:"domain"`
 	State   InstanceState `json:"state"`
-	// Revision and the load are from the last heartbeat; 0 without a session.
+	// Revision, Running, Queued, Slots and Wait are from the last heartbeat; 0 without a session. For
+	// the entry that answers, Revision is its own.
 	Revision uint64          `json:"revision"`
 	Running  int             `json:"running"`
 	Queued   int             `json:"queued"`
@@ -50,7 +52,8 @@
 	Wait     config.Duration `json:"wait"`
 }
 
-// PoolStatus shows the entry's share of a committed amount over a window, in cost units. Used plus Idle is Committed.
+// PoolStatus describes the entry's share of a pool's committed amount over a window, in cost units. Used
+// plus Idle is Committed.
 type PoolStatus struct {
 	Name      string          `json:"name"`
 	Window    config.Duration `json:"window"`
@@ -58,34 +61,35 @@
 	Used      float64         `json:"used"`
 	Idle      float64         `json:"idle"`
 	Beyond    float64         `json:"beyond"`
-	// CommittedSpend is owed whether used or not; BeyondSpend comes on top, both in the deployment's currency.
+	// CommittedSpend is owed whether the committed amount was used or not; BeyondSpend is owed in
+	// addition. Both are in the deployment's currency.
 	CommittedSpend float64 `json:"committed-spend"`
 	BeyondSpend    float64 `json:"beyond-spend"`
 }
 
-// TeamUse shows what a team's work in a stage used of a pool over the window, in cost units.
-type TeamUse struct {
+// TeamUsage is the amount of a pool that a team's work in a stage used over the window, in cost units.
+type TeamUsage struct {
 	Pool string `json:"pool"`
-	// Stage is pipeline/stage, or the service of direct calls.
+	// Stage is "pipeline/stage", or the name of the service for direct calls.
 	Stage  string  `json:"stage"`
 	Team   string  `json:"team"`
 	Used   float64 `json:"used"`
 	Beyond float64 `json:"beyond"`
 }
 
-// StageUse shows what was done for a stage since the entry started.
-type StageUse struct {
-	// Stage is service/stage.
+// StageUsage sums up the runs of a stage since the entry started.
+type StageUsage struct {
+	// Stage is "service/stage".
 	Stage  string  `json:"stage"`
 	Runs   uint64  `json:"runs"`
 	Cost   float64 `json:"cost"`
 	Tokens uint64  `json:"tokens"`
-	// Busy is the time that backend servers ran, Queued the time in agents' queues.
+	// Busy is the time that backend servers worked, Queued the time that runs waited in agents' queues.
 	Busy   config.Duration `json:"busy"`
 	Queued config.Duration `json:"queued"`
 }
 
-// ResultCount counts the entry's requests that ended with a result code since it started.
+// ResultCount is the number of the entry's requests since its start that ended with a result code.
 type ResultCount struct {
 	Name  string `json:"name"`
 	Count uint64 `json:"count"`
--- a/vctl/cmds/explain.go
+++ b/vctl/cmds/explain.go
@@ -72,12 +72,12 @@
 	rows := make([][]string, 0, len(servers))
 	for _, s := range servers {
 		rank := "-"
-		if s.Chosen {
+		if s.Eligible {
 			rank = strconv.Itoa(s.Rank)
 		}
 		rows = append(rows, []string{
 			rank, s.Instance, s.Region, orDash(s.Reason), s.Score.Value().String(), s.Wait.Value().String(),
-			s.Slow.Value().String(), s.Affinity.Value().String(), s.Preference.Value().String(), joinRules(s.Rules),
+			s.SlowStartPenalty.Value().String(), s.Affinity.Value().String(), s.Preference.Value().String(), joinRules(s.Rules),
 		})
 	}
 	a.printTable("RANK INSTANCE REGION REASON SCORE WAIT SLOW AFFINITY PREFERENCE RULES", rows)
--- a/vctl/cmds/history.go
+++ b/vctl/cmds/history.go
@@ -34,7 +34,7 @@
 		return a.fail(err)
 	}
 	var rows [][]string
-	for _, m := range history.Moves {
+	for _, m := range history.Changes {
 		rows = append(rows, []string{strconv.FormatUint(m.Revision, 10), m.Time.Format(time.RFC3339), m.Operator, m.ChangeID})
 	}
 	return a.print(history, "REVISION TIME OPERATOR CHANGE", rows)
--- a/vctl/cmds/status.go
+++ b/vctl/cmds/status.go
@@ -36,7 +36,7 @@
 	if a.output == outputJSON {
 		return a.printJSON(s)
 	}
-	a.printLinef("%s: revision %d, confirmed %s ago, %s", s.Instance, s.Revision, s.ConfirmedAge.Value(), s.Use)
+	a.printLinef("%s: revision %d, confirmed %s ago, %s", s.Instance, s.Revision, s.ConfirmedAge.Value(), s.Readiness)
 	a.printInstances(s.Instances)
 	a.printPools(s.Pools)
 	a.printTeams(s.Teams)
@@ -68,7 +68,7 @@
 	a.printTable("POOL WINDOW COMMITTED USED IDLE BEYOND COMMITTED-SPEND BEYOND-SPEND", rows)
 }
 
-func (a *app) printTeams(teams []admapi.TeamUse) {
+func (a *app) printTeams(teams []admapi.TeamUsage) {
 	var rows [][]string
 	for _, t := range teams {
 		rows = append(rows, []string{t.Pool, t.Stage, t.Team, number(t.Used), number(t.Beyond)})
@@ -77,7 +77,7 @@
 	a.printTable("POOL STAGE TEAM USED BEYOND", rows)
 }
 
-func (a *app) printStages(stages []admapi.StageUse) {
+func (a *app) printStages(stages []admapi.StageUsage) {
 	var rows [][]string
 	for _, s := range stages {
 		rows = append(rows, []string{
