--- a/ingress/routers/public/public.go
+++ b/ingress/routers/public/public.go
@@ -46,9 +46,9 @@
 	// AdmitWork reports whether a request may run. A request that may run delays the stop until
 	// EndWork is called with its id.
 	AdmitWork(id string) bool
-	// AdmitLast reports whether a request that AdmitWork refused may run after all, because no other
+	// AdmitLastResort reports whether a request that AdmitWork refused may run after all, because no other
 	// ingress takes it. The request ends within limit.
-	AdmitLast(id string, limit time.Duration) bool
+	AdmitLastResort(id string, limit time.Duration) bool
 	EndWork(id string)
 	// IsLeaving reports whether the process is stopping.
 	IsLeaving() bool
@@ -144,7 +144,7 @@
 	if q.CallerTimeout > 0 && (limit == 0 || q.CallerTimeout < limit) {
 		limit = q.CallerTimeout
 	}
-	return route.Kind != site.KindStream && limit > 0 && t.options.Admission.AdmitLast(workID, limit)
+	return route.Kind != site.KindStream && limit > 0 && t.options.Admission.AdmitLastResort(workID, limit)
 }
 
 // read checks whether a request is allowed and reads its body. A request that is not allowed is
