--- a/agent/cmds/serve.go
+++ b/agent/cmds/serve.go
@@ -130,12 +130,12 @@
 		Handler: a.intake,
 		Log:     a.log,
 		Link: link.Options{
-			Hello:       a.newHello(),
-			TLS:         security,
-			BeatEvery:   s.Peers.BeatEvery,
-			SilentAfter: time.Duration(silentBeats * float64(s.Peers.BeatEvery)),
-			Beat:        a.newBeat,
-			OnBeat:      a.takeBeat,
+			Hello:             a.newHello(),
+			TLS:               security,
+			HeartbeatInterval: s.Peers.BeatEvery,
+			SilenceTimeout:    time.Duration(silentBeats * float64(s.Peers.BeatEvery)),
+			NewHeartbeat:      a.newBeat,
+			OnHeartbeat:       a.takeBeat,
 		},
 	})
 	if err != nil {
--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -113,11 +113,11 @@
 		Watcher:   e.board,
 		Log:       e.log,
 		Link: link.Options{
-			Hello:       e.newHello(),
-			TLS:         security,
-			BeatEvery:   s.Routing.BeatEvery,
-			SilentAfter: time.Duration(silentBeats * float64(s.Routing.BeatEvery)),
-			Beat:        e.newBeat,
+			Hello:             e.newHello(),
+			TLS:               security,
+			HeartbeatInterval: s.Routing.BeatEvery,
+			SilenceTimeout:    time.Duration(silentBeats * float64(s.Routing.BeatEvery)),
+			NewHeartbeat:      e.newBeat,
 		},
 	})
 	e.runner = calls.NewRunner(calls.Options{
--- a/entry/routers/caller/world_test.go
+++ b/entry/routers/caller/world_test.go
@@ -102,8 +102,8 @@
 
 func newOptions(name string) link.Options {
 	return link.Options{
-		Hello: &wire.Hello{Version: wire.Version, Name: name, Incarnation: "i1"},
-		Beat:  func() *wire.Beat { return &wire.Beat{Revision: 1} },
+		Hello:        &wire.Hello{Version: wire.Version, Name: name, Incarnation: "i1"},
+		NewHeartbeat: func() *wire.Beat { return &wire.Beat{Revision: 1} },
 	}
 }
 
--- a/entry/services/calls/calls_test.go
+++ b/entry/services/calls/calls_test.go
@@ -32,8 +32,8 @@
 
 func newOptions(name string) link.Options {
 	return link.Options{
-		Hello: &wire.Hello{Version: wire.Version, Name: name},
-		Beat:  func() *wire.Beat { return &wire.Beat{} },
+		Hello:        &wire.Hello{Version: wire.Version, Name: name},
+		NewHeartbeat: func() *wire.Beat { return &wire.Beat{} },
 	}
 }
 
--- a/entry/services/fleet/peers.go
+++ b/entry/services/fleet/peers.go
@@ -143,7 +143,7 @@
 
 func (f *Fleet) runDial(ctx context.Context, instance member.Instance) {
 	options := f.options.Link
-	options.OnBeat = f.takeBeat
+	options.OnHeartbeat = f.takeBeat
 	options.OnDown = f.takeDown
 	session, err := link.Dial(ctx, instance.Address, options)
 	f.lock.Lock()
@@ -293,5 +293,5 @@
 	if session == nil {
 		return nil, ErrFleet.New("no session to %s", name)
 	}
-	return link.AskAgent(ctx, session, ask)
+	return link.RequestTombstone(ctx, session, ask)
 }
--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -161,11 +161,11 @@
 			Version: wire.Version, Name: i.self.Name, Incarnation: i.self.Incarnation, Role: "ingress",
 			Region: i.settings.Place.Region, Domain: i.self.Domain,
 		},
-		TLS:         i.linkTLS,
-		Private:     i.settings.Peers.Private,
-		BeatEvery:   interval,
-		SilentAfter: time.Duration(silenceFactor * float64(interval)),
-		Beat: func() *wire.Beat {
+		TLS:               i.linkTLS,
+		Private:           i.settings.Peers.Private,
+		HeartbeatInterval: interval,
+		SilenceTimeout:    time.Duration(silenceFactor * float64(interval)),
+		NewHeartbeat: func() *wire.Beat {
 			return &wire.Beat{
 				Leaving: i.stopper.IsLeaving(), Outlooks: i.batcher.Backlogs(), Reading: mesh.EncodeReading(i.book),
 			}
--- a/ingress/services/assign/reservation.go
+++ b/ingress/services/assign/reservation.go
@@ -46,7 +46,7 @@
 // MarkSent records that the request is being sent to the engine.
 func (r *Reservation) MarkSent() {
 	if r.remote != nil {
-		r.remote.Tell(stateSent)
+		r.remote.Report(stateSent)
 		return
 	}
 	r.local.update(func(now time.Time) { r.group.engines.MarkSent(now, r.id) })
@@ -55,7 +55,7 @@
 // MarkAnswering records that the answer has begun.
 func (r *Reservation) MarkAnswering() {
 	if r.remote != nil {
-		r.remote.Tell(stateAnswering)
+		r.remote.Report(stateAnswering)
 		return
 	}
 	r.local.update(func(now time.Time) { r.group.engines.MarkAnswering(now, r.id) })
@@ -68,7 +68,7 @@
 
 func (r *Reservation) end(result place.Result) {
 	if r.remote != nil {
-		r.remote.Tell(string(result))
+		r.remote.Report(string(result))
 		r.remote.Close()
 		return
 	}
--- a/ingress/services/mesh/fleet_test.go
+++ b/ingress/services/mesh/fleet_test.go
@@ -286,8 +286,8 @@
 	log := f.log.With(zap.String("instance", name))
 	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: log, OnChange: func(v *state.View) { f.takeView(i, v) }})
 	options := link.Options{
-		Hello: &wire.Hello{Version: wire.Version, Name: name}, BeatEvery: beatEvery, SilentAfter: silentAfter,
-		Beat: func() *wire.Beat { return &wire.Beat{Reading: mesh.EncodeReading(i.book)} },
+		Hello: &wire.Hello{Version: wire.Version, Name: name}, HeartbeatInterval: beatEvery, SilenceTimeout: silentAfter,
+		NewHeartbeat: func() *wire.Beat { return &wire.Beat{Reading: mesh.EncodeReading(i.book)} },
 	}
 	isLeaving := func() bool { return false }
 	i.mesh = mesh.NewMesh(mesh.Options{
--- a/ingress/services/mesh/mesh.go
+++ b/ingress/services/mesh/mesh.go
@@ -246,7 +246,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return link.TellCrash(ctx, session, c)
+	return link.ReportCrash(ctx, session, c)
 }
 
 // TellServed tells another ingress that a request was served.
@@ -255,7 +255,7 @@
 	if err != nil {
 		return err
 	}
-	return link.TellServed(session, s)
+	return link.ReportServed(session, s)
 }
 
 // Sync asks another ingress for records.
@@ -293,7 +293,7 @@
 		return p.session, nil
 	}
 	options := m.options.Link
-	options.OnBeat = func(_ *link.Session, beat *wire.Beat, _ time.Time) { m.noteBeat(name, beat) }
+	options.OnHeartbeat = func(_ *link.Session, beat *wire.Beat, _ time.Time) { m.noteBeat(name, beat) }
 	options.OnDown = func(_ *link.Session, reason error) { m.fail(name, reason) }
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/proofs/harns/dispatch_test.go
+++ b/proofs/harns/dispatch_test.go
@@ -22,8 +22,8 @@
 func (d *deployment) connect(agent, name string) *secondEntry {
 	d.t.Helper()
 	options := link.Options{
-		Hello: &wire.Hello{Version: wire.Version, Name: name, Incarnation: name, Role: "entry", Region: region, Domain: region + "-1"},
-		Beat:  func() *wire.Beat { return &wire.Beat{ConfirmedAgeNanos: -1} },
+		Hello:        &wire.Hello{Version: wire.Version, Name: name, Incarnation: name, Role: "entry", Region: region, Domain: region + "-1"},
+		NewHeartbeat: func() *wire.Beat { return &wire.Beat{ConfirmedAgeNanos: -1} },
 	}
 	session, err := link.Dial(context.Background(), d.agents[agent].address("", "peers="), options)
 	if err != nil {
@@ -107,7 +107,7 @@
 	revision := d.agents["ord-1"].figures().Verbena.Config.Revision
 	s := d.connect("ord-1", "late")
 	call := s.newCall("late", revision)
-	told, err := link.AskAgent(context.Background(), s.session, &wire.Ask{
+	told, err := link.RequestTombstone(context.Background(), s.session, &wire.Ask{
 		ClaimKey: call.GetClaimKey(), Attempt: call.GetClaimAttempt(), Incarnation: call.GetIncarnation(),
 	})
 	is.NoErr(err)
--- a/share/modules/link/arrive.go
+++ b/share/modules/link/arrive.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// arrivals reads a stream whose messages may take longer than any fixed timeout: it is bounded
-// by the pauses between two arrivals.
-type arrivals struct {
+// stallConn limits the time between two arrivals of data on a stream, and not the time for a whole
+// message, which may take longer than any fixed timeout.
+type stallConn struct {
 	net.Conn
-	// stall is the longest pause; 0: no bound, as where the peer speaks only now and then.
-	stall     time.Duration
+	// stallTimeout is the longest time without data. 0 means no limit, for streams on which the
+	// peer sends only occasionally.
+	stallTimeout time.Duration
+	// onArrival is called after each read that returned data.
 	onArrival func()
 }
 
-// Read waits for the next bytes, at most for the stall time.
-func (a *arrivals) Read(p []byte) (int, error) {
-	if a.stall > 0 {
-		if err := a.SetReadDeadline(time.Now().Add(a.stall)); err != nil {
+// Read waits for data, at most for stallTimeout if that is set.
+func (a *stallConn) Read(p []byte) (int, error) {
+	if a.stallTimeout > 0 {
+		if err := a.SetReadDeadline(time.Now().Add(a.stallTimeout)); err != nil {
 			return 0, ErrLink.Wrap(err)
 		}
 	}
--- a/share/modules/link/batch.go
+++ b/share/modules/link/batch.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// readBufferBytes lets one system call bring the frames of many streams.
+	// readBufferBytes allows one system call to read the frames of many streams.
 	readBufferBytes = 16 << 10
-	// maxPendingBytes holds writers back when the connection is slower than they are. Heartbeats
-	// wait behind what is pending.
+	// maxPendingBytes is the size of the pending data above which writers block. Heartbeats are queued
+	// behind the pending data.
 	maxPendingBytes = 64 << 10
-	// closeFlush bounds writing out what is pending at the close.
-	closeFlush = time.Second
+	// closeFlushTimeout limits the time for writing the pending data at the close.
+	closeFlushTimeout = time.Second
 )
 
-// batchConn joins the small writes of many streams: while one system call
-// runs, what is written meanwhile waits and goes out with the next. yamux
-// alone takes two system calls for each frame.
+// batchConn combines the small writes of many streams: data written while a system call is running is
+// sent together by the next one. yamux alone makes two system calls for each frame.
 type batchConn struct {
 	net.Conn
 	reader *bufio.Reader
-	// onReadEnd is told of each read that brought an error, before its caller is.
+	// onReadEnd is called after each failed read, before Read returns the error.
 	onReadEnd func()
 
 	lock sync.Mutex
-	// changed is signaled when pending, failed, readFailed or closed change.
+	// changed is signaled when data is added to pending, when a write has ended, and when readFailed
+	// or closed changes.
 	changed *sync.Cond
-	// readFailed is set once a read brought an error before the close.
+	// readFailed is set once a read has failed before the close.
 	readFailed bool
-	// pending is not written yet; writing is the buffer that the loop is writing out.
+	// pending is the data to write next; writing is the data that loopWrite is writing.
 	pending []byte
 	writing []byte
-	// failed is set once a write brought an error; what is written later is dropped.
-	failed bool
-	closed bool
-	// ended is closed once the connection is, with what was pending written out or given up.
+	// writeFailed is set once a write has failed. Later data is dropped.
+	writeFailed bool
+	closed      bool
+	// ended is closed after the connection is, when the pending data has been written or dropped.
 	ended chan struct{}
 }
 
@@ -46,17 +46,17 @@
 		Conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes), onReadEnd: onReadEnd, ended: make(chan struct{}),
 	}
 	c.changed = sync.NewCond(&c.lock)
-	go c.loop()
+	go c.loopWrite()
 	return c
 }
 
-// Read returns what has arrived. A connection that brings nothing more takes nothing
-// more either, so what is pending is given up at its close.
+// Read reads from the connection. A connection whose reads have failed accepts no more writes either,
+// so its pending data is dropped at the close.
 func (c *batchConn) Read(p []byte) (int, error) {
 	n, err := c.reader.Read(p)
 	if err != nil {
 		c.lock.Lock()
-		c.readFailed = c.readFailed || !c.closed // the close itself ends reads
+		c.readFailed = c.readFailed || !c.closed // after the close reads fail because of its deadline
 		c.changed.Broadcast()
 		c.lock.Unlock()
 		c.onReadEnd()
@@ -64,18 +64,19 @@
 	return n, err
 }
 
-// Write takes p over. It returns no error: where the connection fails or is closed, what is written
-// is dropped, and reads end.
+// Write adds p to the pending data, and waits while too much is pending. It returns no error: if the
+// connection has failed or is closed, p is dropped, and reads fail.
 //
-// Guards against readers that take a whole core, as streams do: after an error here yamux would mark
-// its session as shut down by itself. It is left to its receiver, which ends the reads first.
+// An error here would make yamux's sender mark the session as shut down while reads are still blocked,
+// and these would take a whole core (see streams). Without an error this is left to yamux's receiver,
+// whose failed read ends the reads of the streams first.
 func (c *batchConn) Write(p []byte) (int, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	for len(c.pending) > maxPendingBytes && !c.failed && !c.closed {
+	for len(c.pending) > maxPendingBytes && !c.writeFailed && !c.closed {
 		c.changed.Wait()
 	}
-	if c.failed || c.closed {
+	if c.writeFailed || c.closed {
 		return len(p), nil
 	}
 	c.pending = append(c.pending, p...)
@@ -83,19 +84,20 @@
 	return len(p), nil
 }
 
-// loop writes out what is pending, and closes the connection in the end.
-func (c *batchConn) loop() {
+// loopWrite writes the pending data until the connection fails or is closed. It closes the underlying
+// connection after the close of c.
+func (c *batchConn) loopWrite() {
 	defer close(c.ended)
-	for c.take() {
+	for c.nextBatch() {
 		_, err := c.Conn.Write(c.writing)
-		c.settle(err)
+		c.finishWrite(err)
 	}
-	c.waitClose()
+	c.waitForClose()
 	_ = c.Conn.Close()
 }
 
-// waitClose waits for the close of a connection whose writes fail.
-func (c *batchConn) waitClose() {
+// waitForClose waits for the close, which may be still to come after a failed write.
+func (c *batchConn) waitForClose() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for !c.closed {
@@ -103,38 +105,41 @@
 	}
 }
 
-// take moves pending into writing; false once the connection is done.
-func (c *batchConn) take() bool {
+// nextBatch waits for pending data and moves it into writing. It returns false if nothing more is to be
+// written.
+func (c *batchConn) nextBatch() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	for len(c.pending) == 0 && !c.closed && !c.failed {
+	for len(c.pending) == 0 && !c.closed && !c.writeFailed {
 		c.changed.Wait()
 	}
-	if c.failed || len(c.pending) == 0 || c.closed && c.readFailed {
+	if c.writeFailed || len(c.pending) == 0 || c.closed && c.readFailed {
 		return false
 	}
 	c.pending, c.writing = c.writing[:0], c.pending
 	return true
 }
 
-func (c *batchConn) settle(err error) {
+// finishWrite records the result of a write. After an error it makes reads fail, so that yamux's
+// receiver ends the session.
+func (c *batchConn) finishWrite(err error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if cap(c.writing) > maxPendingBytes {
 		c.writing = nil
 	}
 	if err != nil {
-		c.failed = true
+		c.writeFailed = true
 		_ = c.SetReadDeadline(time.Now())
 	}
 	c.changed.Broadcast()
 }
 
-// Close ends reads at once and returns; what is pending is written out, within a bound, and
-// the connection closed, beside it.
+// Close ends reads and returns at once. loopWrite then writes the pending data, at most for
+// closeFlushTimeout, and closes the underlying connection.
 //
-// Guards against readers that take a whole core, as streams do: yamux calls it with its session marked as
-// shut down and its streams open.
+// Close must not wait: yamux calls it when the session is marked as shut down and its streams are still
+// open, and until it returns each blocked read takes a whole core (see streams).
 func (c *batchConn) Close() error {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -148,8 +153,8 @@
 	if c.readFailed {
 		return c.SetWriteDeadline(now)
 	}
-	return c.SetWriteDeadline(now.Add(closeFlush))
+	return c.SetWriteDeadline(now.Add(closeFlushTimeout))
 }
 
-// wait waits until the connection is closed.
-func (c *batchConn) wait() { <-c.ended }
+// waitEnded waits until the underlying connection is closed.
+func (c *batchConn) waitEnded() { <-c.ended }
--- a/share/modules/link/beat.go
+++ b/share/modules/link/beat.go
@@ -6,22 +6,23 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// delayShift smooths the measured delay: a new sample counts one eighth.
-const delayShift = 3
+// delaySmoothingShift gives each new sample of the delay a weight of 1/8 (1 >> 3) in the average.
+const delaySmoothingShift = 3
 
-// loopBeat sends heartbeats and ends the session when the peer falls silent.
-func (s *Session) loopBeat() {
-	ticker := time.NewTicker(s.options.BeatEvery)
+// loopHeartbeat sends heartbeats, and ends the session if nothing arrives from the peer for the
+// silence timeout. It also trims the idle streams.
+func (s *Session) loopHeartbeat() {
+	ticker := time.NewTicker(s.options.HeartbeatInterval)
 	defer ticker.Stop()
 	sequence := uint64(0)
 	for {
-		if s.Silence() > s.options.SilentAfter {
+		if s.Silence() > s.options.SilenceTimeout {
 			s.end(ErrLink.New("silent for %v", s.Silence().Round(time.Millisecond)))
 			return
 		}
 		sequence++
 		s.trimIdle()
-		if err := s.sendBeat(sequence); err != nil {
+		if err := s.sendHeartbeat(sequence); err != nil {
 			s.end(err)
 			return
 		}
@@ -33,12 +34,12 @@
 	}
 }
 
-func (s *Session) sendBeat(sequence uint64) error {
-	beat := s.options.Beat()
+func (s *Session) sendHeartbeat(sequence uint64) error {
+	beat := s.options.NewHeartbeat()
 	beat.Sequence = sequence
 	beat.Echo = s.peerSequence.Load()
 	if beat.Echo != 0 {
-		beat.EchoHoldNanos = int64(time.Since(s.started)) - s.heardAt.Load()
+		beat.EchoHoldNanos = int64(time.Since(s.started)) - s.receivedAt.Load()
 	}
 	s.sentLock.Lock()
 	s.sentAt[sequence%uint64(len(s.sentAt))] = time.Now()
@@ -47,7 +48,8 @@
 	return wire.WriteFrame(s.control, &wire.Frame{Body: &wire.Frame_Beat{Beat: beat}})
 }
 
-// loopRead takes the peer's heartbeats.
+// loopRead reads the control stream and handles the peer's heartbeats. It ends the session if a
+// read fails.
 func (s *Session) loopRead() {
 	for {
 		frame, err := s.reader.Next()
@@ -59,47 +61,49 @@
 		if beat == nil {
 			continue
 		}
-		s.takeBeat(beat)
+		s.handleHeartbeat(beat)
 	}
 }
 
-func (s *Session) takeBeat(beat *wire.Beat) {
+func (s *Session) handleHeartbeat(beat *wire.Beat) {
 	now := int64(time.Since(s.started))
-	s.heardAt.Store(now)
+	s.receivedAt.Store(now)
 	s.peerSequence.Store(beat.GetSequence())
-	sent := s.findSent(beat.GetEcho())
+	sent := s.findSendTime(beat.GetEcho())
 	notBefore := time.Time{}
 	if !sent.IsZero() {
-		s.measureDelay(beat, sent)
+		s.updateDelay(beat, sent)
 		notBefore = sent.Add(time.Duration(beat.GetEchoHoldNanos()))
 	}
-	if s.options.OnBeat != nil {
-		s.options.OnBeat(s, beat, notBefore)
+	if s.options.OnHeartbeat != nil {
+		s.options.OnHeartbeat(s, beat, notBefore)
 	}
 }
 
-// GetEcho returns the peer's last heartbeat and how long it has been held
-// here. A message that carries both lets the peer tell when it can have been written.
+// GetEcho returns the sequence of the last heartbeat from the peer and the time since it arrived;
+// zeros before the first one. From both values in a message, the peer computes the earliest time at
+// which the message can have been written.
 func (s *Session) GetEcho() (sequence uint64, hold time.Duration) {
 	sequence = s.peerSequence.Load()
 	if sequence == 0 {
 		return 0, 0
 	}
-	return sequence, time.Since(s.started) - time.Duration(s.heardAt.Load())
+	return sequence, time.Since(s.started) - time.Duration(s.receivedAt.Load())
 }
 
-// NotBefore returns the earliest local time at which a message with this echo
-// can have been written; zero when the echo tells nothing.
+// NotBefore returns the earliest local time at which a message with this echo can have been written.
+// It is zero if the send time of the echoed heartbeat is not known.
 func (s *Session) NotBefore(echo uint64, hold time.Duration) time.Time {
-	sent := s.findSent(echo)
+	sent := s.findSendTime(echo)
 	if sent.IsZero() {
 		return sent
 	}
 	return sent.Add(hold)
 }
 
-// findSent returns when the heartbeat of the sequence was sent, zero when it is not remembered any more.
-func (s *Session) findSent(sequence uint64) time.Time {
+// findSendTime returns the time at which the heartbeat with this sequence was sent. It is zero if
+// there is no such heartbeat or it is older than the ones in sentAt.
+func (s *Session) findSendTime(sequence uint64) time.Time {
 	s.sentLock.Lock()
 	defer s.sentLock.Unlock()
 	if sequence == 0 || sequence > s.lastSequence || s.lastSequence-sequence >= uint64(len(s.sentAt)) {
@@ -108,7 +112,7 @@
 	return s.sentAt[sequence%uint64(len(s.sentAt))]
 }
 
-func (s *Session) measureDelay(beat *wire.Beat, sent time.Time) {
+func (s *Session) updateDelay(beat *wire.Beat, sent time.Time) {
 	oneWay := (int64(time.Since(sent)) - beat.GetEchoHoldNanos()) / 2
 	if oneWay < 0 {
 		return
@@ -118,5 +122,5 @@
 		s.delay.Store(oneWay)
 		return
 	}
-	s.delay.Store(old + (oneWay-old)>>delayShift)
+	s.delay.Store(old + (oneWay-old)>>delaySmoothingShift)
 }
--- a/share/modules/link/bench_test.go
+++ b/share/modules/link/bench_test.go
@@ -10,7 +10,8 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// processorTime is the time that this process has used; wall-clock figures mean little on a shared machine.
+// processorTime returns the processor time that this process has used. Wall-clock times vary too much
+// on a shared machine.
 func processorTime() time.Duration {
 	usage := syscall.Rusage{}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
@@ -28,7 +29,8 @@
 	return s
 }
 
-// BenchmarkCall measures one call's stream, frame out and frame back, both ends in this process.
+// BenchmarkCall measures a call on a new stream: opening it, one frame out and one frame back. Both ends
+// run in this process.
 func BenchmarkCall(b *testing.B) {
 	s := dialPeer(b)
 	body := make([]byte, 300)
@@ -52,7 +54,7 @@
 	b.ReportMetric(float64((processorTime()-start).Nanoseconds())/float64(b.N), "cpu-ns/op")
 }
 
-// BenchmarkPooledCall measures the same on streams that are used again.
+// BenchmarkPooledCall measures the same calls on streams that are reused.
 func BenchmarkPooledCall(b *testing.B) {
 	s := dialPeer(b)
 	body := make([]byte, 300)
@@ -76,7 +78,8 @@
 	b.ReportMetric(float64((processorTime()-start).Nanoseconds())/float64(b.N), "cpu-ns/op")
 }
 
-// BenchmarkParts measures small parts that pass back and forth on many open streams, as tokens do.
+// BenchmarkParts measures small frames sent back and forth on many open streams, like the parts of
+// streamed answers that carry tokens.
 func BenchmarkParts(b *testing.B) {
 	s := dialPeer(b)
 	body := make([]byte, 100)
--- a/share/modules/link/broken_test.go
+++ b/share/modules/link/broken_test.go
@@ -15,40 +15,40 @@
 	"verbenaroad.example/share/modules/link"
 )
 
-// brittleConn fails in the ways of a connection whose other end or whose path has gone.
-type brittleConn struct {
+// faultyConn simulates a connection whose peer or network path has failed.
+type faultyConn struct {
 	net.Conn
-	lock sync.Mutex
-	// writes is what becomes of them; changed is closed when it is set.
-	writes  writeFault
-	changed chan struct{}
+	lock       sync.Mutex
+	writeFault writeFault
+	changed    chan struct{}
+	// expired is closed at the write deadline or the close, and ends blocked writes.
 	expired chan struct{}
 	once    sync.Once
 }
 
-// writeFault says what becomes of writes.
+// writeFault is the way in which writes fail.
 type writeFault string
 
 const (
 	writesPass  writeFault = ""
 	writesFail  writeFault = "fail"
-	writesStick writeFault = "stick"
+	writesBlock writeFault = "block"
 )
 
 var errReset = errors.New("connection reset by peer")
 
-func newBrittleConn(conn net.Conn) *brittleConn {
-	return &brittleConn{Conn: conn, changed: make(chan struct{}), expired: make(chan struct{})}
+func newFaultyConn(conn net.Conn) *faultyConn {
+	return &faultyConn{Conn: conn, changed: make(chan struct{}), expired: make(chan struct{})}
 }
 
-func (c *brittleConn) Write(p []byte) (int, error) {
+func (c *faultyConn) Write(p []byte) (int, error) {
 	c.lock.Lock()
-	fault := c.writes
+	fault := c.writeFault
 	c.lock.Unlock()
 	switch fault {
 	case writesFail:
 		return 0, errReset
-	case writesStick:
+	case writesBlock:
 		<-c.expired
 		return 0, errReset
 	default:
@@ -56,35 +56,35 @@
 	}
 }
 
-func (c *brittleConn) setWrites(fault writeFault) {
+func (c *faultyConn) setWriteFault(fault writeFault) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.writes = fault
+	c.writeFault = fault
 }
 
-// SetWriteDeadline ends writes that stick, at the deadline.
-func (c *brittleConn) SetWriteDeadline(deadline time.Time) error {
+// SetWriteDeadline ends blocked writes at the deadline.
+func (c *faultyConn) SetWriteDeadline(deadline time.Time) error {
 	if !deadline.IsZero() {
 		time.AfterFunc(time.Until(deadline), c.expire)
 	}
 	return c.Conn.SetWriteDeadline(deadline)
 }
 
-func (c *brittleConn) expire() { c.once.Do(func() { close(c.expired) }) }
+func (c *faultyConn) expire() { c.once.Do(func() { close(c.expired) }) }
 
-func (c *brittleConn) Close() error {
+func (c *faultyConn) Close() error {
 	c.expire()
 	return c.Conn.Close()
 }
 
-// pair are both ends of a session with readers that wait on many streams.
+// pair holds both ends of a session with streamCount streams and a blocked reader at each end of each.
 type pair struct {
 	dialed, accepted *link.Session
-	conn             *brittleConn
+	conn             *faultyConn
 	readers          sync.WaitGroup
 }
 
-const manyReaders = 60
+const streamCount = 60
 
 func newPair(t *testing.T) *pair {
 	t.Helper()
@@ -94,8 +94,8 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	p := &pair{}
 	options := newOptions("a")
-	options.BeatEvery = 20 * time.Millisecond
-	options.SilentAfter = 300 * time.Millisecond
+	options.HeartbeatInterval = 20 * time.Millisecond
+	options.SilenceTimeout = 300 * time.Millisecond
 	accepted := make(chan struct{})
 	go func() {
 		defer close(accepted)
@@ -103,7 +103,7 @@
 		if err != nil {
 			return
 		}
-		p.conn = newBrittleConn(conn)
+		p.conn = newFaultyConn(conn)
 		p.accepted, err = link.Accept(p.conn, options)
 		if err != nil {
 			t.Error(err)
@@ -113,7 +113,7 @@
 	is.NoErr(err)
 	<-accepted
 	t.Cleanup(func() { _, _ = p.dialed.Close(), p.accepted.Close() })
-	for range manyReaders {
+	for range streamCount {
 		here, err := p.dialed.Open()
 		is.NoErr(err)
 		_, err = here.Write([]byte("x"))
@@ -135,22 +135,22 @@
 	_, _ = stream.Read(make([]byte, 1))
 }
 
-// Guards against readers that take a whole core once their session has ended, in whatever order
-// its parts fail.
-func TestReadersOfABrokenSessionAreAtRest(t *testing.T) {
-	const most = 100 * time.Millisecond
+// Guards against readers that spin and take a whole core after their session has ended. This depends on
+// the order in which reads and writes fail and the ends close, so all of these orders are tested.
+func TestReadersDoNotSpinWhenSessionFails(t *testing.T) {
+	const maxUsed = 100 * time.Millisecond
 	for name, fail := range map[string]func(p *pair){
-		"writes fail":              func(p *pair) { p.conn.setWrites(writesFail) },
-		"writes stick":             func(p *pair) { p.conn.setWrites(writesStick) },
+		"writes fail":              func(p *pair) { p.conn.setWriteFault(writesFail) },
+		"writes block":             func(p *pair) { p.conn.setWriteFault(writesBlock) },
 		"reads fail":               func(p *pair) { _ = p.conn.SetReadDeadline(time.Now()) },
-		"writes fail, then reads":  func(p *pair) { p.conn.setWrites(writesFail); _ = p.conn.SetReadDeadline(time.Now()) },
-		"reads fail, writes stick": func(p *pair) { p.conn.setWrites(writesStick); _ = p.conn.SetReadDeadline(time.Now()) },
+		"writes fail, then reads":  func(p *pair) { p.conn.setWriteFault(writesFail); _ = p.conn.SetReadDeadline(time.Now()) },
+		"reads fail, writes block": func(p *pair) { p.conn.setWriteFault(writesBlock); _ = p.conn.SetReadDeadline(time.Now()) },
 		"the connection is closed": func(p *pair) { _ = p.conn.Close() },
 		"the peer ends":            func(p *pair) { _ = p.dialed.Close() },
 		"this side ends":           func(p *pair) { _ = p.accepted.Close() },
-		"this side ends while writes stick": func(p *pair) {
-			p.conn.setWrites(writesStick)
-			time.Sleep(50 * time.Millisecond) // a heartbeat is under way
+		"this side ends while writes block": func(p *pair) {
+			p.conn.setWriteFault(writesBlock)
+			time.Sleep(50 * time.Millisecond) // a heartbeat is being written now
 			_ = p.accepted.Close()
 		},
 		"both sides end": func(p *pair) {
@@ -169,7 +169,7 @@
 			took, used := time.Since(began), processorTime()-before
 			t.Logf("ended after %v with %v of processor time", took, used)
 			is.True(took < 3*time.Second)
-			is.True(used < most)
+			is.True(used < maxUsed)
 		})
 	}
 }
--- a/share/modules/link/close_test.go
+++ b/share/modules/link/close_test.go
@@ -14,23 +14,23 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// stuckConn stops taking writes once it is stuck, as a peer behind a cut link does.
-type stuckConn struct {
+// blockedConn blocks writes after a call of block, like a connection whose network path is cut.
+type blockedConn struct {
 	net.Conn
-	lock  sync.Mutex
-	stuck bool
-	ended chan struct{}
-	once  sync.Once
+	lock    sync.Mutex
+	blocked bool
+	ended   chan struct{}
+	once    sync.Once
 }
 
-func (c *stuckConn) Write(p []byte) (int, error) {
+func (c *blockedConn) Write(p []byte) (int, error) {
 	c.lock.Lock()
-	stuck := c.stuck
+	blocked := c.blocked
 	c.lock.Unlock()
-	if !stuck {
+	if !blocked {
 		return c.Conn.Write(p)
 	}
-	// The write deadline that the closing side sets ends the wait.
+	// Simulates the write deadline that the closing side sets.
 	select {
 	case <-c.ended:
 	case <-time.After(time.Second):
@@ -38,40 +38,40 @@
 	return 0, net.ErrClosed
 }
 
-func (c *stuckConn) Close() error {
+func (c *blockedConn) Close() error {
 	c.once.Do(func() { close(c.ended) })
 	return c.Conn.Close()
 }
 
-func (c *stuckConn) getStuck() {
+func (c *blockedConn) block() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.stuck = true
+	c.blocked = true
 }
 
-// An operator stops an ingress while one of its peers is cut off. The process
-// takes a whole core until it is gone: heartbeats to that peer are pending, the
-// close waits for them, and meanwhile each reader of the session loops.
-func TestCloseLeavesReadersAtRest(t *testing.T) {
+// Guards against an ingress that takes a whole core while it stops. One of its peers is cut off, so
+// heartbeats to that peer are pending. The close waits for them, and meanwhile each reader of the session
+// spins.
+func TestReadersDoNotSpinWhileCloseWaits(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
 	accepted := make(chan *link.Session, 1)
-	stuck := make(chan *stuckConn, 1)
+	conns := make(chan *blockedConn, 1)
 	options := link.Options{
-		Hello:       &wire.Hello{Version: wire.Version, Name: "a"},
-		BeatEvery:   20 * time.Millisecond,
-		SilentAfter: time.Minute,
-		Beat:        func() *wire.Beat { return &wire.Beat{} },
+		Hello:             &wire.Hello{Version: wire.Version, Name: "a"},
+		HeartbeatInterval: 20 * time.Millisecond,
+		SilenceTimeout:    time.Minute,
+		NewHeartbeat:      func() *wire.Beat { return &wire.Beat{} },
 	}
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		c := &stuckConn{Conn: conn, ended: make(chan struct{})}
-		stuck <- c
+		c := &blockedConn{Conn: conn, ended: make(chan struct{})}
+		conns <- c
 		s, err := link.Accept(c, options)
 		if err == nil {
 			accepted <- s
@@ -81,38 +81,39 @@
 	is.NoErr(err)
 	defer func() { _ = dialed.Close() }()
 	s := <-accepted
-	(<-stuck).getStuck()
-	time.Sleep(100 * time.Millisecond) // heartbeats are pending now
+	(<-conns).block()
+	time.Sleep(100 * time.Millisecond) // heartbeats are pending by now
 
 	before := processorTime()
 	_ = s.Close()
 	is.True(processorTime()-before < 300*time.Millisecond)
 }
 
-// slowCloseConn is closed only once its last write has ended, as a connection of the runtime is.
+// slowCloseConn is a connection whose Close waits until its last write has ended, as Close of a net.Conn
+// of the Go runtime does.
 type slowCloseConn struct {
-	*stuckConn
+	*blockedConn
 	writes sync.WaitGroup
 }
 
-// writeEnds is how long such a write takes to notice the close.
-const writeEnds = 600 * time.Millisecond
+// writeEndDelay is the time that a blocked write takes to return after the deadline or the close.
+const writeEndDelay = 600 * time.Millisecond
 
 func (c *slowCloseConn) Write(p []byte) (int, error) {
 	c.lock.Lock()
-	stuck := c.stuck
+	blocked := c.blocked
 	c.lock.Unlock()
-	if !stuck {
+	if !blocked {
 		return c.Conn.Write(p)
 	}
 	c.writes.Add(1)
 	defer c.writes.Done()
 	<-c.ended
-	time.Sleep(writeEnds)
+	time.Sleep(writeEndDelay)
 	return 0, net.ErrClosed
 }
 
-// SetWriteDeadline ends the write once a deadline has passed already.
+// SetWriteDeadline ends a blocked write if the deadline has already passed.
 func (c *slowCloseConn) SetWriteDeadline(deadline time.Time) error {
 	if !deadline.IsZero() && !deadline.After(time.Now()) {
 		c.once.Do(func() { close(c.ended) })
@@ -126,9 +127,9 @@
 	return c.Conn.Close()
 }
 
-// Guards against readers that take a whole core when a peer ends its connection while a
-// message to it is under way, since the close waits for that write.
-func TestPeerThatEndsLeavesReadersAtRest(t *testing.T) {
+// Guards against readers that spin and take a whole core when a peer closes its connection while a
+// message to it is being written. The close of the connection waits for that write.
+func TestReadersDoNotSpinWhenPeerCloses(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -137,7 +138,7 @@
 	conns := make(chan *slowCloseConn, 1)
 	down := make(chan struct{})
 	options := newOptions("a")
-	options.SilentAfter = time.Minute
+	options.SilenceTimeout = time.Minute
 	ending := options
 	ending.OnDown = func(*link.Session, error) { close(down) }
 	go func() {
@@ -145,7 +146,7 @@
 		if err != nil {
 			return
 		}
-		c := &slowCloseConn{stuckConn: &stuckConn{Conn: conn, ended: make(chan struct{})}}
+		c := &slowCloseConn{blockedConn: &blockedConn{Conn: conn, ended: make(chan struct{})}}
 		conns <- c
 		s, err := link.Accept(c, ending)
 		if err == nil {
@@ -155,12 +156,12 @@
 	peer, err := link.Dial(context.Background(), netip.MustParseAddrPort(listener.Addr().String()), options)
 	is.NoErr(err)
 	s := <-accepted
-	(<-conns).getStuck()
-	time.Sleep(100 * time.Millisecond) // a heartbeat is under way now
+	(<-conns).block()
+	time.Sleep(100 * time.Millisecond) // a heartbeat is being written now
 
 	before := processorTime()
 	is.NoErr(peer.Close())
 	<-down
 	is.NoErr(s.Close())
-	is.True(processorTime()-before < writeEnds/2)
+	is.True(processorTime()-before < writeEndDelay/2)
 }
--- a/share/modules/link/exchange.go
+++ b/share/modules/link/exchange.go
@@ -8,33 +8,34 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// FetchChunks sends a fetch on a stream of its own and waits for the answer.
+// FetchChunks requests configuration from a peer and waits for the answer.
 func FetchChunks(ctx context.Context, s *Session, fetch *wire.Fetch) (*wire.Chunks, error) {
 	frame, err := exchange(ctx, s, &wire.Frame{Body: &wire.Frame_Fetch{Fetch: fetch}})
 	if err != nil {
 		return nil, err
 	}
 	if frame.GetChunks() == nil {
-		return nil, ErrLink.New("the answer to a fetch holds no chunks")
+		return nil, ErrLink.New("the answer to a fetch request is not a chunks frame")
 	}
 	return frame.GetChunks(), nil
 }
 
-// AskAgent sends an ask on a stream of its own and waits for the answer.
-func AskAgent(ctx context.Context, s *Session, ask *wire.Ask) (*wire.Told, error) {
-	frame, err := exchange(ctx, s, &wire.Frame{Body: &wire.Frame_Ask{Ask: ask}})
+// RequestTombstone asks an agent to tombstone a claimed attempt, which can then never start. It returns
+// what became of the attempt: one that has started is not tombstoned.
+func RequestTombstone(ctx context.Context, s *Session, request *wire.Ask) (*wire.Told, error) {
+	frame, err := exchange(ctx, s, &wire.Frame{Body: &wire.Frame_Ask{Ask: request}})
 	if err != nil {
 		return nil, err
 	}
 	if frame.GetTold() == nil {
-		return nil, ErrLink.New("the answer to an ask tells nothing")
+		return nil, ErrLink.New("the answer to a tombstone request is not a told frame")
 	}
 	return frame.GetTold(), nil
 }
 
-// Sync asks a peer for store records that it knows and this process does not. The call ends
-// once nothing has arrived for the stall time; onArrival is told of each arrival.
-func Sync(ctx context.Context, s *Session, sync *wire.Sync, stall time.Duration, onArrival func()) (*wire.Records, error) {
+// Sync requests the store records that a peer has and this process lacks. It fails if no data arrives
+// for stallTimeout. onArrival is called whenever data arrives.
+func Sync(ctx context.Context, s *Session, sync *wire.Sync, stallTimeout time.Duration, onArrival func()) (*wire.Records, error) {
 	stream, err := s.Open()
 	if err != nil {
 		return nil, err
@@ -45,23 +46,24 @@
 	if err := wire.WriteFrame(stream, &wire.Frame{Body: &wire.Frame_Sync{Sync: sync}}); err != nil {
 		return nil, err
 	}
-	frame, err := wire.NewReader(&arrivals{Conn: stream, stall: stall, onArrival: onArrival}).Next()
+	frame, err := wire.NewReader(&stallConn{Conn: stream, stallTimeout: stallTimeout, onArrival: onArrival}).Next()
 	if err != nil {
 		return nil, err
 	}
 	if frame.GetRecords() == nil {
-		return nil, ErrLink.New("the answer to a sync holds no records")
+		return nil, ErrLink.New("the answer to a sync request is not a records frame")
 	}
 	return frame.GetRecords(), nil
 }
 
-// Feed is a stream on which a peer sends store records now and after each change.
+// Feed is a stream on which a peer sends the store records that this process lacks, at the start and
+// after each change.
 type Feed struct {
 	stream net.Conn
 	reader *wire.Reader
 }
 
-// Follow opens a feed. The end of the context closes it; onArrival is told of each arrival.
+// Follow opens a feed, which is closed when the context ends. onArrival is called whenever data arrives.
 func Follow(ctx context.Context, s *Session, follow *wire.Follow, onArrival func()) (*Feed, error) {
 	stream, err := s.Open()
 	if err != nil {
@@ -72,7 +74,7 @@
 		_ = stream.Close()
 		return nil, err
 	}
-	return &Feed{stream: stream, reader: wire.NewReader(&arrivals{Conn: stream, onArrival: onArrival})}, nil
+	return &Feed{stream: stream, reader: wire.NewReader(&stallConn{Conn: stream, onArrival: onArrival})}, nil
 }
 
 // Next waits for the next records.
@@ -82,34 +84,34 @@
 		return nil, err
 	}
 	if frame.GetRecords() == nil {
-		return nil, ErrLink.New("a feed brought no records")
+		return nil, ErrLink.New("the feed sent a frame that is not a records frame")
 	}
 	return frame.GetRecords(), nil
 }
 
-// Close ends the feed.
+// Close closes the feed.
 func (f *Feed) Close() { _ = f.stream.Close() }
 
-// Produce has a peer make the results of a stage and waits until they are made or given up.
-// The end of the context closes the stream, which tells the peer to cancel.
+// Produce makes a peer produce the results of a stage, and waits until they are produced or the job is
+// dropped. When the context ends the stream is closed, which cancels the job at the peer.
 func Produce(ctx context.Context, s *Session, produce *wire.Produce) (*wire.Produced, error) {
 	frame, err := exchange(ctx, s, &wire.Frame{Body: &wire.Frame_Produce{Produce: produce}})
 	if err != nil {
 		return nil, err
 	}
 	if frame.GetProduced() == nil {
-		return nil, ErrLink.New("the answer to a produce holds no outcome")
+		return nil, ErrLink.New("the answer to a produce request is not a produced frame")
 	}
 	return frame.GetProduced(), nil
 }
 
-// Discard tells a peer that results are of no use any more.
+// Discard makes a peer release results that are no longer needed. It does not wait for an answer.
 func Discard(s *Session, discard *wire.Discard) error {
-	return tell(s, &wire.Frame{Body: &wire.Frame_Discard{Discard: discard}})
+	return send(s, &wire.Frame{Body: &wire.Frame_Discard{Discard: discard}})
 }
 
-// tell sends what is not answered.
-func tell(s *Session, frame *wire.Frame) error {
+// send sends a frame that has no answer, on a stream of its own.
+func send(s *Session, frame *wire.Frame) error {
 	stream, err := s.Open()
 	if err != nil {
 		return err
@@ -118,42 +120,45 @@
 	return wire.WriteFrame(stream, frame)
 }
 
-// TellCrash tells a peer that a request ended with its server, and returns its word on the request.
-func TellCrash(ctx context.Context, s *Session, crash *wire.Crash) (*wire.CrashNoted, error) {
+// ReportCrash reports to a peer that an attempt of a request ended because its server crashed. The
+// answer tells whether the request is quarantined.
+func ReportCrash(ctx context.Context, s *Session, crash *wire.Crash) (*wire.CrashNoted, error) {
 	frame, err := exchange(ctx, s, &wire.Frame{Body: &wire.Frame_Crash{Crash: crash}})
 	if err != nil {
 		return nil, err
 	}
 	if frame.GetCrashNoted() == nil {
-		return nil, ErrLink.New("the answer to a crash says nothing of the request")
+		return nil, ErrLink.New("the answer to a crash report is not a crash-noted frame")
 	}
 	return frame.GetCrashNoted(), nil
 }
 
-// TellServed tells a peer that a request was served.
-func TellServed(s *Session, served *wire.Served) error {
-	return tell(s, &wire.Frame{Body: &wire.Frame_Served{Served: served}})
+// ReportServed reports to a peer that a request was served. It does not wait for an answer.
+func ReportServed(s *Session, served *wire.Served) error {
+	return send(s, &wire.Frame{Body: &wire.Frame_Served{Served: served}})
 }
 
-// Assignment is an open question about one request's engine.
+// Assignment is a request's assignment to an engine by a peer. Its stream stays open while the engine
+// has the request.
 type Assignment struct {
 	stream net.Conn
 	Answer *wire.Assigned
 }
 
-// Assign asks a peer for an engine; the assignment is to be closed when the engine has ended the request.
+// Assign asks a peer to assign an engine to a request. The caller closes the assignment once the
+// engine has ended the request.
 func Assign(ctx context.Context, s *Session, assign *wire.Assign) (*Assignment, error) {
 	stream, err := s.Open()
 	if err != nil {
 		return nil, err
 	}
 	stop := CloseOnDone(ctx, stream)
-	frame, err := ask(stream, &wire.Frame{Body: &wire.Frame_Assign{Assign: assign}})
+	frame, err := roundTrip(stream, &wire.Frame{Body: &wire.Frame_Assign{Assign: assign}})
 	if !stop() && err == nil {
 		err = ctx.Err()
 	}
 	if err == nil && frame.GetAssigned() == nil {
-		err = ErrLink.New("the answer to an assign names no server")
+		err = ErrLink.New("the answer to an assign request is not an assigned frame")
 	}
 	if err != nil {
 		_ = stream.Close()
@@ -162,23 +167,25 @@
 	return &Assignment{stream: stream, Answer: frame.GetAssigned()}, nil
 }
 
-// Tell tells the peer how far the request is. A peer that has gone needs no news.
-func (a *Assignment) Tell(state string) {
+// Report reports the request's progress to the peer. A write error is ignored, because a peer that is
+// gone does not need the report.
+func (a *Assignment) Report(state string) {
 	_ = wire.WriteFrame(a.stream, &wire.Frame{Body: &wire.Frame_Progress{Progress: &wire.Progress{State: state}}})
 }
 
-// Close ends the assignment.
+// Close closes the stream, which ends the assignment.
 func (a *Assignment) Close() { _ = a.stream.Close() }
 
-func ask(stream net.Conn, frame *wire.Frame) (*wire.Frame, error) {
+// roundTrip sends a frame and reads the frame that answers it.
+func roundTrip(stream net.Conn, frame *wire.Frame) (*wire.Frame, error) {
 	if err := wire.WriteFrame(stream, frame); err != nil {
 		return nil, err
 	}
 	return wire.NewReader(stream).Next()
 }
 
-// exchange gives the stream its own deadline, since yamux's acknowledgements
-// are of the session and not of the call.
+// exchange sends a frame on a stream of its own and waits for the answer. The end of the context closes
+// the stream: yamux's acknowledgements belong to the session and do not bound a call.
 func exchange(ctx context.Context, s *Session, frame *wire.Frame) (*wire.Frame, error) {
 	stream, err := s.Open()
 	if err != nil {
@@ -187,12 +194,12 @@
 	defer func() { _ = stream.Close() }()
 	stop := CloseOnDone(ctx, stream)
 	defer stop()
-	return ask(stream, frame)
+	return roundTrip(stream, frame)
 }
 
-// CloseOnDone closes the stream when the context ends; the returned function
-// lets go of the context. A closed yamux stream still waits for the peer's
-// answer, so a read that waits is ended by its deadline.
+// CloseOnDone closes the stream when the context ends. The returned function detaches the stream from
+// the context. A read that is blocked on a closed yamux stream still waits for the peer to answer, so it
+// is ended with a read deadline.
 func CloseOnDone(ctx context.Context, stream net.Conn) func() bool {
 	return context.AfterFunc(ctx, func() {
 		_ = stream.SetReadDeadline(time.Unix(1, 0))
--- a/share/modules/link/incarnation.go
+++ b/share/modules/link/incarnation.go
@@ -7,7 +7,7 @@
 
 const incarnationBytes = 8
 
-// NewIncarnation returns an id that no other start of a process has.
+// NewIncarnation returns a random id that identifies one run of a process.
 func NewIncarnation() string {
 	id := make([]byte, incarnationBytes)
 	_, _ = rand.Read(id) // never fails
--- a/share/modules/link/link_test.go
+++ b/share/modules/link/link_test.go
@@ -17,7 +17,7 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// peer accepts sessions and echoes one frame on each stream.
+// peer accepts sessions and echoes all data on each stream.
 type peer struct {
 	listener net.Listener
 	options  link.Options
@@ -72,18 +72,18 @@
 
 func newOptions(name string) link.Options {
 	return link.Options{
-		Hello:     &wire.Hello{Version: wire.Version, Name: name},
-		BeatEvery: 10 * time.Millisecond,
-		Beat:      func() *wire.Beat { return &wire.Beat{Revision: 7} },
+		Hello:             &wire.Hello{Version: wire.Version, Name: name},
+		HeartbeatInterval: 10 * time.Millisecond,
+		NewHeartbeat:      func() *wire.Beat { return &wire.Beat{Revision: 7} },
 	}
 }
 
-func TestSessionCarriesHelloBeatsAndStreams(t *testing.T) {
+func TestSessionCarriesHelloHeartbeatsAndStreams(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, newOptions("agent-1"))
 	options := newOptions("entry-1")
 	beats := make(chan uint64, 100)
-	options.OnBeat = func(_ *link.Session, beat *wire.Beat, _ time.Time) { beats <- beat.GetRevision() }
+	options.OnHeartbeat = func(_ *link.Session, beat *wire.Beat, _ time.Time) { beats <- beat.GetRevision() }
 	s, err := link.Dial(context.Background(), p.address(), options)
 	is.NoErr(err)
 	defer func() { _ = s.Close() }()
@@ -99,7 +99,7 @@
 	is.Equal(string(frame.GetPart().GetData()), "spruce")
 }
 
-func TestOtherVersionIsRefusedWithItsCode(t *testing.T) {
+func TestOtherProtocolVersionIsRefused(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, newOptions("agent-1"))
 	options := newOptions("entry-1")
@@ -111,29 +111,28 @@
 	is.Equal(result.Outcome, codes.OutcomeNotRun)
 }
 
-func TestPlainSessionsStayOnLoopback(t *testing.T) {
+func TestPlainSessionBeyondLoopbackIsRefused(t *testing.T) {
 	is := is.New(t)
 	_, err := link.Dial(context.Background(), netip.MustParseAddrPort("192.0.2.1:7000"), newOptions("entry-1"))
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "needs TLS"))
 }
 
-// An open connection goes silent for good: a firewall between the two ends has
-// lost track of it, so nothing arrives and no error shows. A user would see
-// every call through this session hang until its deadline. The heartbeats stop
-// first; the session must end by itself so that a fresh one can be tried.
+// Guards against calls that hang until their deadline on a session that has gone silent for good, for
+// example because a firewall has lost track of the connection: nothing arrives and no error shows. The
+// session must end by itself, so that a new one can be tried.
 func TestSilentSessionEnds(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
-	mute := newOptions("agent-1")
-	mute.BeatEvery = time.Hour
-	p := &peer{listener: listener, options: mute, sessions: make(chan *link.Session, 1)}
+	silentOptions := newOptions("agent-1")
+	silentOptions.HeartbeatInterval = time.Hour
+	p := &peer{listener: listener, options: silentOptions, sessions: make(chan *link.Session, 1)}
 	go p.run()
 
 	options := newOptions("entry-1")
-	options.SilentAfter = 50 * time.Millisecond
+	options.SilenceTimeout = 50 * time.Millisecond
 	down := make(chan error, 1)
 	options.OnDown = func(_ *link.Session, reason error) { down <- reason }
 	s, err := link.Dial(context.Background(), p.address(), options)
--- a/share/modules/link/options.go
+++ b/share/modules/link/options.go
@@ -1,6 +1,6 @@
-// Package link keeps the sessions between the system's own processes: one
-// yamux session over TCP or TLS with a control stream for hello and
-// heartbeats, and one stream for each call.
+// Package link implements the sessions between the system's own processes. A session is one yamux
+// session over TCP or TLS. It has a control stream for the hello and the heartbeats, and one stream
+// for each call in flight.
 package link
 
 import (
@@ -18,11 +18,11 @@
 var ErrLink = errs.Class("link") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
 const (
-	// DefaultBeatEvery is the time between two heartbeats of one end.
-	DefaultBeatEvery = time.Second
-	// DefaultSilentAfter is how long a session may bring nothing before it counts as silent.
-	DefaultSilentAfter = 3500 * time.Millisecond
-	// DefaultHelloTimeout bounds connecting and the exchange of hellos.
+	// DefaultHeartbeatInterval is the time between two heartbeats that one end sends.
+	DefaultHeartbeatInterval = time.Second
+	// DefaultSilenceTimeout is the time without any data from the peer after which a session is closed.
+	DefaultSilenceTimeout = 3500 * time.Millisecond
+	// DefaultHelloTimeout limits the time for connecting and exchanging hellos.
 	DefaultHelloTimeout = 3 * time.Second
 
 	streamWindowBytes = 1 << 20
@@ -31,36 +31,39 @@
 
 // Options are the settings of one end of a session.
 type Options struct {
-	// Hello is sent to the peer; its revision is filled in by Beat.
+	// Hello is sent to the peer when the session is opened. The configuration revision is sent with
+	// the heartbeats.
 	Hello *wire.Hello
-	// TLS is nil for plain sessions.
+	// TLS is the TLS configuration; nil means sessions without TLS.
 	TLS *tls.Config
-	// Private allows plain sessions beyond loopback, on a network that only the
-	// deployment's own instances reach.
+	// Private allows sessions without TLS beyond loopback. It is meant for a network that only the
+	// deployment's own instances can reach.
 	Private bool
-	// BeatEvery is the time between two heartbeats.
-	BeatEvery time.Duration
-	// SilentAfter is how long the peer may be silent. An open connection can go
-	// silent for good while new ones work, so a silent session is closed and
-	// a fresh connection is tried before the peer is blamed.
-	SilentAfter time.Duration
-	// HelloTimeout bounds connecting and the exchange of hellos.
+	// HeartbeatInterval is the time between two heartbeats.
+	HeartbeatInterval time.Duration
+	// SilenceTimeout is the time without any data from the peer after which the session is closed. An
+	// open connection can go silent for good while new connections work, so a new connection is
+	// tried before the peer is treated as failed.
+	SilenceTimeout time.Duration
+	// HelloTimeout limits the time for connecting and exchanging hellos.
 	HelloTimeout time.Duration
-	// Beat fills in the revision, age, load and leaving mark of each heartbeat.
-	Beat func() *wire.Beat
-	// OnBeat is told of each heartbeat of the peer, with the earliest local time at
-	// which the peer can have written it; zero when the heartbeat echoes none.
-	OnBeat func(s *Session, beat *wire.Beat, notBefore time.Time)
-	// OnDown is told once when the session has ended.
+	// NewHeartbeat returns a heartbeat with the content of the sender, for example its configuration
+	// revision, load and leaving flag. The session sets the sequence and the echo fields.
+	NewHeartbeat func() *wire.Beat
+	// OnHeartbeat is called for each heartbeat of the peer. notBefore is the earliest local time at
+	// which the peer can have written it. It is zero if the heartbeat echoes no heartbeat of this
+	// end whose send time is still known.
+	OnHeartbeat func(s *Session, beat *wire.Beat, notBefore time.Time)
+	// OnDown is called once, when the session has ended.
 	OnDown func(s *Session, reason error)
 }
 
 func (o Options) withDefaults() Options {
-	if o.BeatEvery == 0 {
-		o.BeatEvery = DefaultBeatEvery
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = DefaultHeartbeatInterval
 	}
-	if o.SilentAfter == 0 {
-		o.SilentAfter = DefaultSilentAfter
+	if o.SilenceTimeout == 0 {
+		o.SilenceTimeout = DefaultSilenceTimeout
 	}
 	if o.HelloTimeout == 0 {
 		o.HelloTimeout = DefaultHelloTimeout
@@ -70,10 +73,10 @@
 
 func muxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
-	// The control stream's heartbeats watch the session; yamux's own pings would double them.
+	// The heartbeats on the control stream detect a dead session, so yamux's own pings are not needed.
 	c.EnableKeepAlive = false
 	c.ConnectionWriteTimeout = writeTimeout
-	// Each call has its own deadline; yamux would end the whole session.
+	// Each call has its own deadline. A timeout in yamux would end the whole session.
 	c.StreamOpenTimeout = 0
 	c.MaxStreamWindowSize = streamWindowBytes
 	c.LogOutput = io.Discard
--- a/share/modules/link/pool.go
+++ b/share/modules/link/pool.go
@@ -6,28 +6,28 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// maxIdleStreams bounds the streams that a session keeps between calls.
+// maxIdleStreams limits the idle streams that a session keeps for later calls.
 const maxIdleStreams = 256
 
-// Stream carries one call after the other, so that a call does not pay for
-// opening and closing a yamux stream.
+// Stream is a yamux stream that is reused for successive calls, which saves opening and closing a
+// stream for each call.
 type Stream struct {
 	net.Conn
 	Reader *wire.Reader
 }
 
-// TakeStream returns an idle stream, or a new one.
+// TakeStream returns an idle stream, or opens a new one if there is none.
 func (s *Session) TakeStream() (*Stream, error) {
 	s.idleLock.Lock()
 	last := len(s.idle) - 1
 	if last >= 0 {
 		stream := s.idle[last]
 		s.idle = s.idle[:last]
-		s.idleLow = min(s.idleLow, last)
+		s.minIdle = min(s.minIdle, last)
 		s.idleLock.Unlock()
 		return stream, nil
 	}
-	s.idleLow = 0
+	s.minIdle = 0
 	s.idleLock.Unlock()
 	conn, err := s.Open()
 	if err != nil {
@@ -36,9 +36,9 @@
 	return &Stream{Conn: conn, Reader: wire.NewReader(conn)}, nil
 }
 
-// PutStream gives back a stream on which nothing is under way: the end record
-// of the last call was read and nobody closed the stream. Any other stream is
-// closed by its user, which tells the peer to cancel.
+// PutStream returns a stream to the idle streams. No call may be in flight on it: the end record of
+// the last call was read, and the stream was not closed. The caller closes any other stream instead,
+// which cancels the call at the peer.
 func (s *Session) PutStream(stream *Stream) {
 	s.idleLock.Lock()
 	defer s.idleLock.Unlock()
@@ -49,19 +49,19 @@
 	s.idle = append(s.idle, stream)
 }
 
-// trimIdle closes the streams that no call needed since the last time.
+// trimIdle closes the streams that have stayed idle since the previous trim.
 func (s *Session) trimIdle() {
 	s.idleLock.Lock()
-	unused := s.idle[:s.idleLow]
-	s.idle = append([]*Stream{}, s.idle[s.idleLow:]...)
-	s.idleLow = len(s.idle)
+	unused := s.idle[:s.minIdle]
+	s.idle = append([]*Stream{}, s.idle[s.minIdle:]...)
+	s.minIdle = len(s.idle)
 	s.idleLock.Unlock()
 	for _, stream := range unused {
 		_ = stream.Close()
 	}
 }
 
-// CountBusy returns the number of streams with a call under way.
+// CountBusy returns the number of streams with a call in flight. It leaves out the control stream.
 func (s *Session) CountBusy() int {
 	s.idleLock.Lock()
 	defer s.idleLock.Unlock()
--- a/share/modules/link/session.go
+++ b/share/modules/link/session.go
@@ -15,11 +15,11 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// Session is one connection to a peer.
+// Session is a connection to a peer with a control stream and the streams of calls.
 type Session struct {
 	options Options
 	mux     *yamux.Session
-	// conn carries mux.
+	// conn is the connection under mux.
 	conn    *batchConn
 	streams *streams
 	control net.Conn
@@ -27,28 +27,30 @@
 	counter *countingConn
 	peer    *wire.Hello
 
-	// delay is the smoothed one-way delay measured by echoed heartbeats, in nanoseconds.
+	// delay is the smoothed one-way delay in nanoseconds, measured with echoed heartbeats.
 	delay atomic.Int64
-	// peerSequence and heardAt belong to the last heartbeat received; they are echoed.
+	// peerSequence is the sequence of the last heartbeat received, and receivedAt its arrival in
+	// nanoseconds since started. Heartbeats and calls echo them to the peer.
 	peerSequence atomic.Uint64
-	heardAt      atomic.Int64
+	receivedAt   atomic.Int64
 	started      time.Time
 
 	sentLock sync.Mutex
-	// sentAt holds the send times of the last heartbeats, indexed by sequence modulo its length.
+	// sentAt holds the send times of the last heartbeats. The index is the sequence modulo its length.
 	sentAt       [16]time.Time
 	lastSequence uint64
 
 	idleLock sync.Mutex
-	// idle streams wait for the next call; idleLow is the fewest since the last trim.
+	// idle holds the streams without a call in flight, and minIdle its smallest length since the
+	// last trim.
 	idle    []*Stream
-	idleLow int
+	minIdle int
 
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// Dial connects to a peer and exchanges hellos.
+// Dial connects to a peer, exchanges hellos and returns the session.
 func Dial(ctx context.Context, address netip.AddrPort, options Options) (*Session, error) {
 	options = options.withDefaults()
 	if options.TLS == nil && !options.Private && !address.Addr().IsLoopback() {
@@ -104,7 +106,7 @@
 	return s, nil
 }
 
-// Accept exchanges hellos on a connection that a peer opened.
+// Accept exchanges hellos on a connection that a peer opened, and returns the session.
 func Accept(conn net.Conn, options Options) (*Session, error) {
 	options = options.withDefaults()
 	counter := newCountingConn(conn)
@@ -152,8 +154,8 @@
 	return wire.WriteFrame(s.control, &wire.Frame{Body: &wire.Frame_Hello{Hello: s.options.Hello}})
 }
 
-// answerHello reads the peer's hello and answers with this end's own, or with
-// the numbered code that tells a peer of another version why it is refused.
+// answerHello reads the peer's hello and sends the hello of this end. A peer of another protocol
+// version gets an end frame with the code UnknownVersion instead.
 func (s *Session) answerHello() error {
 	err := s.readHello()
 	if IsVersionError(err) {
@@ -169,7 +171,8 @@
 	return s.writeHello()
 }
 
-// readHello refuses a peer of another protocol version before any call is made.
+// readHello reads the peer's hello. It returns a VersionError for a peer of another protocol version,
+// so that no call is ever made to it.
 func (s *Session) readHello() error {
 	frame, err := s.reader.Next()
 	if err != nil {
@@ -180,7 +183,7 @@
 	}
 	hello := frame.GetHello()
 	if hello == nil {
-		return ErrLink.New("the first frame is no hello")
+		return ErrLink.New("the first frame is not a hello")
 	}
 	if hello.GetVersion() != wire.Version {
 		return &VersionError{Peer: hello.GetVersion()}
@@ -191,7 +194,7 @@
 
 func (s *Session) start() {
 	go s.loopRead()
-	go s.loopBeat()
+	go s.loopHeartbeat()
 }
 
 // Peer returns the hello of the other end.
@@ -208,7 +211,7 @@
 	return s.streams.add(stream), nil
 }
 
-// Accept waits for a stream that the peer opens.
+// Accept waits for the next stream that the peer opens.
 func (s *Session) Accept() (net.Conn, error) {
 	stream, err := s.mux.AcceptStream()
 	if err != nil {
@@ -222,13 +225,13 @@
 	return time.Duration(s.delay.Load())
 }
 
-// Silence returns how long the peer has sent nothing. Any bytes count and not heartbeats alone,
-// since these wait behind a large message on a slow link.
+// Silence returns the time since data last arrived from the peer. All data counts and not only
+// heartbeats, because heartbeats are queued behind a large message on a slow link.
 func (s *Session) Silence() time.Duration {
 	return s.counter.silence()
 }
 
-// IsClosed tells whether the session has ended.
+// IsClosed reports whether the session has ended.
 func (s *Session) IsClosed() bool {
 	return s.mux.IsClosed()
 }
@@ -238,13 +241,14 @@
 	return s.counter.read.Load(), s.counter.written.Load()
 }
 
-// Close ends the session and every stream on it.
+// Close ends the session and all its streams.
 func (s *Session) Close() error {
 	s.end(ErrLink.New("closed by this side"))
 	return nil
 }
 
-// end closes the connection, at which yamux's receiver ends the session. It returns once what was pending is written out or given up.
+// end closes the connection, which makes yamux's receiver end the session. It returns once the pending
+// data has been written or dropped.
 func (s *Session) end(reason error) {
 	s.closeOnce.Do(func() {
 		close(s.closed)
@@ -254,6 +258,6 @@
 		if s.options.OnDown != nil {
 			s.options.OnDown(s, reason)
 		}
-		s.conn.wait()
+		s.conn.waitEnded()
 	})
 }
--- a/share/modules/link/slow_test.go
+++ b/share/modules/link/slow_test.go
@@ -14,16 +14,16 @@
 	"verbenaroad.example/share/modules/link"
 )
 
-// slowPath passes the answers of a target on in small packets with a pause after each.
-type slowPath struct {
+// slowProxy forwards the data from a target in small packets, with a pause after each.
+type slowProxy struct {
 	listener net.Listener
 	target   netip.AddrPort
 	pause    time.Duration
 }
 
-const slowPacket = 4 << 10
+const slowPacketBytes = 4 << 10
 
-func (p *slowPath) run() {
+func (p *slowProxy) run() {
 	caller, err := p.listener.Accept()
 	if err != nil {
 		return
@@ -35,35 +35,36 @@
 	}
 	go p.runRequests(target, caller)
 	for {
-		if _, err := io.CopyN(caller, target, slowPacket); err != nil {
+		if _, err := io.CopyN(caller, target, slowPacketBytes); err != nil {
 			return
 		}
 		time.Sleep(p.pause)
 	}
 }
 
-func (*slowPath) runRequests(target, caller net.Conn) { _, _ = io.Copy(target, caller) }
+func (*slowProxy) runRequests(target, caller net.Conn) { _, _ = io.Copy(target, caller) }
 
-// Guards against a session that ends for silence while a large message arrives, behind which heartbeats wait.
-func TestSlowMessageKeepsTheSession(t *testing.T) {
+// Guards against a session that is closed as silent while a large message arrives over a slow link.
+// Heartbeats are queued behind the message, so they alone do not show that the peer is alive.
+func TestSlowMessageDoesNotEndSession(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
-	quiet := newOptions("agent-1")
-	quiet.BeatEvery = 200 * time.Millisecond
-	p := newPeer(t, quiet)
-	path := &slowPath{listener: listener, target: p.address(), pause: 20 * time.Millisecond}
-	go path.run()
+	agentOptions := newOptions("agent-1")
+	agentOptions.HeartbeatInterval = 200 * time.Millisecond
+	p := newPeer(t, agentOptions)
+	proxy := &slowProxy{listener: listener, target: p.address(), pause: 20 * time.Millisecond}
+	go proxy.run()
 
 	options := newOptions("entry-1")
-	options.SilentAfter = 600 * time.Millisecond
+	options.SilenceTimeout = 600 * time.Millisecond
 	s, err := link.Dial(context.Background(), netip.MustParseAddrPort(listener.Addr().String()), options)
 	is.NoErr(err)
 	defer func() { _ = s.Close() }()
 	stream, err := s.Open()
 	is.NoErr(err)
-	message := bytes.Repeat([]byte("spruce"), 60_000) // it is echoed, which takes some two seconds
+	message := bytes.Repeat([]byte("spruce"), 60_000) // the echo takes about two seconds
 	_, err = stream.Write(message)
 	is.NoErr(err)
 	_, err = io.ReadFull(stream, make([]byte, len(message)))
--- a/share/modules/link/streams.go
+++ b/share/modules/link/streams.go
@@ -10,18 +10,19 @@
 	"github.com/hashicorp/yamux"
 )
 
-// streams are the open streams of a session.
+// streams holds the open streams of a session, so that their reads can be ended.
 //
-// They end reads before yamux marks the session as shut down: from then on until it has closed
-// its streams each blocked Stream.Read loops without waiting, and takes whole cores where closing has to wait.
+// Reads have to end before yamux marks the session as shut down. From that mark until yamux has closed
+// the streams, each blocked yamux Stream.Read loops without waiting. If the close has to wait, these
+// loops take whole cores.
 type streams struct {
 	lock sync.Mutex
 	open map[*muxStream]bool
-	// ended is set once the connection brings nothing more.
+	// ended is set once a read of the connection has failed.
 	ended bool
 }
 
-// muxStream is one stream.
+// muxStream is a yamux stream whose reads end with its session.
 type muxStream struct {
 	*yamux.Stream
 	owner *streams
@@ -29,8 +30,8 @@
 
 var _ net.Conn = (*muxStream)(nil)
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0) //nolint:gochecknoglobals // a constant in all but syntax
+// pastDeadline is a time in the past. As a deadline it ends reads at once.
+var pastDeadline = time.Unix(1, 0) //nolint:gochecknoglobals // a constant in all but syntax
 
 func newStreams() *streams { return &streams{open: map[*muxStream]bool{}} }
 
@@ -39,20 +40,20 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.ended {
-		_ = stream.SetReadDeadline(longAgo)
+		_ = stream.SetReadDeadline(pastDeadline)
 		return m
 	}
 	s.open[m] = true
 	return m
 }
 
-// endReads has all reads return.
+// endReads makes all current and later reads of the streams return.
 func (s *streams) endReads() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.ended = true
 	for m := range s.open {
-		_ = m.Stream.SetReadDeadline(longAgo)
+		_ = m.Stream.SetReadDeadline(pastDeadline)
 	}
 	clear(s.open)
 }
@@ -63,7 +64,7 @@
 	return s.ended
 }
 
-// Read reads what has arrived; io.EOF means that the peer closed the stream, or that the session has ended.
+// Read reads from the stream. It returns io.EOF if the peer closed the stream or the session has ended.
 func (m *muxStream) Read(p []byte) (int, error) {
 	n, err := m.Stream.Read(p)
 	if errors.Is(err, yamux.ErrTimeout) && m.owner.isEnded() {
@@ -72,7 +73,8 @@
 	return n, err //nolint:wrapcheck // readers compare it with io.EOF
 }
 
-// SetReadDeadline bounds reads; those of a session that has ended return as they did.
+// SetReadDeadline sets the deadline of reads. It has no effect once the session has ended, so that
+// reads still return at once.
 func (m *muxStream) SetReadDeadline(deadline time.Time) error {
 	m.owner.lock.Lock()
 	defer m.owner.lock.Unlock()
@@ -82,12 +84,12 @@
 	return m.Stream.SetReadDeadline(deadline) //nolint:wrapcheck // it cannot fail
 }
 
-// SetDeadline bounds reads and writes.
+// SetDeadline sets the deadline of reads and writes.
 func (m *muxStream) SetDeadline(deadline time.Time) error {
 	return errors.Join(m.SetReadDeadline(deadline), m.SetWriteDeadline(deadline))
 }
 
-// Close ends the stream.
+// Close closes the stream.
 func (m *muxStream) Close() error {
 	m.owner.lock.Lock()
 	delete(m.owner.open, m)
--- a/share/modules/setup/secure_test.go
+++ b/share/modules/setup/secure_test.go
@@ -116,7 +116,7 @@
 		Hello:        &wire.Hello{Version: wire.Version, Name: name},
 		TLS:          settings,
 		HelloTimeout: 2 * time.Second,
-		Beat:         func() *wire.Beat { return &wire.Beat{} },
+		NewHeartbeat: func() *wire.Beat { return &wire.Beat{} },
 	}
 }
 
--- a/vload/services/stand/stand.go
+++ b/vload/services/stand/stand.go
@@ -145,10 +145,10 @@
 			Domain:      instance.Domain,
 			Service:     instance.Service,
 		},
-		BeatEvery:   s.options.BeatEvery,
-		SilentAfter: time.Duration(silentBeats * float64(s.options.BeatEvery)),
-		Beat:        s.newBeat(instance.Role),
-		OnBeat:      s.takeBeat,
+		HeartbeatInterval: s.options.BeatEvery,
+		SilenceTimeout:    time.Duration(silentBeats * float64(s.options.BeatEvery)),
+		NewHeartbeat:      s.newBeat(instance.Role),
+		OnHeartbeat:       s.takeBeat,
 	}
 }
 
--- a/vload/services/stand/stand_test.go
+++ b/vload/services/stand/stand_test.go
@@ -47,10 +47,10 @@
 	is.Equal(agent.ID, "stand-agent-0000")
 	heard := make(chan uint64, 100)
 	session, err := link.Dial(t.Context(), netip.AddrPortFrom(netip.MustParseAddr(agent.Address), agent.Port), link.Options{
-		Hello:     &wire.Hello{Version: wire.Version, Name: "entry-1", Role: "entry"},
-		BeatEvery: 10 * time.Millisecond,
-		Beat:      func() *wire.Beat { return &wire.Beat{Revision: 41} },
-		OnBeat: func(_ *link.Session, beat *wire.Beat, _ time.Time) {
+		Hello:             &wire.Hello{Version: wire.Version, Name: "entry-1", Role: "entry"},
+		HeartbeatInterval: 10 * time.Millisecond,
+		NewHeartbeat:      func() *wire.Beat { return &wire.Beat{Revision: 41} },
+		OnHeartbeat: func(_ *link.Session, beat *wire.Beat, _ time.Time) {
 			if beat.GetLoad().GetSlots() > 0 {
 				heard <- beat.GetRevision()
 			}
