--- a/share/modules/listen/quiesce_test.go
+++ b/share/modules/listen/quiesce_test.go
@@ -17,10 +17,10 @@
 	"verbenaroad.example/share/modules/listen"
 )
 
-// server answers a byte to each connection with the byte that it brought.
+// server echoes one byte on each connection.
 type server struct {
 	listener net.Listener
-	// delay is how long the server is busy before it accepts.
+	// delay is the time before the server starts to accept connections.
 	delay time.Duration
 }
 
@@ -49,8 +49,8 @@
 	return s
 }
 
-// ask sends a byte and waits for it; opened tells whether there was a connection.
-func ask(address string) (opened bool, err error) {
+// roundTrip sends a byte and waits for its echo. opened reports whether a connection was established.
+func roundTrip(address string) (opened bool, err error) {
 	dialer := net.Dialer{Timeout: 5 * time.Second}
 	conn, err := dialer.DialContext(context.Background(), "tcp", address)
 	if err != nil {
@@ -74,37 +74,36 @@
 	_ = s.listener.Close()
 }
 
-// A caller's connection is open and its order written while the stopping server
-// is still busy with others. The close of the listener would reset it, and the caller
-// would not know whether the order ran; it must get its answer.
+// Guards against the reset of connections that the kernel has established and a stopping server has not
+// accepted yet. The client has already written its request and could not know whether it ran.
 func TestQueuedConnectionsAreAnswered(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t, 200*time.Millisecond)
-	ends := make(chan error, 20)
-	for range cap(ends) {
+	results := make(chan error, 20)
+	for range cap(results) {
 		conn, err := net.Dial("tcp", s.listener.Addr().String())
 		is.NoErr(err)
 		_, err = conn.Write([]byte("x"))
 		is.NoErr(err)
 		go func() {
 			_, err := io.ReadFull(conn, make([]byte, 1))
-			ends <- err
+			results <- err
 		}()
 	}
 	s.close(t)
-	for range cap(ends) {
-		is.NoErr(<-ends)
+	for range cap(results) {
+		is.NoErr(<-results)
 	}
 }
 
-// Callers keep coming while a server stops. Each finds the port closed or gets its
-// answer; none has a connection that is reset.
-func TestCallersDuringTheCloseAreAnsweredOrRefused(t *testing.T) {
+// Guards against resets of connections that clients open while a server stops. Each client must get its
+// answer or find the port closed.
+func TestNoConnectionIsResetDuringClose(t *testing.T) {
 	is := is.New(t)
 	for range 2 {
 		s := newServer(t, 0)
 		address := s.listener.Addr().String()
-		cut := atomic.Int64{}
+		broken := atomic.Int64{}
 		answered := atomic.Int64{}
 		callers := sync.WaitGroup{}
 		for range 20 {
@@ -112,13 +111,13 @@
 			go func() {
 				defer callers.Done()
 				for {
-					opened, err := ask(address)
+					opened, err := roundTrip(address)
 					switch {
 					case err == nil:
 						answered.Add(1)
 						continue
 					case opened:
-						cut.Add(1)
+						broken.Add(1)
 					case !errors.Is(err, syscall.ECONNREFUSED):
 						t.Errorf("neither answered nor refused: %v", err)
 					}
@@ -129,7 +128,7 @@
 		time.Sleep(30 * time.Millisecond)
 		s.close(t)
 		callers.Wait()
-		is.Equal(cut.Load(), int64(0))
+		is.Equal(broken.Load(), int64(0))
 		is.True(answered.Load() > 0)
 	}
 }
