--- a/share/modules/pauses/pauses.go
+++ b/share/modules/pauses/pauses.go
@@ -1,4 +1,4 @@
-// Package pauses waits for a time or for the end of a context.
+// Package pauses provides a sleep that ends early when a context ends.
 package pauses
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Wait waits for d and returns false when the context ended first.
+// Wait sleeps for d and returns true. It returns false if the context ends first.
 func Wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
