--- a/share/modules/rhash/main_test.go
+++ b/share/modules/rhash/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests; -rapid.seed=0 searches with a new one each time.
+// TestMain sets a fixed seed for the property tests; -rapid.seed=0 uses a new seed on each run.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/share/modules/rhash/rhash.go
+++ b/share/modules/rhash/rhash.go
@@ -1,7 +1,6 @@
-// Package rhash assigns keys to members by rendezvous hashing: each member
-// has a score for the key and the highest scores win. A member that joins or
-// leaves moves only the keys that it wins or had won. See "Sharding"
-// (rendezvous hashing). The package keeps no state.
+// Package rhash assigns keys to members by rendezvous hashing: each member has a score for a key, and
+// the members with the highest scores get the key. When a member joins or leaves, only the keys move
+// that it gets or had. See "Sharding" (rendezvous hashing). The package keeps no state.
 package rhash
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// separator keeps key and name apart, so that "a"+"bc" and "ab"+"c" score differently.
+// separator stands between key and name, so that "a"+"bc" and "ab"+"c" have different scores.
 const separator = "\x00"
 
 type scored struct {
@@ -20,8 +19,8 @@
 	score uint64
 }
 
-// Pick returns the n names with the highest scores for the key, highest first, ties by name.
-// The order of names does not matter; fewer come back when there are fewer.
+// Pick returns the n names with the highest scores for the key, in descending order of the score and
+// ties by name. The order of names does not matter. If there are fewer than n names, it returns all.
 func Pick(key string, names []string, n int) []string {
 	n = min(n, len(names))
 	if n <= 0 {
@@ -49,19 +48,19 @@
 	return d.Sum64()
 }
 
-// Weighted is a member with its share of the keys.
+// Weighted is a member with a weight, which determines its share of the keys.
 type Weighted struct {
 	Name string
-	// Weight is above 0; a member with twice the weight wins twice the keys.
+	// Weight must be above 0. A member with twice the weight gets twice as many keys.
 	Weight float64
 }
 
-// PickWeighted returns all names, the one that wins the key first. As with Pick, a
-// member that joins, leaves or changes its weight moves only keys of its own.
+// PickWeighted returns all names in descending order of their weighted scores for the key. As with Pick,
+// when a member joins, leaves or changes its weight, only keys move that it gets or had.
 func PickWeighted(key string, members []Weighted) []string {
 	ranking := slices.Clone(members)
 	slices.SortFunc(ranking, func(a, b Weighted) int {
-		return cmp.Or(cmp.Compare(weigh(key, b), weigh(key, a)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(weightedScore(key, b), weightedScore(key, a)), cmp.Compare(a.Name, b.Name))
 	})
 	names := make([]string, 0, len(ranking))
 	for _, m := range ranking {
@@ -70,28 +69,29 @@
 	return names
 }
 
-// FirstWeighted returns the first name of PickWeighted without ordering the others; empty where there is none.
+// FirstWeighted returns the first name of PickWeighted without sorting all names. It returns an empty
+// string if there are no members.
 func FirstWeighted(key string, members []Weighted) string {
 	name, best := "", 0.0
 	for _, m := range members {
-		if w := weigh(key, m); name == "" || w > best || w == best && m.Name < name {
+		if w := weightedScore(key, m); name == "" || w > best || w == best && m.Name < name {
 			name, best = m.Name, w
 		}
 	}
 	return name
 }
 
-// weigh turns the uniform score u into -weight/ln(u), whose maximum falls to a
-// member with a probability in proportion to its weight.
-func weigh(key string, m Weighted) float64 {
-	u := (float64(Score(key, m.Name)>>scoreShift) + 0.5) / (1 << scoreBits)
+// weightedScore returns -weight/ln(u), where u is the score scaled to a uniform value between 0 and 1.
+// The probability that a member has the highest weighted score is proportional to its weight.
+func weightedScore(key string, m Weighted) float64 {
+	u := (float64(Score(key, m.Name)>>scoreShift) + 0.5) / (1 << scoreMantissaBits)
 	return -m.Weight / math.Log(u)
 }
 
 const (
-	// scoreBits is how much of a score a float64 holds exactly.
-	scoreBits  = 53
-	scoreShift = 64 - scoreBits
+	// scoreMantissaBits is the number of bits of a score that a float64 represents exactly.
+	scoreMantissaBits = 53
+	scoreShift        = 64 - scoreMantissaBits
 )
 
 func compareScored(a, b scored) int {
--- a/share/modules/rhash/rhash_test.go
+++ b/share/modules/rhash/rhash_test.go
@@ -18,8 +18,8 @@
 	keys    = 4096
 )
 
-// assign returns the member of a key.
-type assign func(key string, names []string) string
+// picker returns the member that gets a key.
+type picker func(key string, names []string) string
 
 func byRendezvous(key string, names []string) string { return rhash.Pick(key, names, 1)[0] }
 
@@ -27,7 +27,7 @@
 	return names[xxhash.Sum64String(key)%uint64(len(names))]
 }
 
-// byShuffle seeds a shuffle of the members with the key and takes the first.
+// byShuffle shuffles the members with the key as the seed and returns the first.
 func byShuffle(key string, names []string) string {
 	shuffled := slices.Clone(names)
 	r := rand.New(rand.NewPCG(xxhash.Sum64String(key), 1))
@@ -43,19 +43,19 @@
 	return list
 }
 
-// movedShare is the share of keys whose member differs between two lists.
-func movedShare(a assign, before, after []string) float64 {
+// movedShare returns the share of keys whose member differs between two lists of members.
+func movedShare(pick picker, before, after []string) float64 {
 	moved := 0
 	for i := range keys {
 		key := fmt.Sprintf("key-%d", i)
-		if a(key, before) != a(key, after) {
+		if pick(key, before) != pick(key, after) {
 			moved++
 		}
 	}
 	return float64(moved) / keys
 }
 
-func TestMovedShareAgainstOtherRules(t *testing.T) {
+func TestRendezvousMovesFewerKeysThanModuloAndShuffle(t *testing.T) {
 	is := is.New(t)
 	all := names(members)
 	cases := map[string][2][]string{
@@ -67,13 +67,13 @@
 		modulo := movedShare(byModulo, c[0], c[1])
 		shuffle := movedShare(byShuffle, c[0], c[1])
 		t.Logf("one of %d %s: rendezvous %.4f, modulo %.4f, seeded shuffle %.4f", members, name, ours, modulo, shuffle)
-		is.True(ours < 2.0/members) // an even share is 1/members
+		is.True(ours < 2.0/members) // 1/members is the average share of a member
 		is.True(modulo > 5*ours)
 		is.True(shuffle > 5*ours)
 	}
 }
 
-func TestPickMovesOnlyToTheNewMember(t *testing.T) {
+func TestPickAddsOnlyTheNewMember(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,6}"), 2, 30, rapid.ID[string]).Draw(t, "names")
 		key := rapid.String().Draw(t, "key")
@@ -83,18 +83,18 @@
 		after := rhash.Pick(key, list, n)
 		for _, name := range after {
 			if name != joined && !slices.Contains(before, name) {
-				t.Fatalf("%s came in though only %s joined", name, joined)
+				t.Fatalf("%s was added though only %s joined", name, joined)
 			}
 		}
 		reversed := slices.Clone(list)
 		slices.Reverse(reversed)
 		if !slices.Equal(after, rhash.Pick(key, reversed, n)) {
-			t.Fatal("the order of the list counts")
+			t.Fatal("the result depends on the order of the names")
 		}
 	})
 }
 
-func TestPickBounds(t *testing.T) {
+func TestPickCount(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(rhash.Pick("k", names(3), 9)), 3)
 	is.Equal(rhash.Pick("k", names(3), 0), nil)
--- a/share/modules/rhash/weighted_test.go
+++ b/share/modules/rhash/weighted_test.go
@@ -10,7 +10,7 @@
 	"verbenaroad.example/share/modules/rhash"
 )
 
-func TestPickWeightedByShares(t *testing.T) {
+func TestPickWeightedSharesFollowWeights(t *testing.T) {
 	is := is.New(t)
 	members := []rhash.Weighted{{Name: "small", Weight: 1}, {Name: "middle", Weight: 2}, {Name: "large", Weight: 5}}
 	counts := map[string]int{}
@@ -23,8 +23,8 @@
 	}
 }
 
-// A member goes. Only its own keys may move: each other key keeps its owner.
-func TestPickWeightedMovesLittle(t *testing.T) {
+// Guards against keys that change their member when another member leaves.
+func TestPickWeightedMovesOnlyKeysOfRemovedMember(t *testing.T) {
 	is := is.New(t)
 	members := []rhash.Weighted{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}, {Name: "c", Weight: 2}}
 	for i := range keys {
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestFirstWeightedIsTheFirstOfAll(t *testing.T) {
+func TestFirstWeightedEqualsFirstOfPickWeighted(t *testing.T) {
 	is := is.New(t)
 	members := []rhash.Weighted{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}, {Name: "c", Weight: 2}}
 	for i := range keys {
