--- a/share/modules/kvapi/client_test.go
+++ b/share/modules/kvapi/client_test.go
@@ -15,41 +15,42 @@
 	"verbenaroad.example/share/modules/kvapi"
 )
 
-// cutter reads requests and answers only the first few of each connection before it closes it.
-type cutter struct {
+// droppingServer answers only the first requests of each connection. It reads one more and closes the
+// connection without an answer.
+type droppingServer struct {
 	listener net.Listener
-	// answers is how many requests of a connection get an answer.
+	// answers is the number of requests of a connection that are answered.
 	answers  int
 	requests atomic.Int64
 }
 
-func newCutter(t *testing.T, answers int) *cutter {
+func newDroppingServer(t *testing.T, answers int) *droppingServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cutter{listener: listener, answers: answers}
+	s := &droppingServer{listener: listener, answers: answers}
 	t.Cleanup(func() { _ = listener.Close() })
-	go c.run()
-	return c
+	go s.run()
+	return s
 }
 
-func (c *cutter) address() netip.AddrPort {
-	return c.listener.Addr().(*net.TCPAddr).AddrPort()
+func (s *droppingServer) address() netip.AddrPort {
+	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func (c *cutter) run() {
+func (s *droppingServer) run() {
 	for {
-		connection, err := c.listener.Accept()
+		connection, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		go c.runConnection(connection)
+		go s.runConnection(connection)
 	}
 }
 
-func (c *cutter) runConnection(connection net.Conn) {
+func (s *droppingServer) runConnection(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for n := 0; ; n++ {
@@ -58,18 +59,17 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		c.requests.Add(1)
-		if n >= c.answers {
+		s.requests.Add(1)
+		if n >= s.answers {
 			return
 		}
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntrue")
 	}
 }
 
-// A writer sends a compare-and-swap. The service reads it, applies it, and
-// the connection breaks before the answer. Were the request sent again by
-// the transport, the second one would fail its index check and the writer
-// would hear "not swapped" of a change that took effect.
+// Guards against writes that net/http retries by itself. If the service applies a compare-and-swap and the
+// connection breaks before the response, the retry would fail its index check, and the caller would get
+// "not swapped" for a change that took effect.
 func TestWritesAreSentOnce(t *testing.T) {
 	writes := map[string]func(context.Context, *kvapi.Client) error{
 		"compare-and-swap": func(ctx context.Context, c *kvapi.Client) error {
@@ -100,7 +100,7 @@
 		for answers := range 2 {
 			t.Run(name, func(t *testing.T) {
 				is := is.New(t)
-				server := newCutter(t, answers)
+				server := newDroppingServer(t, answers)
 				client := kvapi.NewClient(kvapi.Options{Address: server.address()})
 				for call := int64(1); call <= 3; call++ {
 					err := write(context.Background(), client)
@@ -116,26 +116,27 @@
 	}
 }
 
-// A read may be sent again; that this test server sees it shows that it would see a write sent twice.
-func TestReadIsSentAgain(t *testing.T) {
+// Reads may be retried by net/http. That the test server counts the retry shows that it would also count a
+// retried write.
+func TestReadIsRetried(t *testing.T) {
 	is := is.New(t)
-	server := newCutter(t, 1)
+	server := newDroppingServer(t, 1)
 	client := kvapi.NewClient(kvapi.Options{Address: server.address()})
 	_, err := client.FindPairs(context.Background(), "a")
-	is.True(err != nil) // "true" is no list of pairs
+	is.True(err != nil) // "true" is not a list of pairs
 	_, _ = client.FindPairs(context.Background(), "a")
 	is.Equal(server.requests.Load(), int64(3))
 	is.Equal(client.Stats().Reads, uint64(2))
 }
 
-func TestNotSent(t *testing.T) {
+func TestErrNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	closed := listener.Addr().(*net.TCPAddr).AddrPort()
 	_ = listener.Close()
-	server := newCutter(t, 1)
+	server := newDroppingServer(t, 1)
 
 	t.Run("refused connection", func(t *testing.T) {
 		is := is.New(t)
--- a/share/modules/kvapi/command.go
+++ b/share/modules/kvapi/command.go
@@ -8,48 +8,48 @@
 	"strconv"
 )
 
-// CompareAndSwap writes value if the key's ModifyIndex is still index; index
-// 0 creates the key only if it does not exist. After an error the outcome is
-// unknown, unless IsErrNotSent says that the write was certainly not applied.
+// CompareAndSwap writes value if the key's ModifyIndex still equals index, and reports whether it did.
+// Index 0 creates the key only if it does not exist. After an error the outcome is unknown unless
+// IsErrNotSent reports that the write was certainly not applied.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
-	if err := checkValue(key, value); err != nil {
+	if err := checkValueSize(key, value); err != nil {
 		return false, err
 	}
 	query := url.Values{"cas": {strconv.FormatUint(index, 10)}}
-	return c.decide(ctx, http.MethodPut, keyPath+key, query, value)
+	return c.writeConditional(ctx, http.MethodPut, keyPath+key, query, value)
 }
 
-// DeleteIf deletes the key if its ModifyIndex is still index, which is above
-// 0. After an error the outcome is unknown unless IsErrNotSent holds.
+// DeleteIf deletes the key if its ModifyIndex still equals index, which must be above 0, and reports
+// whether it did. After an error the outcome is unknown unless IsErrNotSent returns true.
 func (c *Client) DeleteIf(ctx context.Context, key string, index uint64) (bool, error) {
 	if index == 0 {
 		return false, ErrKV.Wrap(&ErrNotSent{Cause: ErrKV.New("key %s: a delete needs an index above 0", key)})
 	}
 	query := url.Values{"cas": {strconv.FormatUint(index, 10)}}
-	return c.decide(ctx, http.MethodDelete, keyPath+key, query, nil)
+	return c.writeConditional(ctx, http.MethodDelete, keyPath+key, query, nil)
 }
 
-// decide sends a write that the service answers with true or false.
-func (c *Client) decide(ctx context.Context, method, path string, query url.Values, body []byte) (bool, error) {
-	a, err := c.write(ctx, method, path, query, body)
+// writeConditional sends a write to which the service responds with true or false.
+func (c *Client) writeConditional(ctx context.Context, method, path string, query url.Values, body []byte) (bool, error) {
+	r, err := c.write(ctx, method, path, query, body)
 	if err != nil {
 		return false, err
 	}
-	if a.status != http.StatusOK {
-		return false, a.err()
+	if r.status != http.StatusOK {
+		return false, r.err()
 	}
-	switch string(bytes.TrimSpace(a.body)) {
+	switch string(bytes.TrimSpace(r.body)) {
 	case "true":
 		return true, nil
 	case "false":
 		return false, nil
 	default:
-		return false, a.err()
+		return false, r.err()
 	}
 }
 
-// checkValue refuses what the service would not hold, before anything is sent.
-func checkValue(key string, value []byte) error {
+// checkValueSize returns an ErrNotSent if the value is larger than the service accepts.
+func checkValueSize(key string, value []byte) error {
 	if len(value) <= MaxValueBytes {
 		return nil
 	}
--- a/share/modules/kvapi/errors.go
+++ b/share/modules/kvapi/errors.go
@@ -11,46 +11,47 @@
 // ErrKV is the class of every error of this package.
 var ErrKV = errs.Class("key-value service") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// ErrKeyNotExist says that no such key exists.
+// ErrKeyNotExist reports that a key does not exist.
 type ErrKeyNotExist struct {
 	Key string
-	// Index is the service's index at the time of the answer; a watch from it sees the key's creation.
+	// Index is the service's index at the time of the response. A watch from it observes the creation
+	// of the key.
 	Index uint64
 }
 
-// Error names the key.
+// Error returns a message with the key.
 func (e *ErrKeyNotExist) Error() string {
 	return fmt.Sprintf("key %s does not exist", e.Key)
 }
 
-// IsErrKeyNotExist reports whether err says that no such key exists.
+// IsErrKeyNotExist reports whether err is or wraps an ErrKeyNotExist.
 func IsErrKeyNotExist(err error) bool {
 	var target *ErrKeyNotExist
 	return errors.As(err, &target)
 }
 
-// ErrSessionNotExist says that the session has expired or was destroyed.
+// ErrSessionNotExist reports that a session has expired or was destroyed.
 type ErrSessionNotExist struct {
 	Session string
 }
 
-// Error names the session.
+// Error returns a message with the session.
 func (e *ErrSessionNotExist) Error() string {
 	return fmt.Sprintf("session %s does not exist", e.Session)
 }
 
-// IsErrSessionNotExist reports whether err says that the session is gone.
+// IsErrSessionNotExist reports whether err is or wraps an ErrSessionNotExist.
 func IsErrSessionNotExist(err error) bool {
 	var target *ErrSessionNotExist
 	return errors.As(err, &target)
 }
 
-// ErrNotSent says that a call was certainly not applied: nothing of it left this process.
+// ErrNotSent reports that a call was certainly not applied, because no part of it left this process.
 type ErrNotSent struct {
 	Cause error
 }
 
-// Error names the cause.
+// Error returns a message with the cause.
 func (e *ErrNotSent) Error() string {
 	return fmt.Sprintf("not sent: %v", e.Cause)
 }
@@ -66,25 +67,26 @@
 	return errors.As(err, &target)
 }
 
-// ErrStatus is an answer of the service with an unexpected status.
+// ErrStatus reports a response with an unexpected status.
 type ErrStatus struct {
 	Status int
 	Detail string
 }
 
-// Error gives the status and the start of the body.
+// Error returns a message with the status and the start of the body.
 func (e *ErrStatus) Error() string {
 	return fmt.Sprintf("status %d: %s", e.Status, e.Detail)
 }
 
-// IsErrStatus reports whether the service answered with an unexpected status.
+// IsErrStatus reports whether err is or wraps an ErrStatus.
 func IsErrStatus(err error) bool {
 	var target *ErrStatus
 	return errors.As(err, &target)
 }
 
-// newCallError separates calls that never left this process from those of unknown outcome.
-func newCallError(err error) error {
+// newRequestError wraps the error of a request. It returns an ErrNotSent if the connection could not be
+// opened, since no part of the request left this process then. Otherwise the outcome is unknown.
+func newRequestError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrKV.Wrap(&ErrNotSent{Cause: err})
--- a/share/modules/kvapi/session.go
+++ b/share/modules/kvapi/session.go
@@ -10,11 +10,13 @@
 
 // SessionOptions holds the settings of a session.
 type SessionOptions struct {
-	// Name shows in the service's listings.
+	// Name is shown in the service's listings.
 	Name string
-	// TTL is how long the session lives without a renewal; the service may let it live longer, never shorter.
+	// TTL is the lifetime of the session without a renewal. The service may keep the session longer,
+	// but never shorter.
 	TTL time.Duration
-	// LockDelay is how long a key stays free after its holder's session expired.
+	// LockDelay is the time for which a key cannot be acquired after the session that held it has
+	// expired.
 	LockDelay time.Duration
 }
 
@@ -25,11 +27,12 @@
 	Behavior  string
 }
 
-type sessionAnswer struct {
+type sessionResponse struct {
 	ID string
 }
 
-// CreateSession opens a session and returns its id. Keys that it holds are freed when it ends.
+// CreateSession creates a session and returns its id. The keys that a session holds are released when it
+// ends.
 func (c *Client) CreateSession(ctx context.Context, options SessionOptions) (string, error) {
 	body, err := json.Marshal(sessionBody{
 		Name:      options.Name,
@@ -40,60 +43,60 @@
 	if err != nil {
 		return "", ErrKV.Wrap(&ErrNotSent{Cause: err})
 	}
-	a, err := c.write(ctx, http.MethodPut, "/v1/session/create", nil, body)
+	r, err := c.write(ctx, http.MethodPut, "/v1/session/create", nil, body)
 	if err != nil {
 		return "", err
 	}
-	if a.status != http.StatusOK {
-		return "", a.err()
+	if r.status != http.StatusOK {
+		return "", r.err()
 	}
-	var created sessionAnswer
-	if err := json.Unmarshal(a.body, &created); err != nil {
+	var created sessionResponse
+	if err := json.Unmarshal(r.body, &created); err != nil {
 		return "", ErrKV.Wrap(err)
 	}
 	return created.ID, nil
 }
 
-// RenewSession starts the session's TTL anew, or returns ErrSessionNotExist.
+// RenewSession restarts the session's TTL. It returns an ErrSessionNotExist if the session does not exist.
 func (c *Client) RenewSession(ctx context.Context, session string) error {
-	a, err := c.write(ctx, http.MethodPut, "/v1/session/renew/"+session, nil, nil)
+	r, err := c.write(ctx, http.MethodPut, "/v1/session/renew/"+session, nil, nil)
 	if err != nil {
 		return err
 	}
-	if a.status == http.StatusNotFound {
+	if r.status == http.StatusNotFound {
 		return ErrKV.Wrap(&ErrSessionNotExist{Session: session})
 	}
-	if a.status != http.StatusOK {
-		return a.err()
+	if r.status != http.StatusOK {
+		return r.err()
 	}
 	return nil
 }
 
-// DestroySession ends the session and frees its keys; one that is gone already is no error.
+// DestroySession ends the session and releases its keys. It is no error if the session no longer exists.
 func (c *Client) DestroySession(ctx context.Context, session string) error {
-	a, err := c.write(ctx, http.MethodPut, "/v1/session/destroy/"+session, nil, nil)
+	r, err := c.write(ctx, http.MethodPut, "/v1/session/destroy/"+session, nil, nil)
 	if err != nil {
 		return err
 	}
-	if a.status != http.StatusOK {
-		return a.err()
+	if r.status != http.StatusOK {
+		return r.err()
 	}
 	return nil
 }
 
-// Acquire writes value and takes the key for the session; false means that
-// another session holds it. After an error the outcome is unknown unless IsErrNotSent holds.
+// Acquire writes value and acquires the key for the session. It returns false if another session holds
+// the key. After an error the outcome is unknown unless IsErrNotSent returns true.
 func (c *Client) Acquire(ctx context.Context, key string, value []byte, session string) (bool, error) {
-	if err := checkValue(key, value); err != nil {
+	if err := checkValueSize(key, value); err != nil {
 		return false, err
 	}
-	return c.decide(ctx, http.MethodPut, keyPath+key, url.Values{"acquire": {session}}, value)
+	return c.writeConditional(ctx, http.MethodPut, keyPath+key, url.Values{"acquire": {session}}, value)
 }
 
-// Release writes value and frees the key; false means that the session does not hold it.
+// Release writes value and releases the key. It returns false if the session does not hold the key.
 func (c *Client) Release(ctx context.Context, key string, value []byte, session string) (bool, error) {
-	if err := checkValue(key, value); err != nil {
+	if err := checkValueSize(key, value); err != nil {
 		return false, err
 	}
-	return c.decide(ctx, http.MethodPut, keyPath+key, url.Values{"release": {session}}, value)
+	return c.writeConditional(ctx, http.MethodPut, keyPath+key, url.Values{"release": {session}}, value)
 }
--- a/share/modules/kvapi/stats.go
+++ b/share/modules/kvapi/stats.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// Stats counts the calls of a Client since it was made.
+// Stats holds the numbers of calls of a Client since it was created.
 type Stats struct {
 	Reads   uint64
 	Writes  uint64
 	Watches uint64
-	// Failed counts calls of any kind that ended without a whole answer.
+	// Failed is the number of calls of any kind that ended without a complete response.
 	Failed uint64
-	// Waiting is the number of watches open at this moment.
+	// Waiting is the number of watches that are currently open.
 	Waiting int64
 }
 
@@ -18,7 +18,7 @@
 	waiting                        atomic.Int64
 }
 
-// Stats returns the counts of this moment.
+// Stats returns the current counts.
 func (c *Client) Stats() Stats {
 	return Stats{
 		Reads:   c.stats.reads.Load(),
