--- a/share/modules/link/batch.go
+++ b/share/modules/link/batch.go
@@ -136,7 +136,7 @@
 }
 
 // Close ends reads and returns at once. loopWrite then writes the pending data, at most for
-// closeFlushTimeout, and closes the underlying connection.
+// closeFlushTimeout and not at all if reads had failed before, and closes the underlying connection.
 //
 // Close must not wait: yamux calls it when the session is marked as shut down and its streams are still
 // open, and until it returns each blocked read takes a whole core (see streams).
--- a/share/modules/link/broken_test.go
+++ b/share/modules/link/broken_test.go
@@ -77,7 +77,8 @@
 	return c.Conn.Close()
 }
 
-// pair holds both ends of a session with streamCount streams and a blocked reader at each end of each.
+// pair holds both ends of a session with streamCount streams and a blocked reader at both ends of each
+// stream.
 type pair struct {
 	dialed, accepted *link.Session
 	conn             *faultyConn
--- a/share/modules/link/close_test.go
+++ b/share/modules/link/close_test.go
@@ -30,7 +30,7 @@
 	if !blocked {
 		return c.Conn.Write(p)
 	}
-	// Simulates the write deadline that the closing side sets.
+	// The timeout simulates the write deadline that the closing side sets.
 	select {
 	case <-c.ended:
 	case <-time.After(time.Second):
--- a/share/modules/link/exchange.go
+++ b/share/modules/link/exchange.go
@@ -184,8 +184,9 @@
 	return wire.NewReader(stream).Next()
 }
 
-// exchange sends a frame on a stream of its own and waits for the answer. The end of the context closes
-// the stream: yamux's acknowledgements belong to the session and do not bound a call.
+// exchange sends a frame on a stream of its own and waits for the answer. It closes the stream when the
+// context ends, as the call's own deadline: yamux's acknowledgements belong to the session and not to
+// the call.
 func exchange(ctx context.Context, s *Session, frame *wire.Frame) (*wire.Frame, error) {
 	stream, err := s.Open()
 	if err != nil {
