--- a/share/modules/rhash/rhash_test.go
+++ b/share/modules/rhash/rhash_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	members = 20
-	keys    = 4096
+	memberCount = 20
+	keyCount    = 4096
 )
 
 // picker returns the member that gets a key.
@@ -46,28 +46,28 @@
 // movedShare returns the share of keys whose member differs between two lists of members.
 func movedShare(pick picker, before, after []string) float64 {
 	moved := 0
-	for i := range keys {
+	for i := range keyCount {
 		key := fmt.Sprintf("key-%d", i)
 		if pick(key, before) != pick(key, after) {
 			moved++
 		}
 	}
-	return float64(moved) / keys
+	return float64(moved) / keyCount
 }
 
 func TestRendezvousMovesFewerKeysThanModuloAndShuffle(t *testing.T) {
 	is := is.New(t)
-	all := names(members)
+	all := names(memberCount)
 	cases := map[string][2][]string{
-		"joins":  {all[:members-1], all},
+		"joins":  {all[:memberCount-1], all},
 		"leaves": {all, slices.Delete(slices.Clone(all), 7, 8)},
 	}
 	for name, c := range cases {
 		ours := movedShare(byRendezvous, c[0], c[1])
 		modulo := movedShare(byModulo, c[0], c[1])
 		shuffle := movedShare(byShuffle, c[0], c[1])
-		t.Logf("one of %d %s: rendezvous %.4f, modulo %.4f, seeded shuffle %.4f", members, name, ours, modulo, shuffle)
-		is.True(ours < 2.0/members) // 1/members is the average share of a member
+		t.Logf("one of %d %s: rendezvous %.4f, modulo %.4f, seeded shuffle %.4f", memberCount, name, ours, modulo, shuffle)
+		is.True(ours < 2.0/memberCount) // 1/memberCount is the average share of a member
 		is.True(modulo > 5*ours)
 		is.True(shuffle > 5*ours)
 	}
--- a/share/modules/rhash/weighted_test.go
+++ b/share/modules/rhash/weighted_test.go
@@ -14,11 +14,11 @@
 	is := is.New(t)
 	members := []rhash.Weighted{{Name: "small", Weight: 1}, {Name: "middle", Weight: 2}, {Name: "large", Weight: 5}}
 	counts := map[string]int{}
-	for i := range keys {
+	for i := range keyCount {
 		counts[rhash.PickWeighted(fmt.Sprint(i), members)[0]]++
 	}
 	for _, m := range members {
-		want := m.Weight / 8 * keys
+		want := m.Weight / 8 * keyCount
 		is.True(math.Abs(float64(counts[m.Name])-want) < 4*math.Sqrt(want))
 	}
 }
@@ -27,7 +27,7 @@
 func TestPickWeightedMovesOnlyKeysOfRemovedMember(t *testing.T) {
 	is := is.New(t)
 	members := []rhash.Weighted{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}, {Name: "c", Weight: 2}}
-	for i := range keys {
+	for i := range keyCount {
 		key := fmt.Sprint(i)
 		before := rhash.PickWeighted(key, members)
 		after := rhash.PickWeighted(key, members[:2])
@@ -40,7 +40,7 @@
 func TestFirstWeightedEqualsFirstOfPickWeighted(t *testing.T) {
 	is := is.New(t)
 	members := []rhash.Weighted{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}, {Name: "c", Weight: 2}}
-	for i := range keys {
+	for i := range keyCount {
 		key := fmt.Sprint(i)
 		is.Equal(rhash.FirstWeighted(key, members), rhash.PickWeighted(key, members)[0])
 	}
