--- a/share/modules/link/broken_test.go
+++ b/share/modules/link/broken_test.go
@@ -115,17 +115,17 @@
 	<-accepted
 	t.Cleanup(func() { _, _ = p.dialed.Close(), p.accepted.Close() })
 	for range streamCount {
-		here, err := p.dialed.Open()
+		dialedStream, err := p.dialed.Open()
 		is.NoErr(err)
-		_, err = here.Write([]byte("x"))
+		_, err = dialedStream.Write([]byte("x"))
 		is.NoErr(err)
-		there, err := p.accepted.Accept()
+		acceptedStream, err := p.accepted.Accept()
 		is.NoErr(err)
-		_, err = there.Read(make([]byte, 1))
+		_, err = acceptedStream.Read(make([]byte, 1))
 		is.NoErr(err)
 		p.readers.Add(2)
-		go p.runRead(here)
-		go p.runRead(there)
+		go p.runRead(dialedStream)
+		go p.runRead(acceptedStream)
 	}
 	return p
 }
--- a/share/modules/link/close_test.go
+++ b/share/modules/link/close_test.go
@@ -139,8 +139,8 @@
 	down := make(chan struct{})
 	options := newOptions("a")
 	options.SilenceTimeout = time.Minute
-	ending := options
-	ending.OnDown = func(*link.Session, error) { close(down) }
+	closingOptions := options
+	closingOptions.OnDown = func(*link.Session, error) { close(down) }
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -148,7 +148,7 @@
 		}
 		c := &slowCloseConn{blockedConn: &blockedConn{Conn: conn, ended: make(chan struct{})}}
 		conns <- c
-		s, err := link.Accept(c, ending)
+		s, err := link.Accept(c, closingOptions)
 		if err == nil {
 			accepted <- s
 		}
