--- a/ingress/services/mesh/mesh.go
+++ b/ingress/services/mesh/mesh.go
@@ -254,7 +254,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return link.TellCrash(ctx, session, c)
+	return link.ReportCrash(ctx, session, c)
 }
 
 // ReportServed reports to another ingress that a request was served.
@@ -263,7 +263,7 @@
 	if err != nil {
 		return err
 	}
-	return link.TellServed(session, s)
+	return link.ReportServed(session, s)
 }
 
 // Sync asks another ingress for the records that this one lacks.
@@ -302,7 +302,7 @@
 		return p.session, nil
 	}
 	options := m.options.Link
-	options.OnBeat = func(_ *link.Session, beat *wire.Beat, _ time.Time) { m.observeHeartbeat(name, beat) }
+	options.OnHeartbeat = func(_ *link.Session, beat *wire.Beat, _ time.Time) { m.observeHeartbeat(name, beat) }
 	options.OnDown = func(_ *link.Session, reason error) { m.markFailed(name, reason) }
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
