--- a/share/modules/codes/codes.go
+++ b/share/modules/codes/codes.go
@@ -1,5 +1,5 @@
-// Package codes lists the numbered result codes that callers, operators and
-// the system's own processes see. docs/RESULT-CODES.md is tested against it.
+// Package codes defines the numbered result codes that callers, operators and the system's own
+// processes receive. A test checks that docs/RESULT-CODES.md matches it.
 package codes
 
 import (
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Outcome says what is known about the run of a request.
+// Outcome states whether a request ran on a backend server, as far as that is known.
 type Outcome string
 
-// The outcomes. Only the side that knows may say OutcomeNotRun.
+// The outcomes. Only a process that knows that the request did not run may report OutcomeNotRun.
 const (
 	// OutcomeRan means that the backend server ran the request.
 	OutcomeRan Outcome = "ran"
-	// OutcomeNotRun means that it did not run and never will under this submission.
+	// OutcomeNotRun means that the request did not run and never will under this submission.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown means that it may have run.
+	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
 )
 
 // Code is a numbered result code.
 type Code uint32
 
-// The result codes: 1xxx the caller's request, 2xxx refused before a run,
-// 3xxx while running, 4xxx administration, 5xxx between processes.
+// The result codes. 1xxx: the caller's request; 2xxx: refused before it ran; 3xxx: while it runs;
+// 4xxx: administration; 5xxx: between processes.
 const (
 	OK Code = 0
 
@@ -73,12 +73,12 @@
 	Internal       Code = 5002
 )
 
-// Entry describes one code for the table in the docs.
+// Entry describes one result code, for answers and for the table in docs/RESULT-CODES.md.
 type Entry struct {
 	Code   Code
 	Name   string
-	Status int // HTTP status towards the caller
-	// Outcome is what the code says where the place that raises it knows no better.
+	Status int // HTTP status of the answer to the caller
+	// Outcome is the default; the code that returns the result may set a more precise one.
 	Outcome Outcome
 	Meaning string
 }
@@ -129,7 +129,7 @@
 	}
 }
 
-// GetEntry returns the description of c; an unlisted code is described as internal.
+// GetEntry returns the entry of c, or the entry of Internal if c is not listed.
 func GetEntry(c Code) Entry {
 	entries := List()
 	for _, e := range entries {
@@ -145,32 +145,32 @@
 	return GetEntry(c).Name
 }
 
-// Result is the one error body of the caller and admin APIs.
+// Result is the result of a request. The caller and admin APIs encode it as their error body.
 type Result struct {
 	Code       Code
 	Outcome    Outcome
 	Detail     string
-	RetryAfter time.Duration // zero: no advice
+	RetryAfter time.Duration // how long the caller should wait before a retry; zero: not stated
 }
 
-// NewResult returns a Result with the code's own outcome.
+// NewResult returns a Result with the default outcome of c.
 func NewResult(c Code, detail string) *Result {
 	return &Result{Code: c, Outcome: GetEntry(c).Outcome, Detail: detail}
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy of r that asks the caller to wait for d before a retry.
 func (r Result) WithRetryAfter(d time.Duration) *Result {
 	r.RetryAfter = d
 	return &r
 }
 
-// WithOutcome returns a copy with another outcome.
+// WithOutcome returns a copy of r with the outcome o.
 func (r Result) WithOutcome(o Outcome) *Result {
 	r.Outcome = o
 	return &r
 }
 
-// Error lets a Result travel as an error.
+// Error implements the error interface.
 func (r *Result) Error() string {
 	return r.Code.Name() + " (" + string(r.Outcome) + "): " + r.Detail
 }
--- a/share/modules/codes/page_test.go
+++ b/share/modules/codes/page_test.go
@@ -12,7 +12,7 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-const page = "../../../docs/RESULT-CODES.md"
+const pagePath = "../../../docs/RESULT-CODES.md"
 
 const intro = `# Result codes
 
@@ -36,7 +36,7 @@
 | ` + "`unknown`" + ` | send again | send again with the same key; never with a new one |
 `
 
-func titles() [][2]string {
+func sections() [][2]string {
 	return [][2]string{
 		{"0", "Success"},
 		{"1", "1xxx: the caller's request"},
@@ -47,14 +47,14 @@
 	}
 }
 
-// render writes the page anew.
-func render() string {
+// renderPage returns the text of docs/RESULT-CODES.md.
+func renderPage() string {
 	text := strings.Builder{}
 	text.WriteString(intro)
-	for _, title := range titles() {
-		text.WriteString("\n## " + title[1] + "\n\n| code | name | HTTP status | outcome | meaning |\n|---|---|---|---|---|\n")
+	for _, section := range sections() {
+		text.WriteString("\n## " + section[1] + "\n\n| code | name | HTTP status | outcome | meaning |\n|---|---|---|---|---|\n")
 		for _, e := range codes.List() {
-			if fmt.Sprint(e.Code)[:1] == title[0] {
+			if fmt.Sprint(e.Code)[:1] == section[0] {
 				fmt.Fprintf(&text, "| %d | `%s` | %d | `%s` | %s |\n", e.Code, e.Name, e.Status, e.Outcome, e.Meaning)
 			}
 		}
@@ -62,36 +62,37 @@
 	return text.String()
 }
 
-// update is set by make docs.
-func update() *bool {
+// registerUpdateFlag registers the flag -update, which make docs sets.
+func registerUpdateFlag() *bool {
 	return flag.Bool("update", false, "write the page")
 }
 
 func TestMain(m *testing.M) {
-	write := update()
+	update := registerUpdateFlag()
 	flag.Parse()
-	if *write {
-		if err := os.WriteFile(page, []byte(render()), 0o600); err != nil {
+	if *update {
+		if err := os.WriteFile(pagePath, []byte(renderPage()), 0o600); err != nil {
 			panic(err)
 		}
 	}
 	os.Exit(m.Run())
 }
 
-// TestPageIsThatOfTheCode fails where docs/RESULT-CODES.md is not what make docs writes.
-func TestPageIsThatOfTheCode(t *testing.T) {
+// A result code changes and docs/RESULT-CODES.md is not regenerated with make docs.
+func TestPageMatchesCodes(t *testing.T) {
 	is := is.New(t)
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(pagePath)
 	is.NoErr(err)
-	is.Equal(string(text), render())
+	is.Equal(string(text), renderPage())
 }
 
-func TestListIsSound(t *testing.T) {
+// Duplicate or unsorted codes, duplicate names, or an entry without a meaning or a valid HTTP status.
+func TestListIsConsistent(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
 	last := codes.Code(0)
 	for n, e := range codes.List() {
-		is.True(n == 0 || e.Code > last) // ascending, so none stands twice
+		is.True(n == 0 || e.Code > last) // ascending, so no code is listed twice
 		last = e.Code
 		is.True(!names[e.Name])
 		names[e.Name] = true
