--- a/share/modules/httpd/certificate_test.go
+++ b/share/modules/httpd/certificate_test.go
@@ -24,8 +24,9 @@
 	"verbenaroad.example/share/modules/httpd"
 )
 
-// newCertificate writes a certificate for 127.0.0.1 that signs itself.
-func newCertificate(t *testing.T) (cert, key string, pool *x509.CertPool) {
+// writeCertificate writes a self-signed certificate for 127.0.0.1 and its key, and returns the file
+// names and a pool that trusts it.
+func writeCertificate(t *testing.T) (cert, key string, pool *x509.CertPool) {
 	t.Helper()
 	is := is.New(t)
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -57,11 +58,11 @@
 	is.True(err != nil)
 }
 
-// The API over TLS serves, streams, refuses a long body with its answer, and
-// notices a caller that hangs up, as it does without TLS.
-func TestServerWithCertificate(t *testing.T) {
+// With TLS the server takes another path through nbhttp. It must still echo a body, refuse a body that
+// is too long with an answer, and cancel the request's context when the caller disconnects.
+func TestServerOverTLS(t *testing.T) {
 	is := is.New(t)
-	certFile, keyFile, pool := newCertificate(t)
+	certFile, keyFile, pool := writeCertificate(t)
 	certificate, err := httpd.LoadCertificate(certFile, keyFile)
 	is.NoErr(err)
 	ended := make(chan struct{})
@@ -103,6 +104,6 @@
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the request's context is still open")
+		t.Fatal("the request's context was not canceled after the caller disconnected")
 	}
 }
--- a/share/modules/httpd/piece_test.go
+++ b/share/modules/httpd/chunk_test.go
@@ -14,22 +14,22 @@
 	"verbenaroad.example/share/modules/httpd"
 )
 
-// Several workshops read long streamed answers at once. One of them sees
-// lines of another's: the HTTP library gave a buffer back to its pool while it
-// still wrote into it. Each answer must hold its own bytes only.
-func TestAnswersDoNotMix(t *testing.T) {
+// Several callers read long streamed answers at the same time, and one answer contains bytes of
+// another: nbhttp returned a buffer to its pool while it still wrote to it. Each answer must contain
+// its own bytes only.
+func TestConcurrentAnswersDoNotMix(t *testing.T) {
 	for _, header := range [][2]string{
 		{"Transfer-Encoding", "chunked"},
-		{"Content-Length", strconv.Itoa(pieces * size)},
+		{"Content-Length", strconv.Itoa(writes * writeSize)},
 		{"X-Length", "unsaid"},
 	} {
-		t.Run(header[0], func(t *testing.T) { readAtOnce(t, header) })
+		t.Run(header[0], func(t *testing.T) { readConcurrently(t, header) })
 	}
 }
 
-const readers, rounds, pieces, size = 8, 3, 12, 100 << 10
+const readers, rounds, writes, writeSize = 8, 3, 12, 100 << 10
 
-func readAtOnce(t *testing.T, header [2]string) {
+func readConcurrently(t *testing.T, header [2]string) {
 	t.Helper()
 	s, err := httpd.NewServer(httpd.Options{
 		Address:     netip.MustParseAddrPort("127.0.0.1:0"),
@@ -37,8 +37,8 @@
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(header[0], header[1])
 			w.WriteHeader(http.StatusOK)
-			for range pieces {
-				_, _ = w.Write(bytes.Repeat([]byte(r.URL.Path[1:]), size))
+			for range writes {
+				_, _ = w.Write(bytes.Repeat([]byte(r.URL.Path[1:]), writeSize))
 				if header[1] == "chunked" {
 					w.(http.Flusher).Flush()
 				}
@@ -61,7 +61,7 @@
 					body, err := io.ReadAll(got.Body)
 					_ = got.Body.Close()
 					is.NoErr(err)
-					is.Equal(len(body), pieces*size)
+					is.Equal(len(body), writes*writeSize)
 					is.Equal(bytes.Count(body, []byte(own)), len(body))
 				}
 			})
--- a/share/modules/httpd/server.go
+++ b/share/modules/httpd/server.go
@@ -1,5 +1,5 @@
-// Package httpd is the HTTP server of all programs: nbhttp, with a request
-// context that ends when the caller hangs up.
+// Package httpd is the HTTP server that all programs use. It runs nbhttp and cancels the context of a
+// request when its caller disconnects.
 package httpd
 
 import (
@@ -22,79 +22,82 @@
 // ErrServer is the class of errors of this package.
 var ErrServer = errs.Class("http server") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// DefaultWriteBuffer bounds what may wait for one slow reader; over it the connection is closed.
+// DefaultWriteBuffer is the default of Options.WriteBuffer.
 const DefaultWriteBuffer = 4 << 20
 
 // Options are the settings of a Server.
 type Options struct {
 	Address netip.AddrPort
 	Handler http.Handler
-	// MaxBodyBytes bounds a request body, and with it what one connection can make the server hold.
+	// MaxBodyBytes is the largest request body accepted, which also limits the memory that one
+	// connection can occupy; 0: the limits of nbhttp.
 	MaxBodyBytes int
-	// Refuse answers what never becomes a request for the handler; nil: the connection just closes.
-	Refuse Refuse
-	// Certificate is the server's; nil: plain.
+	// Refuse returns the answer to a request that is refused before it reaches the handler; nil: the
+	// connection is closed without an answer.
+	Refuse RefuseFunc
+	// Certificate is the certificate of the server; nil: no TLS.
 	Certificate *Certificate
-	// WriteBuffer bounds what may wait for one slow reader.
+	// WriteBuffer is how many bytes may wait for one slow reader; a connection that exceeds it is
+	// closed. 0: DefaultWriteBuffer.
 	WriteBuffer int
 }
 
-// sweepEvery is how soon the work of a caller that hung up is ended.
-const sweepEvery = 25 * time.Millisecond
+// sweepInterval is how often the server checks for callers that have disconnected.
+const sweepInterval = 25 * time.Millisecond
 
-// closable is a connection that knows whether the other end has gone.
+// closable is a connection that reports whether it is closed.
 type closable interface {
 	IsClosed() (bool, error)
 	Close() error
 }
 
-// Server is an nbhttp server.
+// Server is an HTTP server on nbhttp.
 type Server struct {
 	options  Options
 	engine   *nbhttp.Engine
 	handler  http.Handler
 	listener net.Listener
 	done     chan struct{}
-	// wake asks the loop to sweep; it holds one request at most.
+	// wake makes loop start to sweep; it buffers one signal.
 	wake chan struct{}
 
-	// opened counts connections. nbio hands one from the accepting goroutine to
-	// a polling one through the kernel, which the race detector cannot see; this
-	// is written before and read after it.
+	// opened counts accepted connections. nbio passes a connection from the accepting goroutine to a
+	// polling one through the kernel, which the race detector cannot see. The counter is written
+	// before and read after that, so that the race detector sees their order.
 	opened atomic.Uint64
 
 	lock sync.Mutex
-	// running holds the cancel function of each request whose handler has not returned.
-	running map[*http.Request]runningCall
-	// lingering holds the connections that their callers should close, the oldest first.
-	lingering []lingering
-	// fresh holds the connections that have brought no request yet.
-	fresh map[closable]bool
+	// running holds the connection and cancel function of each request whose handler has not returned.
+	running map[*http.Request]runningRequest
+	// lingering holds the connections that their callers should close, oldest first.
+	lingering []lingeringConn
+	// newConns holds the open connections on which no request has reached the handler yet.
+	newConns map[closable]bool
 }
 
-type runningCall struct {
+type runningRequest struct {
 	conn   closable
 	cancel context.CancelFunc
 }
 
-// NewServer listens and serves at once.
+// NewServer listens on options.Address and starts to serve.
 func NewServer(options Options) (*Server, error) {
 	logging.SetLevel(logging.LevelNone)
 	if options.WriteBuffer == 0 {
 		options.WriteBuffer = DefaultWriteBuffer
 	}
 	s := &Server{
-		options: options,
-		handler: options.Handler,
-		done:    make(chan struct{}),
-		wake:    make(chan struct{}, 1),
-		running: map[*http.Request]runningCall{},
-		fresh:   map[closable]bool{},
+		options:  options,
+		handler:  options.Handler,
+		done:     make(chan struct{}),
+		wake:     make(chan struct{}, 1),
+		running:  map[*http.Request]runningRequest{},
+		newConns: map[closable]bool{},
 	}
 	s.engine = nbhttp.NewEngine(s.newConfig())
-	s.engine.OnOpen(s.noteOpen)
-	s.engine.OnClose(s.noteClosed)
-	s.engine.OnData(s.takeData)
+	s.engine.OnOpen(s.onOpen)
+	s.engine.OnClose(s.onClose)
+	s.engine.OnData(s.onData)
 	if err := s.engine.Start(); err != nil {
 		return nil, ErrServer.Wrap(err)
 	}
@@ -111,9 +114,9 @@
 		MaxWriteBufferSize: s.options.WriteBuffer,
 	}
 	if s.options.MaxBodyBytes > 0 {
-		// The parser keeps a body of known length until it is whole, and its own
-		// limit for that is 64 MB a connection.
-		c.ReadLimit = s.options.MaxBodyBytes + maxHeadBytes + readChunk
+		// The parser keeps a body of known length until it is complete. Its own limit for that is
+		// 64 MB per connection.
+		c.ReadLimit = s.options.MaxBodyBytes + maxHeaderBytes + readBufferSize
 	}
 	address := []string{s.options.Address.String()}
 	if s.options.Certificate == nil {
@@ -131,7 +134,7 @@
 	return listener, err
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() netip.AddrPort {
 	address, _ := netip.ParseAddrPort(s.listener.Addr().String())
 	return address
@@ -144,31 +147,32 @@
 	return len(s.running)
 }
 
-// serve ends the request's context with its connection. nbhttp does not do so
-// by itself, and its close hook waits behind the running handler: the work of
-// a caller that hung up would hold its slot in every stage until its deadline.
+// serve runs the handler with a context that is canceled when the request's connection closes. nbhttp
+// does not cancel it, and calls its close hook only after the handler has returned: the work of a
+// caller that disconnected would occupy its slot in every stage until its deadline.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	call := runningCall{cancel: cancel}
+	running := runningRequest{cancel: cancel}
 	if response, ok := w.(*nbhttp.Response); ok {
-		call.conn = connOf(response)
-		w = writer{response}
+		running.conn = connOf(response)
+		w = statusWriter{response}
 	}
-	if r.Close && call.conn != nil {
+	if r.Close && running.conn != nil {
 		leaveOpen(w, r)
-		defer s.linger(call.conn)
+		defer s.linger(running.conn)
 	}
 	r = r.WithContext(ctx)
 	s.lock.Lock()
-	s.running[r] = call
-	delete(s.fresh, call.conn)
+	s.running[r] = running
+	delete(s.newConns, running.conn)
 	s.lock.Unlock()
 	s.wakeLoop()
-	defer s.forget(r)
-	s.handler.ServeHTTP(newPieceWriter(w), r)
+	defer s.removeRunning(r)
+	s.handler.ServeHTTP(newChunkWriter(w), r)
 }
 
+// connOf returns the network connection under the layers of nbhttp and TLS, or nil.
 func connOf(response *nbhttp.Response) closable {
 	conn := response.Parser.Conn
 	if outer, ok := conn.(*nbhttp.Conn); ok {
@@ -181,14 +185,14 @@
 	return inner
 }
 
-func (s *Server) forget(r *http.Request) {
+func (s *Server) removeRunning(r *http.Request) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	delete(s.running, r)
 }
 
-// loop sweeps while there is something to look at, and rests otherwise: an
-// idle server's timer would cost as much processor time as its heartbeats.
+// loop sweeps while requests run or connections linger, and blocks otherwise: in an idle server the
+// timer of the sweep would use as much CPU time as its heartbeats.
 func (s *Server) loop() {
 	for {
 		select {
@@ -202,9 +206,10 @@
 	}
 }
 
-// sweepUntilIdle returns false once the server is closed.
+// sweepUntilIdle sweeps until nothing is left to check. It returns false if the server is closed
+// before that.
 func (s *Server) sweepUntilIdle() bool {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -212,13 +217,13 @@
 			return false
 		case <-ticker.C:
 		}
-		if s.cancelGone() {
+		if s.cancelDisconnected() {
 			return true
 		}
 	}
 }
 
-// wakeLoop begins the sweep; called after something to look at was noted.
+// wakeLoop starts the sweep. It is called after a request or a lingering connection was recorded.
 func (s *Server) wakeLoop() {
 	select {
 	case s.wake <- struct{}{}:
@@ -226,17 +231,18 @@
 	}
 }
 
-// cancelGone looks once for requests whose caller has gone, and reports whether nothing is left to look at.
-func (s *Server) cancelGone() (idle bool) {
+// cancelDisconnected cancels the requests whose caller has disconnected and closes overdue lingering
+// connections. It reports whether nothing is left to check.
+func (s *Server) cancelDisconnected() (idle bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.closeLingering(time.Now())
-	for _, call := range s.running {
-		if call.conn == nil {
+	for _, running := range s.running {
+		if running.conn == nil {
 			continue
 		}
-		if gone, _ := call.conn.IsClosed(); gone {
-			call.cancel()
+		if closed, _ := running.conn.IsClosed(); closed {
+			running.cancel()
 		}
 	}
 	return len(s.running) == 0 && len(s.lingering) == 0
--- a/share/modules/httpd/server_test.go
+++ b/share/modules/httpd/server_test.go
@@ -16,10 +16,9 @@
 	"verbenaroad.example/share/modules/httpd"
 )
 
-// A workshop closes its browser while a long answer streams. Its request must
-// free its slot in every stage at once; nbhttp alone leaves the request's
-// context open, so the work would run on until the deadline.
-func TestHangUpEndsTheRequestContext(t *testing.T) {
+// A caller disconnects while its answer streams. nbhttp by itself does not cancel the request's
+// context, so the work would occupy a slot in every stage until the deadline.
+func TestDisconnectCancelsRequestContext(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{})
 	s, err := httpd.NewServer(httpd.Options{
@@ -43,13 +42,12 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the request's context is still open")
+		t.Fatal("the request's context was not canceled after the caller disconnected")
 	}
 }
 
-// A maker's order is refused with a status that nbhttp has no text for. nbhttp
-// drops such a status and sends 200, so the maker took the refusal for the
-// answer. The status sent is the general one of the same class.
+// A request is refused with a status that has no standard text. nbhttp sends 200 in place of such a
+// status, so the caller takes the refusal for an answer. The x00 status of the class must be sent.
 func TestStatusWithoutTextKeepsItsClass(t *testing.T) {
 	tests := map[int]int{200: 200, 299: 200, 404: 404, 419: 400, 499: 400, 503: 503, 599: 500, 999: 502}
 	for status, want := range tests {
@@ -72,11 +70,10 @@
 	}
 }
 
-// A caller sends "Connection: close" and sees EOF in place of the answer: the
-// server had closed an earlier caller's connection by itself, and the poller
-// took that one's hang-up for the new one's. The server says that the
-// connection ends, and leaves the close to the caller for a while.
-func TestLastAnswerLeavesTheCloseToTheCaller(t *testing.T) {
+// A caller gets EOF in place of an answer: the server had closed an earlier connection from a worker,
+// and the poller applied that connection's close event to the new one. The server must announce the
+// close after the last answer and leave it to the caller for a while.
+func TestCloseIsLeftToTheCaller(t *testing.T) {
 	is := is.New(t)
 	s, err := httpd.NewServer(httpd.Options{
 		Address: netip.MustParseAddrPort("127.0.0.1:0"),
@@ -101,35 +98,35 @@
 	is.NoErr(err)
 	answered := time.Now()
 	_, err = reader.ReadByte()
-	is.Equal(err, io.EOF) // it is closed after all, for callers that wait for that
+	is.Equal(err, io.EOF) // the server closes it in the end, for callers that wait for that
 	is.True(time.Since(answered) > 500*time.Millisecond)
 }
 
-// A server is stopped while a connection was accepted and its request is still
-// on the way. The request is answered, and not cut.
-func TestShutdownAnswersARequestOnItsWay(t *testing.T) {
+// A server is stopped after it accepted a connection and before the connection's first request
+// arrives. The request must be answered, not cut off.
+func TestShutdownAnswersFirstRequestOfNewConnection(t *testing.T) {
 	is := is.New(t)
-	opened := make(chan struct{}, 1)
+	answered := make(chan struct{}, 1)
 	s, err := httpd.NewServer(httpd.Options{
 		Address: netip.MustParseAddrPort("127.0.0.1:0"),
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "answer")
-			opened <- struct{}{}
+			answered <- struct{}{}
 		}),
 	})
 	is.NoErr(err)
 	first, err := http.Get("http://" + s.Address().String())
 	is.NoErr(err)
 	is.NoErr(first.Body.Close())
-	<-opened
+	<-answered
 	conn, err := net.Dial("tcp", s.Address().String())
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
-	for s.CountFresh() == 0 {
+	for s.CountNewConns() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	stopping := &stopping{server: s, done: make(chan error, 1)}
-	go stopping.run()
+	stop := &shutdown{server: s, done: make(chan error, 1)}
+	go stop.run()
 	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 	is.NoErr(err)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -137,13 +134,13 @@
 	is.Equal(response.StatusCode, http.StatusOK)
 	is.NoErr(response.Body.Close())
 	is.NoErr(conn.Close())
-	is.NoErr(<-stopping.done)
+	is.NoErr(<-stop.done)
 }
 
-// stopping is a shutdown on its way.
-type stopping struct {
+// shutdown runs Server.Shutdown in a goroutine.
+type shutdown struct {
 	server *httpd.Server
 	done   chan error
 }
 
-func (s *stopping) run() { s.done <- s.server.Shutdown(context.Background()) }
+func (s *shutdown) run() { s.done <- s.server.Shutdown(context.Background()) }
--- a/share/modules/httpd/shutdown.go
+++ b/share/modules/httpd/shutdown.go
@@ -9,10 +9,12 @@
 	"verbenaroad.example/share/modules/listen"
 )
 
-// freshTime is how long a stop waits for the first request of a connection that was accepted just before.
-const freshTime = 500 * time.Millisecond
+// newConnTime is how long Shutdown waits for the first request of a connection that was accepted
+// just before.
+const newConnTime = 500 * time.Millisecond
 
-// Shutdown stops accepting, waits until nothing is left to answer or the context ends, and closes.
+// Shutdown stops accepting connections, waits until nothing is left to answer or ctx ends, and closes
+// the server.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := listen.Quiesce(ctx, s.listener)
 	_ = s.listener.Close()
@@ -22,12 +24,13 @@
 	return ErrServer.Wrap(err)
 }
 
-// waitIdle waits for handlers to return, for requests on their way and for callers to take their answers.
+// waitIdle waits until handlers have returned, new connections have delivered their first request and
+// lingering connections are closed. It waits for new connections for newConnTime at most.
 func (s *Server) waitIdle(ctx context.Context) error {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	limit := time.Now().Add(freshTime)
-	for !s.isIdle(time.Now().After(limit)) {
+	newConnDeadline := time.Now().Add(newConnTime)
+	for !s.isIdle(time.Now().After(newConnDeadline)) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -37,38 +40,40 @@
 	return nil
 }
 
-// isIdle tells whether nothing is left to answer.
+// isIdle reports whether nothing is left to answer. With ignoreNew it disregards connections that have
+// delivered no request yet.
 //
-// Guards against requests that are cut by a stop because they came on a
-// connection accepted just before: their callers would see EOF and not know
-// whether they ran. Such a request gets its refusal. A connection without any
-// request may be a balancer's probe, so the wait for it is short.
-func (s *Server) isIdle(patient bool) bool {
+// Guards against requests that a shutdown cuts off because they arrive on a connection that was
+// accepted just before: their callers would get EOF and not know whether the requests ran. Such a
+// request still reaches the handler, which can refuse it. A connection without any request may be
+// the probe of a load balancer, so the wait for it is short.
+func (s *Server) isIdle(ignoreNew bool) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return len(s.running) == 0 && len(s.lingering) == 0 && (patient || len(s.fresh) == 0)
+	return len(s.running) == 0 && len(s.lingering) == 0 && (ignoreNew || len(s.newConns) == 0)
 }
 
-func (s *Server) noteOpen(conn net.Conn) {
+func (s *Server) onOpen(conn net.Conn) {
 	s.opened.Add(1)
 	if c, ok := conn.(closable); ok {
 		s.lock.Lock()
 		defer s.lock.Unlock()
-		s.fresh[c] = true
+		s.newConns[c] = true
 	}
 }
 
-func (s *Server) noteClosed(conn net.Conn, _ error) {
+func (s *Server) onClose(conn net.Conn, _ error) {
 	if c, ok := conn.(closable); ok {
 		s.lock.Lock()
 		defer s.lock.Unlock()
-		delete(s.fresh, c)
+		delete(s.newConns, c)
 	}
 }
 
-// CountFresh returns the number of open connections that have brought no request yet.
-func (s *Server) CountFresh() int {
+// CountNewConns returns the number of open connections on which no request has reached the handler
+// yet.
+func (s *Server) CountNewConns() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return len(s.fresh)
+	return len(s.newConns)
 }
