--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -59,7 +59,7 @@
 	settings  *Settings
 	reload    ReloadFunc
 	log       *zap.Logger
-	logOutput *logs.Bounded
+	logOutput *logs.AsyncWriter
 	// linkTLS is used at both ends of the links between ingresses; nil: links without TLS.
 	linkTLS       *tls.Config
 	meters        *meters.Meters
@@ -89,7 +89,7 @@
 func Serve(ctx context.Context, settings *Settings, reload ReloadFunc, output io.Writer) error {
 	i := &Ingress{settings: settings, reload: reload}
 	i.meters = meters.NewMeters(func() time.Duration { return i.book.Age() })
-	log, logOutput, err := logs.NewBounded(output, settings.Log.Level, i.meters.CountDropped)
+	log, logOutput, err := logs.NewAsyncLogger(output, settings.Log.Level, i.meters.CountDropped)
 	if err != nil {
 		return err
 	}
--- a/share/modules/logs/logs.go
+++ b/share/modules/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs makes the loggers of all programs: one line of key=value pairs an event.
+// Package logs creates the loggers of all programs. They write one line of key=value pairs per event.
 package logs
 
 import (
@@ -13,18 +13,19 @@
 // ErrLogs is the class of errors of this package.
 var ErrLogs = errs.Class("logs") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// NewLogger returns a logger that writes lines of at least the named level to w.
+// NewLogger returns a logger that writes lines of the given level and above to w.
 func NewLogger(w io.Writer, level string) (*zap.Logger, error) {
 	minimum, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, ErrLogs.Wrap(err)
 	}
-	encoder := zaplogfmt.NewEncoder(newEncoding())
+	encoder := zaplogfmt.NewEncoder(newEncoderConfig())
 	core := zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(w)), minimum)
 	return zap.New(core), nil
 }
 
-// Err is the field of an error: its text alone, without the stack that zap adds for some classes.
+// Err returns the field "error" with the text of err alone, without the stack trace that zap adds for
+// some error classes. It returns no field if err is nil.
 func Err(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
