--- a/agent/cmds/settings.go
+++ b/agent/cmds/settings.go
@@ -110,7 +110,7 @@
 	Instance setup.Instance
 	Platform setup.Platform
 	Stop     setup.Stop
-	Secure   setup.Secure
+	Secure   setup.TLS
 	Metrics  setup.Metrics
 	Peers    Peers
 	Backend  Backend
--- a/entry/cmds/settings.go
+++ b/entry/cmds/settings.go
@@ -122,7 +122,7 @@
 	Instance setup.Instance
 	Platform setup.Platform
 	Stop     setup.Stop
-	Secure   setup.Secure
+	Secure   setup.TLS
 	Metrics  setup.Metrics
 	Callers  Callers
 	Admin    Admin
--- a/ingress/cmds/settings.go
+++ b/ingress/cmds/settings.go
@@ -228,7 +228,7 @@
 	Cold    Cold
 	Stop    Stop
 	Metrics Metrics
-	Secure  setup.Secure
+	Secure  setup.TLS
 }
 
 // Sections returns the tables, for setup.Load and setup.NewFlagSet.
--- a/share/modules/setup/load.go
+++ b/share/modules/setup/load.go
@@ -1,6 +1,5 @@
-// Package setup reads a process's settings: flags go before environment
-// variables, those before the TOML file. A key of the file is the name of a
-// flag, its table the part before the dot.
+// Package setup loads the settings of a process. Flags override environment variables, which override
+// the TOML file. A flag is named after the table and the key of the file, with a dot between them.
 package setup
 
 import (
@@ -22,31 +21,31 @@
 
 // Section is one table of the settings file.
 type Section interface {
-	// Register declares a flag for each key of the section.
+	// Register adds a flag for each key of the section to fs.
 	Register(fs *flag.FlagSet)
 	// Check returns one error for each value that is out of range.
 	Check() []error
 }
 
-// Options says where settings come from.
+// Options configure Load and LoadOrExit.
 type Options struct {
-	// Program is the name that usage and messages show.
+	// Program is the name of the program in usage texts and messages.
 	Program string
 	// Args are the command-line arguments without the program's name.
 	Args []string
-	// Output takes usage texts.
+	// Output receives usage texts, faults and the version.
 	Output io.Writer
 }
 
-// Result tells the program what to do with the settings that were read.
+// Result states whether the program should exit instead of running with the settings.
 type Result struct {
-	// CheckOnly is set by --check-config: the settings are sound and the program should exit.
+	// CheckOnly is set by --check-config: the program should exit once the settings are checked.
 	CheckOnly bool
-	// VersionOnly is set by --version: the program prints its version and should exit.
+	// VersionOnly is set by --version: the program should print its version and exit.
 	VersionOnly bool
 }
 
-// NewFlagSet returns the flags of the sections, for Load and for checks of example files.
+// NewFlagSet returns the flags of the sections. Load uses it, and so do tests of example files.
 func NewFlagSet(program string, sections []Section) *flag.FlagSet {
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
 	for _, s := range sections {
@@ -55,10 +54,10 @@
 	return fs
 }
 
-// Faults are all faults of a process's settings.
+// Faults holds all faults of the settings of a process.
 type Faults []error
 
-// Error joins the faults, one a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, fault := range f {
@@ -67,8 +66,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load fills the sections and returns every fault of the settings at once, as
-// Faults, each with the file and line of its key where the file holds it.
+// Load reads the settings into the sections. It returns all faults at once, as Faults. The fault of a
+// key that the file contains begins with the file and the line.
 func Load(sections []Section, options Options) (Result, error) {
 	fs := NewFlagSet(options.Program, sections)
 	fs.SetOutput(options.Output)
@@ -86,15 +85,15 @@
 		return result, err
 	}
 	if result.VersionOnly {
-		return result, nil // the settings do not matter
+		return result, nil // the program does not use the settings
 	}
 	var faults Faults
 	if err != nil {
 		faults = append(faults, err)
 	}
-	// The flag package stops at the first word that is no flag and drops what follows.
+	// The flag package stops at the first argument that is not a flag and ignores the rest.
 	if fs.NArg() > 0 {
-		faults = append(faults, errs.New("unexpected argument %q: settings are flags, variables and the file only", fs.Arg(0)))
+		faults = append(faults, errs.New("unexpected argument %q: settings come only from flags, environment variables and the file", fs.Arg(0)))
 	}
 	for _, fault := range file.faults {
 		faults = append(faults, errs.New("%s:%v", *path, fault))
@@ -110,8 +109,8 @@
 	return result, nil
 }
 
-// LoadOrExit loads the settings and ends the process where there is nothing to run:
-// status 0 after --check-config, --version or --help, 2 with every fault printed when the settings are unsound.
+// LoadOrExit loads the settings. It ends the process with status 0 after --check-config, --version or
+// --help, and with status 2 after it printed all faults if the settings are invalid.
 func LoadOrExit(sections []Section, options Options) {
 	result, err := Load(sections, options)
 	if errors.Is(err, flag.ErrHelp) {
@@ -126,7 +125,7 @@
 		os.Exit(0)
 	}
 	if result.CheckOnly {
-		_, _ = fmt.Fprintf(options.Output, "%s: settings are sound\n", options.Program)
+		_, _ = fmt.Fprintf(options.Output, "%s: settings are valid\n", options.Program)
 		os.Exit(0)
 	}
 }
@@ -137,14 +136,15 @@
 	}
 }
 
-// fileParser hands each key of a TOML file to ff and collects the faults instead of ending at the first.
+// fileParser passes each key of a TOML file to ff and collects all faults instead of stopping at the
+// first.
 type fileParser struct {
 	flags  *flag.FlagSet
 	faults []error
-	// lines holds the line of each key of the file.
+	// lines holds the line number of each key of the file.
 	lines map[string]int
-	// bad holds the keys whose fault is told already.
-	bad map[string]bool
+	// reported holds the keys that have a fault in faults.
+	reported map[string]bool
 }
 
 func (p *fileParser) parse(r io.Reader, set func(name, value string) error) error {
@@ -152,7 +152,7 @@
 	if err != nil {
 		return ErrSetup.Wrap(err)
 	}
-	p.bad = map[string]bool{}
+	p.reported = map[string]bool{}
 	parser := unstable.Parser{}
 	parser.Reset(data)
 	table := ""
@@ -163,43 +163,43 @@
 			table = key + "."
 			continue
 		}
-		p.take(table+key, lineOf(data, node), valueText(node.Value()), set)
+		p.setKey(table+key, keyLine(data, node), valueText(node.Value()), set)
 	}
 	if err := parser.Error(); err != nil {
-		p.faults = append(p.faults, errs.New("%d: not TOML: %v", failedLine(data, err), err))
+		p.faults = append(p.faults, errs.New("%d: not TOML: %v", errorLine(data, err), err))
 	}
 	return nil
 }
 
-// take sets one key. A key that stands twice is refused, since the second
-// would silently win over the first.
-func (p *fileParser) take(key string, line int, text string, set func(name, value string) error) {
-	first, twice := p.lines[key]
-	if twice {
+// setKey sets the value of one key. It rejects a duplicate key, because the second value would silently
+// override the first.
+func (p *fileParser) setKey(key string, line int, text string, set func(name, value string) error) {
+	first, duplicate := p.lines[key]
+	if duplicate {
 		p.report(key, line, errs.New("stands already in line %d", first))
 		return
 	}
 	p.lines[key] = line
-	known := p.flags.Lookup(key)
-	if known == nil {
+	keyFlag := p.flags.Lookup(key)
+	if keyFlag == nil {
 		p.report(key, line, errs.New("unknown key"))
 		return
 	}
 	if err := set(key, text); err != nil {
-		p.report(key, line, errs.New("%q: want %s", text, describeValue(known)))
+		p.report(key, line, errs.New("%q: want %s", text, describeExpected(keyFlag)))
 	}
 }
 
 func (p *fileParser) report(key string, line int, fault error) {
-	p.bad[key] = true
+	p.reported[key] = true
 	p.faults = append(p.faults, errs.New("%d: %s: %v", line, key, fault))
 }
 
-// locate puts file and line before a fault that begins with a key of the
-// file; one of a key that could not even be read is told already.
+// locate prefixes a fault that begins with a key of the file with the file and the line. It returns nil
+// for a key that parse has already reported.
 func (p *fileParser) locate(path string, fault error) []error {
 	key, _, _ := strings.Cut(fault.Error(), ":")
-	if p.bad[key] {
+	if p.reported[key] {
 		return nil
 	}
 	if line, found := p.lines[key]; found {
@@ -208,8 +208,8 @@
 	return []error{fault}
 }
 
-// describeValue says what a flag takes.
-func describeValue(f *flag.Flag) string {
+// describeExpected returns a description of the values that a flag accepts.
+func describeExpected(f *flag.Flag) string {
 	unit, _ := flag.UnquoteUsage(f)
 	getter, _ := f.Value.(flag.Getter)
 	var value any
@@ -232,20 +232,21 @@
 	return unit
 }
 
-// failedLine returns the line at which the parser gave up, 1 where it doesn't say.
-func failedLine(data []byte, err error) int {
-	var failed *unstable.ParserError
-	if !errors.As(err, &failed) || len(failed.Highlight) == 0 {
+// errorLine returns the line at which the parser failed, or 1 if err does not give the place.
+func errorLine(data []byte, err error) int {
+	var parserError *unstable.ParserError
+	if !errors.As(err, &parserError) || len(parserError.Highlight) == 0 {
 		return 1
 	}
 	for offset := range data {
-		if &data[offset] == &failed.Highlight[0] {
+		if &data[offset] == &parserError.Highlight[0] {
 			return 1 + strings.Count(string(data[:offset]), "\n")
 		}
 	}
 	return 1
 }
 
+// joinKey returns the key of an expression, its parts joined with dots.
 func joinKey(node *unstable.Node) string {
 	parts := []string{}
 	for it := node.Key(); it.Next(); {
@@ -254,14 +255,15 @@
 	return strings.Join(parts, ".")
 }
 
-func lineOf(data []byte, node *unstable.Node) int {
+// keyLine returns the line number of the key of an expression.
+func keyLine(data []byte, node *unstable.Node) int {
 	it := node.Key()
 	it.Next()
 	offset := int(it.Node().Raw.Offset)
 	return 1 + strings.Count(string(data[:offset]), "\n")
 }
 
-// valueText returns the value as a flag takes it: an array becomes a list with commas.
+// valueText returns a value in the form that flags parse: an array becomes a comma-separated list.
 func valueText(node *unstable.Node) string {
 	if node.Kind != unstable.Array {
 		return string(node.Data)
--- a/share/modules/setup/load_test.go
+++ b/share/modules/setup/load_test.go
@@ -14,6 +14,7 @@
 	"verbenaroad.example/share/modules/setup"
 )
 
+// load loads the settings from a file with the text and from args.
 func load(t *testing.T, text string, args ...string) (*setup.Platform, error) {
 	t.Helper()
 	is := is.New(t)
@@ -31,22 +32,24 @@
 	return platform, err
 }
 
-const sound = "[platform]\nstore = \"127.0.0.1:1\"\nlist = \"127.0.0.1:2\"\n"
+// validText sets the required keys.
+const validText = "[platform]\nstore = \"127.0.0.1:1\"\nlist = \"127.0.0.1:2\"\n"
 
+// Guards against faults that are accepted or reported without the line and key in the file.
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		name, text, want string
 		args             []string
 	}{
-		{"sound", sound, "", nil},
-		{"a flag goes before the file", sound, "", []string{"--platform.store", "127.0.0.1:3"}},
-		{"key twice", sound + "list = \"127.0.0.1:3\"\n", "a.toml:4: platform.list: stands already in line 3", nil},
-		{"no TOML", sound + "list = \n", "a.toml:4: not TOML", nil},
-		{"table in place of a value", sound + "[stop]\ngrace = { s = 3 }\n", `a.toml:5: stop.grace: "": want a duration`, nil},
-		{"bad flag", sound, "invalid value", []string{"--platform.store", "kv.local:1"}},
-		{"unknown flag", sound, "not defined", []string{"--zone", "a"}},
-		{"must be set", "", "platform.store: must be set to ip:port\nplatform.list: must be set to ip:port", nil},
-		{"out of range", sound + "store-timeout = \"0s\"\n", "a.toml:4: platform.store-timeout: must be above 0", nil},
+		{"valid", validText, "", nil},
+		{"a flag overrides the file", validText, "", []string{"--platform.store", "127.0.0.1:3"}},
+		{"duplicate key", validText + "list = \"127.0.0.1:3\"\n", "a.toml:4: platform.list: stands already in line 3", nil},
+		{"not TOML", validText + "list = \n", "a.toml:4: not TOML", nil},
+		{"table in place of a value", validText + "[stop]\ngrace = { s = 3 }\n", `a.toml:5: stop.grace: "": want a duration`, nil},
+		{"bad flag", validText, "invalid value", []string{"--platform.store", "kv.local:1"}},
+		{"unknown flag", validText, "not defined", []string{"--zone", "a"}},
+		{"required keys are not set", "", "platform.store: must be set to ip:port\nplatform.list: must be set to ip:port", nil},
+		{"out of range", validText + "store-timeout = \"0s\"\n", "a.toml:4: platform.store-timeout: must be above 0", nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -64,13 +67,14 @@
 	}
 }
 
-func TestOrderOfSources(t *testing.T) {
+// Flags must override environment variables, and those must override the file.
+func TestPrecedenceOfSources(t *testing.T) {
 	is := is.New(t)
 	t.Setenv("VERBENA_PLATFORM_STORE", "127.0.0.1:7")
-	platform, err := load(t, sound)
+	platform, err := load(t, validText)
 	is.NoErr(err)
 	is.Equal(platform.Store.Port(), uint16(7))
-	platform, err = load(t, sound, "--platform.store", "127.0.0.1:8")
+	platform, err = load(t, validText, "--platform.store", "127.0.0.1:8")
 	is.NoErr(err)
 	is.Equal(platform.Store.Port(), uint16(8))
 }
@@ -83,18 +87,18 @@
 	is.True(errors.Is(err, flag.ErrHelp))
 }
 
-// An operator asks which build runs, with no settings at hand.
+// Guards against --version failing because settings are missing or invalid.
 func TestVersionNeedsNoSettings(t *testing.T) {
 	is := is.New(t)
-	needed := &strict{}
-	result, err := setup.Load([]setup.Section{needed}, setup.Options{Program: "p", Args: []string{"--version"}, Output: io.Discard})
+	section := &invalidSection{}
+	result, err := setup.Load([]setup.Section{section}, setup.Options{Program: "p", Args: []string{"--version"}, Output: io.Discard})
 	is.NoErr(err)
 	is.True(result.VersionOnly)
 	is.True(strings.HasPrefix(setup.DescribeVersion("p"), "p development, go"))
 }
 
-// strict is a section that is never sound.
-type strict struct{}
+// invalidSection is a section whose Check always returns a fault.
+type invalidSection struct{}
 
-func (*strict) Register(*flag.FlagSet) {}
-func (*strict) Check() []error         { return []error{errors.New("strict.key: must be set")} }
+func (*invalidSection) Register(*flag.FlagSet) {}
+func (*invalidSection) Check() []error         { return []error{errors.New("section.key: must be set")} }
--- a/share/modules/setup/sections.go
+++ b/share/modules/setup/sections.go
@@ -18,9 +18,9 @@
 	Level string
 }
 
-// Register declares the keys of the section.
+// Register adds the flags of the section to fs.
 func (l *Log) Register(fs *flag.FlagSet) {
-	fs.StringVar(&l.Level, "log.level", "info", "least `level` that is written: debug, info, warn, error")
+	fs.StringVar(&l.Level, "log.level", "info", "lowest `level` that is written: debug, info, warn, error")
 }
 
 // Check returns the faults of the section.
@@ -35,19 +35,19 @@
 
 // Trace is the table [trace].
 type Trace struct {
-	// File takes finished spans as JSON lines; empty: none.
+	// File is the file to which finished spans are written as JSON lines; empty: none.
 	File string
-	// Collector takes spans by OTLP over HTTP; the zero value: none.
+	// Collector is the address that receives spans by OTLP over HTTP; the zero value: none.
 	Collector netip.AddrPort
-	// Share of requests that are traced, 0 to 1.
+	// Share is the share of requests that are traced, from 0 to 1.
 	Share float64
 }
 
-// Register declares the keys of the section.
+// Register adds the flags of the section to fs.
 func (t *Trace) Register(fs *flag.FlagSet) {
-	fs.StringVar(&t.File, "trace.file", "", "`file` that takes finished spans as JSON lines; empty: none")
-	fs.TextVar(&t.Collector, "trace.collector", netip.AddrPort{}, "`ip:port` that takes spans by OTLP over HTTP; empty: none")
-	fs.Float64Var(&t.Share, "trace.share", 1, "`share` of requests that are traced, 0 to 1; a caller's own traceparent decides first")
+	fs.StringVar(&t.File, "trace.file", "", "`file` to which finished spans are written as JSON lines; empty: none")
+	fs.TextVar(&t.Collector, "trace.collector", netip.AddrPort{}, "`ip:port` that receives spans by OTLP over HTTP; empty: none")
+	fs.Float64Var(&t.Share, "trace.share", 1, "`share` of requests that are traced, 0 to 1; a caller's own traceparent takes precedence")
 }
 
 // Check returns the faults of the section.
@@ -58,41 +58,41 @@
 	return nil
 }
 
-// Instance is the table [instance]: who and where this process is.
+// Instance is the table [instance]: the name and location of this process.
 type Instance struct {
 	// Name is unique in the deployment.
 	Name string
-	// Region and Domain place the process; both are needed.
+	// Region and Domain are the region and the failure domain of the process; both are required.
 	Region string
 	Domain string
-	// Labels are matched by selectors.
+	// Labels are the labels that selectors match.
 	Labels LabelList
 }
 
-// Register declares the keys of the section.
+// Register adds the flags of the section to fs.
 func (i *Instance) Register(fs *flag.FlagSet) {
 	i.Labels = LabelList{}
 	fs.StringVar(&i.Name, "instance.name", "", "unique `name` of this instance")
-	fs.StringVar(&i.Region, "instance.region", "", "`region` it stands in")
-	fs.StringVar(&i.Domain, "instance.domain", "", "failure `domain` it stands in")
+	fs.StringVar(&i.Region, "instance.region", "", "`region` of this instance")
+	fs.StringVar(&i.Domain, "instance.domain", "", "failure `domain` of this instance")
 	fs.Var(i.Labels, "instance.labels", "labels as a list of `key=value`")
 }
 
 // Check returns the faults of the section.
 func (i *Instance) Check() []error {
 	faults := []error{}
-	for _, must := range [][2]string{{"name", i.Name}, {"region", i.Region}, {"domain", i.Domain}} {
-		if must[1] == "" {
-			faults = append(faults, errs.New("instance.%s: must be set", must[0]))
+	for _, required := range [][2]string{{"name", i.Name}, {"region", i.Region}, {"domain", i.Domain}} {
+		if required[1] == "" {
+			faults = append(faults, errs.New("instance.%s: must be set", required[0]))
 		}
 	}
 	return faults
 }
 
-// LabelList is a flag of key=value pairs with commas between them.
+// LabelList is the value of a flag that takes comma-separated key=value pairs.
 type LabelList map[string]string
 
-// String returns the pairs in the form that Set reads.
+// String returns the pairs in the form that Set parses.
 func (l LabelList) String() string {
 	parts := make([]string, 0, len(l))
 	for key, value := range l {
@@ -101,7 +101,7 @@
 	return strings.Join(parts, ",")
 }
 
-// Set reads key=value pairs with commas between them; an empty text holds none.
+// Set adds comma-separated key=value pairs. An empty text contains none.
 func (l LabelList) Set(text string) error {
 	if text == "" {
 		return nil
@@ -116,10 +116,10 @@
 	return nil
 }
 
-// AddrList is a flag of addresses with commas between them.
+// AddrList is the value of a flag that takes comma-separated addresses.
 type AddrList []netip.AddrPort
 
-// String returns the addresses in the form that Set reads.
+// String returns the addresses in the form that Set parses.
 func (l *AddrList) String() string {
 	parts := make([]string, 0, len(*l))
 	for _, address := range *l {
@@ -128,7 +128,8 @@
 	return strings.Join(parts, ",")
 }
 
-// Set reads addresses with commas between them; a host name is refused, an empty text holds none.
+// Set replaces the list with comma-separated addresses. An empty text contains none; a host name is
+// rejected.
 func (l *AddrList) Set(text string) error {
 	*l = nil
 	if text == "" {
@@ -144,19 +145,19 @@
 	return nil
 }
 
-// Platform is the table [platform]: the services that the platform runs.
+// Platform is the table [platform]: the services of the platform that the process uses.
 type Platform struct {
-	// Store is the key-value service.
+	// Store is the address of the key-value service.
 	Store netip.AddrPort
-	// StoreTimeout bounds one call of it.
+	// StoreTimeout is the timeout of one call of the key-value service.
 	StoreTimeout time.Duration
-	// List is the lagging list of instances.
+	// List is the address of the service that lists instances. Its list lags behind.
 	List netip.AddrPort
-	// ListEvery is the time between two reads of the list.
+	// ListEvery is the interval between two reads of the list.
 	ListEvery time.Duration
 }
 
-// Register declares the keys of the section.
+// Register adds the flags of the section to fs.
 func (p *Platform) Register(fs *flag.FlagSet) {
 	fs.TextVar(&p.Store, "platform.store", netip.AddrPort{}, "`ip:port` of the key-value service")
 	fs.DurationVar(&p.StoreTimeout, "platform.store-timeout", 2*time.Second, "longest `time` for one call of the key-value service")
@@ -184,11 +185,11 @@
 
 // Stop is the table [stop].
 type Stop struct {
-	// Grace bounds how long a graceful shutdown waits for running requests.
+	// Grace is the longest time that a graceful shutdown waits for running requests.
 	Grace time.Duration
 }
 
-// Register declares the keys of the section.
+// Register adds the flags of the section to fs.
 func (s *Stop) Register(fs *flag.FlagSet) {
 	fs.DurationVar(&s.Grace, "stop.grace", 30*time.Second, "longest `time` that a graceful shutdown waits for running requests")
 }
@@ -201,17 +202,18 @@
 	return nil
 }
 
-// Metrics is the table [metrics]: the address for operators' tools.
+// Metrics is the table [metrics]: the listener for operators' tools.
 type Metrics struct {
 	Listen netip.AddrPort
-	// AddressFile takes the addresses that the process bound, for ports chosen by the system.
+	// AddressFile is the file to which the process writes the addresses that it listens on. It shows
+	// the ports that the system chose. Empty: none.
 	AddressFile string
 }
 
-// Register declares the keys of the section.
+// Register adds the flags of the section to fs.
 func (m *Metrics) Register(fs *flag.FlagSet) {
 	fs.TextVar(&m.Listen, "metrics.listen", netip.MustParseAddrPort("127.0.0.1:0"), "`ip:port` for expvar, profiles, health and readiness")
-	fs.StringVar(&m.AddressFile, "metrics.address-file", "", "`file` that takes the bound addresses, one key=ip:port a line; empty: none")
+	fs.StringVar(&m.AddressFile, "metrics.address-file", "", "`file` to which the bound addresses are written, one key=ip:port per line; empty: none")
 }
 
 // Check returns the faults of the section.
@@ -222,7 +224,8 @@
 	return nil
 }
 
-// WriteAddresses writes the bound addresses for whoever started the process.
+// WriteAddresses writes the addresses that the process listens on to AddressFile, for the program that
+// started the process.
 func (m *Metrics) WriteAddresses(addresses map[string]netip.AddrPort) error {
 	if m.AddressFile == "" {
 		return nil
@@ -232,7 +235,7 @@
 	for _, name := range names {
 		text.WriteString(name + "=" + addresses[name].String() + "\n")
 	}
-	// A reader must never see half of the file.
+	// The file is renamed into place, so that a reader never sees a part of it.
 	draft := m.AddressFile + ".draft"
 	if err := os.WriteFile(draft, []byte(text.String()), 0o600); err != nil {
 		return ErrSetup.Wrap(err)
--- a/share/modules/setup/secure.go
+++ b/share/modules/setup/tls.go
@@ -10,23 +10,23 @@
 	"github.com/zeebo/errs"
 )
 
-// Secure is the table [tls]: mutual TLS between the system's own processes.
-type Secure struct {
-	// Cert, Key and Authority are PEM files; all three or none.
+// TLS is the table [tls]: mutual TLS between the system's own processes.
+type TLS struct {
+	// Cert, Key and Authority are the names of PEM files. Either all three are set or none.
 	Cert      string
 	Key       string
 	Authority string
 }
 
-// Register declares the keys of the section.
-func (s *Secure) Register(fs *flag.FlagSet) {
-	fs.StringVar(&s.Cert, "tls.cert", "", "PEM `file` with this process's certificate; empty: plain, on loopback only")
+// Register adds the flags of the section to fs.
+func (s *TLS) Register(fs *flag.FlagSet) {
+	fs.StringVar(&s.Cert, "tls.cert", "", "PEM `file` with this process's certificate; empty: no TLS, on loopback only")
 	fs.StringVar(&s.Key, "tls.key", "", "PEM `file` with its private key")
-	fs.StringVar(&s.Authority, "tls.authority", "", "PEM `file` with the authority that signs every process's certificate")
+	fs.StringVar(&s.Authority, "tls.authority", "", "PEM `file` with the certificate of the authority that signs every process's certificate")
 }
 
 // Check returns the faults of the section.
-func (s *Secure) Check() []error {
+func (s *TLS) Check() []error {
 	set := 0
 	for _, name := range []string{s.Cert, s.Key, s.Authority} {
 		if name != "" {
@@ -34,23 +34,24 @@
 		}
 	}
 	if set != 0 && set != 3 {
-		return []error{errs.New("tls.cert: cert, key and authority go together")}
+		return []error{errs.New("tls.cert: cert, key and authority must be set together")}
 	}
 	return nil
 }
 
-// CheckListen refuses a plain listener that others than this machine can reach.
-func (s *Secure) CheckListen(key string, address netip.AddrPort) []error {
+// CheckListen returns a fault if a listener without TLS has an address that other machines can reach.
+// key is the setting of the address.
+func (s *TLS) CheckListen(key string, address netip.AddrPort) []error {
 	if s.Cert == "" && address.IsValid() && !address.Addr().IsLoopback() {
 		return []error{errs.New("%s: %s needs [tls]; plain is for loopback only", key, address)}
 	}
 	return nil
 }
 
-// BuildConfig returns the TLS settings for both ends of a session, or nil for plain.
-func (s *Secure) BuildConfig() (*tls.Config, error) {
+// BuildConfig returns the TLS configuration for both ends of a session, or nil without TLS.
+func (s *TLS) BuildConfig() (*tls.Config, error) {
 	if s.Cert == "" {
-		return nil, nil //nolint:nilnil // plain sessions have no TLS settings
+		return nil, nil //nolint:nilnil // sessions without TLS have no configuration
 	}
 	pair, err := tls.LoadX509KeyPair(s.Cert, s.Key)
 	if err != nil {
@@ -73,14 +74,14 @@
 	}, nil
 }
 
-// ServerCert is the certificate of one HTTP API, two keys of that API's table.
+// ServerCert is the certificate of an HTTP API. Its settings are two keys in the table of the API.
 type ServerCert struct {
-	// Cert and Key are PEM files; both or none.
+	// Cert and Key are the names of PEM files. Either both are set or none.
 	Cert string
 	Key  string
 }
 
-// Register declares the two keys of a table.
+// Register adds the flags of the two keys to fs.
 func (c *ServerCert) Register(fs *flag.FlagSet, table string) {
 	fs.StringVar(&c.Cert, table+".cert", "", "PEM `file` with the certificate of this API; empty: plain HTTP")
 	fs.StringVar(&c.Key, table+".key", "", "PEM `file` with its private key")
--- a/share/modules/setup/secure_test.go
+++ b/share/modules/setup/tls_test.go
@@ -22,7 +22,7 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// authority signs certificates for the length of a test.
+// authority is a certificate authority with a directory for the certificates that it signs.
 type authority struct {
 	directory string
 	cert      *x509.Certificate
@@ -54,7 +54,7 @@
 	return key
 }
 
-// sign writes name.pem and name.key and returns the certificate.
+// sign signs a certificate, writes it and its key to name.pem and name.key and returns it.
 func (a *authority) sign(t *testing.T, name string, template, parent *x509.Certificate, key *ecdsa.PrivateKey) *x509.Certificate {
 	t.Helper()
 	is := is.New(t)
@@ -73,8 +73,8 @@
 	return filepath.Join(a.directory, name)
 }
 
-// issue returns the settings of a process whose certificate names an IP number.
-func (a *authority) issue(t *testing.T, name, ip string) setup.Secure {
+// issue signs a certificate for an IP address and returns the settings of a process that uses it.
+func (a *authority) issue(t *testing.T, name, ip string) setup.TLS {
 	t.Helper()
 	a.sign(t, name, &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
@@ -83,10 +83,10 @@
 		IPAddresses:  []net.IP{net.ParseIP(ip)},
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}, a.cert, newKey(t))
-	return setup.Secure{Cert: a.path(name + ".pem"), Key: a.path(name + ".key"), Authority: a.path("authority.pem")}
+	return setup.TLS{Cert: a.path(name + ".pem"), Key: a.path(name + ".key"), Authority: a.path("authority.pem")}
 }
 
-// server accepts sessions by one process's settings.
+// server accepts sessions with the settings of one process.
 type server struct {
 	listener net.Listener
 	options  link.Options
@@ -108,27 +108,27 @@
 	}
 }
 
-func newOptions(t *testing.T, name string, s setup.Secure) link.Options {
+func newOptions(t *testing.T, name string, s setup.TLS) link.Options {
 	t.Helper()
-	settings, err := s.BuildConfig()
+	config, err := s.BuildConfig()
 	is.New(t).NoErr(err)
 	return link.Options{
 		Hello:        &wire.Hello{Version: wire.Version, Name: name},
-		TLS:          settings,
+		TLS:          config,
 		HelloTimeout: 2 * time.Second,
 		Beat:         func() *wire.Beat { return &wire.Beat{} },
 	}
 }
 
-// Sessions of entry and agent under mutual TLS. Whoever lacks a certificate
-// of the deployment's authority gets no session, at either end; nor does an
-// agent that shows a certificate for another IP number than the one dialled.
+// Guards against sessions between an entry and an agent when one of them has no certificate of the
+// deployment's authority, or when the agent's certificate is for another IP address than the one
+// dialed.
 func TestSessionsUnderMutualTLS(t *testing.T) {
 	own, other := newAuthority(t), newAuthority(t)
 	agent := own.issue(t, "agent", "127.0.0.1")
 	tests := []struct {
 		name          string
-		entry, agent  setup.Secure
+		entry, agent  setup.TLS
 		sessionOpened bool
 	}{
 		{"same authority", own.issue(t, "entry", "127.0.0.1"), agent, true},
@@ -136,8 +136,8 @@
 		{"entry of another authority", other.issue(t, "entry", "127.0.0.1"), agent, false},
 		{"agent of another authority", own.issue(t, "entry", "127.0.0.1"), other.issue(t, "agent", "127.0.0.1"), false},
 		{"agent's certificate for another address", own.issue(t, "entry", "127.0.0.1"), own.issue(t, "agent-2", "10.0.0.2"), false},
-		{"plain entry", setup.Secure{}, agent, false},
-		{"plain agent", own.issue(t, "entry", "127.0.0.1"), setup.Secure{}, false},
+		{"plain entry", setup.TLS{}, agent, false},
+		{"plain agent", own.issue(t, "entry", "127.0.0.1"), setup.TLS{}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -158,23 +158,25 @@
 	}
 }
 
-func TestSecureSettings(t *testing.T) {
+// Guards against accepting incomplete or unreadable TLS settings, or a listener without TLS that other
+// machines can reach.
+func TestTLSSettings(t *testing.T) {
 	is := is.New(t)
-	whole := newAuthority(t).issue(t, "agent", "127.0.0.1")
-	is.Equal(len(whole.Check()), 0)
-	part := whole
-	part.Key = ""
-	is.Equal(len(part.Check()), 1)
-	for _, broken := range []setup.Secure{
-		{Cert: "/none", Key: whole.Key, Authority: whole.Authority},
-		{Cert: whole.Cert, Key: whole.Key, Authority: "/none"},
-		{Cert: whole.Cert, Key: whole.Key, Authority: whole.Key},
+	complete := newAuthority(t).issue(t, "agent", "127.0.0.1")
+	is.Equal(len(complete.Check()), 0)
+	incomplete := complete
+	incomplete.Key = ""
+	is.Equal(len(incomplete.Check()), 1)
+	for _, invalid := range []setup.TLS{
+		{Cert: "/none", Key: complete.Key, Authority: complete.Authority},
+		{Cert: complete.Cert, Key: complete.Key, Authority: "/none"},
+		{Cert: complete.Cert, Key: complete.Key, Authority: complete.Key},
 	} {
-		_, err := broken.BuildConfig()
+		_, err := invalid.BuildConfig()
 		is.True(err != nil)
 	}
-	beyond, loopback := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:1")
-	is.Equal(len((&setup.Secure{}).CheckListen("peers.listen", beyond)), 1)
-	is.Equal(len((&setup.Secure{}).CheckListen("peers.listen", loopback)), 0)
-	is.Equal(len(whole.CheckListen("peers.listen", beyond)), 0)
+	external, loopback := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:1")
+	is.Equal(len((&setup.TLS{}).CheckListen("peers.listen", external)), 1)
+	is.Equal(len((&setup.TLS{}).CheckListen("peers.listen", loopback)), 0)
+	is.Equal(len(complete.CheckListen("peers.listen", external)), 0)
 }
