--- a/share/modules/codes/page_test.go
+++ b/share/modules/codes/page_test.go
@@ -78,7 +78,7 @@
 	os.Exit(m.Run())
 }
 
-// A result code changes and docs/RESULT-CODES.md is not regenerated with make docs.
+// Guards against a change of the result codes without regenerating docs/RESULT-CODES.md by make docs.
 func TestPageMatchesCodes(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile(pagePath)
@@ -86,7 +86,8 @@
 	is.Equal(string(text), renderPage())
 }
 
-// Duplicate or unsorted codes, duplicate names, or an entry without a meaning or a valid HTTP status.
+// Guards against duplicate or unsorted codes, duplicate names, and entries without a meaning or a valid
+// HTTP status.
 func TestListIsConsistent(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
--- a/share/modules/httpd/chunk_test.go
+++ b/share/modules/httpd/chunk_test.go
@@ -14,9 +14,8 @@
 	"verbenaroad.example/share/modules/httpd"
 )
 
-// Several callers read long streamed answers at the same time, and one answer contains bytes of
-// another: nbhttp returned a buffer to its pool while it still wrote to it. Each answer must contain
-// its own bytes only.
+// Guards against bytes of one caller's answer in another's when several callers read long streamed
+// answers at the same time: nbhttp returned a buffer to its pool while it still wrote to it.
 func TestConcurrentAnswersDoNotMix(t *testing.T) {
 	for _, header := range [][2]string{
 		{"Transfer-Encoding", "chunked"},
--- a/share/modules/httpd/server_test.go
+++ b/share/modules/httpd/server_test.go
@@ -16,8 +16,8 @@
 	"verbenaroad.example/share/modules/httpd"
 )
 
-// A caller disconnects while its answer streams. nbhttp by itself does not cancel the request's
-// context, so the work would occupy a slot in every stage until the deadline.
+// Guards against work that occupies a slot in every stage until the deadline after its caller has
+// disconnected: nbhttp by itself does not cancel the request's context.
 func TestDisconnectCancelsRequestContext(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{})
@@ -46,8 +46,8 @@
 	}
 }
 
-// A request is refused with a status that has no standard text. nbhttp sends 200 in place of such a
-// status, so the caller takes the refusal for an answer. The x00 status of the class must be sent.
+// Guards against a refusal that the caller takes for an answer: nbhttp sends 200 in place of a status
+// without a standard text. The x00 status of the same class must be sent.
 func TestStatusWithoutTextKeepsItsClass(t *testing.T) {
 	tests := map[int]int{200: 200, 299: 200, 404: 404, 419: 400, 499: 400, 503: 503, 599: 500, 999: 502}
 	for status, want := range tests {
@@ -70,7 +70,7 @@
 	}
 }
 
-// A caller gets EOF in place of an answer: the server had closed an earlier connection from a worker,
+// Guards against EOF in place of an answer: the server had closed an earlier connection from a worker,
 // and the poller applied that connection's close event to the new one. The server must announce the
 // close after the last answer and leave it to the caller for a while.
 func TestCloseIsLeftToTheCaller(t *testing.T) {
@@ -102,8 +102,8 @@
 	is.True(time.Since(answered) > 500*time.Millisecond)
 }
 
-// A server is stopped after it accepted a connection and before the connection's first request
-// arrives. The request must be answered, not cut off.
+// Guards against cutting off a request when the server is stopped after it accepted a connection and
+// before the first request arrives on it.
 func TestShutdownAnswersFirstRequestOfNewConnection(t *testing.T) {
 	is := is.New(t)
 	answered := make(chan struct{}, 1)
