--- a/agent/cmds/serve.go
+++ b/agent/cmds/serve.go
@@ -71,11 +71,11 @@
 	}
 	a := &Agent{settings: settings, log: log.With(zap.String("instance", settings.Instance.Name))}
 	a.tracer, err = spans.NewTracer(ctx, spans.Options{
-		Program:   "agent",
-		Instance:  settings.Instance.Name,
-		File:      settings.Trace.File,
-		Collector: settings.Trace.Collector,
-		Share:     settings.Trace.Share,
+		Program:     "agent",
+		Instance:    settings.Instance.Name,
+		File:        settings.Trace.File,
+		Collector:   settings.Trace.Collector,
+		SampleRatio: settings.Trace.Share,
 	})
 	if err != nil {
 		return nil, err
--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -74,11 +74,11 @@
 	}
 	e := &Entry{settings: settings, log: log.With(zap.String("instance", settings.Instance.Name))}
 	e.tracer, err = spans.NewTracer(ctx, spans.Options{
-		Program:   "entry",
-		Instance:  settings.Instance.Name,
-		File:      settings.Trace.File,
-		Collector: settings.Trace.Collector,
-		Share:     settings.Trace.Share,
+		Program:     "entry",
+		Instance:    settings.Instance.Name,
+		File:        settings.Trace.File,
+		Collector:   settings.Trace.Collector,
+		SampleRatio: settings.Trace.Share,
 	})
 	if err != nil {
 		return err
--- a/share/modules/spans/spans.go
+++ b/share/modules/spans/spans.go
@@ -1,4 +1,4 @@
-// Package spans sets up tracing: one span for each hop, carried between
+// Package spans sets up tracing. Each hop of a request has one span; its context travels between
 // processes as a W3C traceparent.
 package spans
 
@@ -20,22 +20,24 @@
 // ErrSpans is the class of errors of this package.
 var ErrSpans = errs.Class("spans") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-const parentHeader = "traceparent"
+// traceparentKey is the key of the W3C traceparent in a propagation carrier.
+const traceparentKey = "traceparent"
 
-// Options says where finished spans go.
+// Options configure a Tracer.
 type Options struct {
-	// Program and Instance are written on every span.
+	// Program and Instance are the service.name and service.instance.id of every span.
 	Program  string
 	Instance string
-	// File takes spans as JSON lines; empty: none.
+	// File is the file to which finished spans are appended as JSON lines; empty: none.
 	File string
-	// Collector takes spans by OTLP over HTTP; the zero value: none.
+	// Collector is the address that receives spans by OTLP over HTTP; the zero value: none.
 	Collector netip.AddrPort
-	// Share of new traces that are recorded.
-	Share float64
+	// SampleRatio is the share of new traces that are recorded, from 0 to 1. A trace that another
+	// process started is recorded if that process records it.
+	SampleRatio float64
 }
 
-// Tracer starts spans and carries their context between processes.
+// Tracer starts spans and passes their context between processes.
 type Tracer struct {
 	tracer     trace.Tracer
 	provider   *sdktrace.TracerProvider
@@ -43,11 +45,11 @@
 	propagator propagation.TraceContext
 }
 
-// NewTracer opens the exporters that the options name.
+// NewTracer returns a tracer with the exporters that options name. Without exporters it records nothing.
 func NewTracer(ctx context.Context, options Options) (*Tracer, error) {
 	t := &Tracer{}
-	settings := []sdktrace.TracerProviderOption{
-		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(options.Share))),
+	providerOptions := []sdktrace.TracerProviderOption{
+		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(options.SampleRatio))),
 		sdktrace.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", options.Program),
 			attribute.String("service.instance.id", options.Instance),
@@ -63,7 +65,7 @@
 		if err != nil {
 			return nil, ErrSpans.Wrap(err)
 		}
-		settings = append(settings, sdktrace.WithBatcher(exporter))
+		providerOptions = append(providerOptions, sdktrace.WithBatcher(exporter))
 	}
 	if options.Collector.IsValid() {
 		exporter, err := otlptracehttp.New(ctx,
@@ -73,37 +75,37 @@
 		if err != nil {
 			return nil, ErrSpans.Wrap(err)
 		}
-		settings = append(settings, sdktrace.WithBatcher(exporter))
+		providerOptions = append(providerOptions, sdktrace.WithBatcher(exporter))
 	}
 	if options.File == "" && !options.Collector.IsValid() {
-		settings = append(settings, sdktrace.WithSampler(sdktrace.NeverSample()))
+		providerOptions = append(providerOptions, sdktrace.WithSampler(sdktrace.NeverSample()))
 	}
-	t.provider = sdktrace.NewTracerProvider(settings...)
+	t.provider = sdktrace.NewTracerProvider(providerOptions...)
 	t.tracer = t.provider.Tracer(options.Program)
 	return t, nil
 }
 
-// Start begins a span under the context's span.
+// Start starts a span as a child of the span in ctx.
 func (t *Tracer) Start(ctx context.Context, name string, attributes ...attribute.KeyValue) (context.Context, trace.Span) {
 	return t.tracer.Start(ctx, name, trace.WithAttributes(attributes...))
 }
 
-// Inject returns the traceparent of the context's span; empty when there is none.
+// Inject returns the traceparent of the span in ctx, or an empty string if there is none.
 func (t *Tracer) Inject(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	t.propagator.Inject(ctx, carrier)
-	return carrier[parentHeader]
+	return carrier[traceparentKey]
 }
 
-// Extract returns a context under the span that the traceparent names.
-func (t *Tracer) Extract(ctx context.Context, parent string) context.Context {
-	if parent == "" {
+// Extract returns a context whose span is the one that the traceparent identifies.
+func (t *Tracer) Extract(ctx context.Context, traceparent string) context.Context {
+	if traceparent == "" {
 		return ctx
 	}
-	return t.propagator.Extract(ctx, propagation.MapCarrier{parentHeader: parent})
+	return t.propagator.Extract(ctx, propagation.MapCarrier{traceparentKey: traceparent})
 }
 
-// Close writes out what is left and closes the exporters.
+// Close exports the remaining spans and closes the exporters.
 func (t *Tracer) Close(ctx context.Context) error {
 	var group errs.Group
 	group.Add(t.provider.Shutdown(ctx))
--- a/share/modules/spans/spans_test.go
+++ b/share/modules/spans/spans_test.go
@@ -21,14 +21,14 @@
 	"verbenaroad.example/share/modules/spans"
 )
 
-// sink is a small OTLP collector.
-type sink struct {
+// fakeCollector is an OTLP collector that stores the spans that it receives.
+type fakeCollector struct {
 	lock  sync.Mutex
 	paths []string
 	spans []*trace.Span
 }
 
-func (s *sink) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (s *fakeCollector) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	var body io.Reader = q.Body
 	if q.Header.Get("Content-Encoding") == "gzip" {
 		body, _ = gzip.NewReader(q.Body)
@@ -50,14 +50,14 @@
 	w.Header().Set("Content-Type", "application/x-protobuf")
 }
 
-// Two processes export their hops of one request. The collector must see one
-// trace, the agent's span below the entry's.
-func TestHopsReachTheCollectorAsOneTrace(t *testing.T) {
+// Guards against separate traces when two processes export the spans of one request. The collector must
+// receive one trace in which the agent's span is a child of the entry's.
+func TestProcessesExportOneTrace(t *testing.T) {
 	is := is.New(t)
-	s := &sink{}
-	listening := httptest.NewServer(s)
-	defer listening.Close()
-	options := spans.Options{Program: "entry", Instance: "entry-1", Collector: netip.MustParseAddrPort(listening.Listener.Addr().String()), Share: 1}
+	s := &fakeCollector{}
+	server := httptest.NewServer(s)
+	defer server.Close()
+	options := spans.Options{Program: "entry", Instance: "entry-1", Collector: netip.MustParseAddrPort(server.Listener.Addr().String()), SampleRatio: 1}
 	entry, err := spans.NewTracer(t.Context(), options)
 	is.NoErr(err)
 	options.Program = "agent"
@@ -65,8 +65,8 @@
 	is.NoErr(err)
 
 	ctx, outer := entry.Start(t.Context(), "entry.stage", attribute.String("request-id", "r1"))
-	carried := entry.Inject(ctx)
-	_, inner := agent.Start(agent.Extract(t.Context(), carried), "agent.call")
+	traceparent := entry.Inject(ctx)
+	_, inner := agent.Start(agent.Extract(t.Context(), traceparent), "agent.call")
 	inner.End()
 	outer.End()
 	is.NoErr(agent.Close(t.Context()))
@@ -80,27 +80,29 @@
 	is.Equal(s.spans[1].GetAttributes()[0].GetValue().GetStringValue(), "r1")
 }
 
-func TestShareAndFile(t *testing.T) {
+// Guards against recording a trace that the sample ratio or the caller's traceparent excludes, or missing
+// one that they include.
+func TestSampleRatioAndFile(t *testing.T) {
 	tests := []struct {
 		name  string
-		share float64
-		// parent is a traceparent that asks for tracing or against it.
-		parent string
-		want   int
+		ratio float64
+		// traceparent is that of the caller, which decides whether its trace is recorded.
+		traceparent string
+		want        int
 	}{
 		{"all", 1, "", 1},
 		{"none", 0, "", 0},
-		{"none, but the caller asks", 0, "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01", 1},
-		{"all, but the caller asks not to", 1, "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-00", 0},
-		{"a parent that is none", 1, "nonsense", 1},
+		{"none, but the caller records the trace", 0, "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01", 1},
+		{"all, but the caller does not record the trace", 1, "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-00", 0},
+		{"invalid traceparent", 1, "nonsense", 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			file := filepath.Join(t.TempDir(), "spans")
-			tracer, err := spans.NewTracer(t.Context(), spans.Options{Program: "entry", File: file, Share: tt.share})
+			tracer, err := spans.NewTracer(t.Context(), spans.Options{Program: "entry", File: file, SampleRatio: tt.ratio})
 			is.NoErr(err)
-			_, span := tracer.Start(tracer.Extract(t.Context(), tt.parent), "entry.request")
+			_, span := tracer.Start(tracer.Extract(t.Context(), tt.traceparent), "entry.request")
 			span.End()
 			is.NoErr(tracer.Close(t.Context()))
 			text, err := os.ReadFile(file)
@@ -110,10 +112,10 @@
 	}
 }
 
-// A collector that is down must not fail a request, only lose its spans.
+// Guards against failing requests while the collector is down. Only their spans may be lost.
 func TestCollectorDown(t *testing.T) {
 	is := is.New(t)
-	tracer, err := spans.NewTracer(t.Context(), spans.Options{Collector: netip.MustParseAddrPort("127.0.0.1:1"), Share: 1})
+	tracer, err := spans.NewTracer(t.Context(), spans.Options{Collector: netip.MustParseAddrPort("127.0.0.1:1"), SampleRatio: 1})
 	is.NoErr(err)
 	_, span := tracer.Start(t.Context(), "entry.request")
 	span.End()
