--- a/share/modules/stats/stats.go
+++ b/share/modules/stats/stats.go
@@ -1,4 +1,5 @@
-// Package stats serves a process's expvar figures and profiles on an address of their own.
+// Package stats serves the expvar variables, profiles, health and readiness of a process on a separate
+// address.
 package stats
 
 import (
@@ -16,9 +17,10 @@
 // ErrStats is the class of errors of this package.
 var ErrStats = errs.Class("stats") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
+// headerTimeout is how long a client has to send the header lines of a request.
 const headerTimeout = 5 * time.Second
 
-// ReadyFunc says why the process is not ready, or nil when it is.
+// ReadyFunc returns why the process is not ready, or nil if it is ready.
 type ReadyFunc func() error
 
 // Server serves /debug/vars, /debug/pprof, /healthz and /readyz.
@@ -27,7 +29,8 @@
 	listener net.Listener
 }
 
-// NewServer listens on the address; operators' tools reach it, callers do not.
+// NewServer listens on the address and starts to serve. The address is for operators' tools, not for
+// callers. /readyz fails with the error of ready, if any.
 func NewServer(address netip.AddrPort, ready ReadyFunc) (*Server, error) {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 	if err != nil {
@@ -54,7 +57,7 @@
 	return s, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() netip.AddrPort {
 	address, _ := netip.ParseAddrPort(s.listener.Addr().String())
 	return address
@@ -64,7 +67,7 @@
 	_ = s.server.Serve(s.listener)
 }
 
-// Close stops the server.
+// Close stops the server after the running requests have ended, or when ctx ends.
 func (s *Server) Close(ctx context.Context) error {
 	return ErrStats.Wrap(s.server.Shutdown(ctx))
 }
--- a/share/modules/stats/usage_test.go
+++ b/share/modules/stats/usage_test.go
@@ -8,6 +8,7 @@
 	"verbenaroad.example/share/modules/stats"
 )
 
+// Guards against a CPU time that does not grow while the process works: the test would not end.
 func TestUsageGrows(t *testing.T) {
 	is := is.New(t)
 	first := stats.GetUsage()
