--- a/share/modules/codes/codes.go
+++ b/share/modules/codes/codes.go
@@ -78,7 +78,7 @@
 	Code   Code
 	Name   string
 	Status int // HTTP status of the answer to the caller
-	// Outcome is the default; the code that returns the result may set a more precise one.
+	// Outcome is the default outcome of results with this code. A result may state a more precise one.
 	Outcome Outcome
 	Meaning string
 }
