--- a/proofs/hosted/bench_test.go
+++ b/proofs/hosted/bench_test.go
@@ -14,7 +14,9 @@
 	"verbenaroad.example/fakes/services/hosted"
 )
 
-// BenchmarkFirstEvent measures what the ingress adds until the first event of a stream without stages.
+// BenchmarkFirstEvent measures the time until the first event of a stream without stages, for an
+// engine called directly and for the same engine behind an ingress. The difference is what the
+// ingress adds.
 func BenchmarkFirstEvent(b *testing.B) {
 	w, err := hosted.NewWorld(1)
 	if err != nil {
@@ -28,21 +30,21 @@
 	}
 	i := newIngress(b, w, "ingress", "a1", 0)
 	for !i.isReady() {
-		time.Sleep(checkEvery)
+		time.Sleep(pollInterval)
 	}
 	for _, c := range []struct {
 		name    string
 		address string
-	}{{"direct", engine.Address().String()}, {"ingress", i.callers.String()}} {
+	}{{"direct", engine.Address().String()}, {"ingress", i.callerAddress.String()}} {
 		b.Run(c.name, func(b *testing.B) {
 			for n := range b.N {
-				readFirst(b, c.address, fmt.Sprintf("%016x", n))
+				readFirstEvent(b, c.address, fmt.Sprintf("%016x", n))
 			}
 		})
 	}
 }
 
-func readFirst(b *testing.B, address, id string) {
+func readFirstEvent(b *testing.B, address, id string) {
 	b.Helper()
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address+"/advice/1", strings.NewReader("x"))
 	if err != nil {
--- a/proofs/hosted/change_test.go
+++ b/proofs/hosted/change_test.go
@@ -18,7 +18,8 @@
 	"verbenaroad.example/fakes/services/hosted"
 )
 
-func throw(t testing.TB, address, text string) {
+// sendRaw opens a connection, sends the text and closes the connection.
+func sendRaw(t testing.TB, address, text string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -28,23 +29,25 @@
 	_ = conn.Close()
 }
 
-func (i *ingress) hasVersion(version int) func() bool {
+// hasApplied returns a function that reports whether the ingress has applied a version of the
+// configuration.
+func (i *ingress) hasApplied(version int) func() bool {
 	return func() bool {
 		return len(i.output.lines("event=config-applied", fmt.Sprintf("version=%d ", version))) == 1
 	}
 }
 
-// A key is taken away and a route is dropped. Both must be in force everywhere
-// within a second or so; a version that is behind changes nothing.
+// A new configuration removes a key and some routes. Every ingress must apply it, which should take
+// about a second, and must ignore an older version that is written after it.
 func TestConfigurationChange(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
 	version := d.PutConfig(routes()[:1], services(), []map[string]any{{"Name": "workshop", "ApiKeys": []string{"key-2"}}})
 	for _, i := range d.ingresses {
-		eventually(t, "the version is in force", i.hasVersion(version))
+		eventually(t, "the version is in force", i.hasApplied(version))
 	}
 	d.Store.Put("op/config", map[string]any{"Version": version - 1, "Routes": routes(), "Services": services()})
-	eventually(t, "the older version was seen", func() bool {
+	eventually(t, "the older version is ignored", func() bool {
 		return len(d.ingresses[0].output.lines("event=config-kept")) == 1
 	})
 	for _, i := range d.ingresses {
@@ -57,95 +60,97 @@
 	}
 }
 
-// The store turns one ingress away, in each way it may, and serves the others. A
-// change must reach that ingress through its peers.
-func TestChangeReachesAnIngressThatTheStoreTurnsAway(t *testing.T) {
+// The store fails for one ingress and serves the other; each kind of store fault is tested. A
+// change of the configuration must reach the first ingress through its peer.
+func TestChangeReachesIngressWithoutStoreThroughPeer(t *testing.T) {
 	for _, fault := range []hosted.StoreFault{hosted.StoreBusy, hosted.StoreReset, hosted.StoreSilent} {
 		t.Run(string(fault), func(t *testing.T) {
 			is := is.New(t)
 			d := newDeployment(t, 2)
 			d.Store.SetFault(0, fault)
 			version := d.PutConfig(routes(), services(), []map[string]any{{"Name": "workshop", "ApiKeys": []string{"key-2"}}})
-			written := time.Now()
-			eventually(t, "the version is in force", d.ingresses[0].hasVersion(version))
-			is.True(time.Since(written) < 6*time.Second)
+			writtenAt := time.Now()
+			eventually(t, "the version is in force", d.ingresses[0].hasApplied(version))
+			is.True(time.Since(writtenAt) < 6*time.Second)
 			is.Equal(len(d.ingresses[0].output.lines("event=config-applied", "source=peer")), 1)
 			is.Equal(d.ingresses[0].send(context.Background(), newRequest("/order/1")).status, http.StatusUnauthorized)
-			// A watch that brought a change pauses before the next one, and may not have met the
-			// fault yet: the fault is held until it did.
-			eventually(t, "the store is lost", func() bool {
+			// After a watch that returned a change the ingress pauses before the next watch, so it
+			// may not have met the fault yet. The fault stays until the ingress has logged it.
+			eventually(t, "the store outage is logged", func() bool {
 				return len(d.ingresses[0].output.lines("event=store-lost", "what=watch")) == 1
 			})
 			d.Store.SetFault(0, hosted.StoreWell)
-			eventually(t, "the store is regained", func() bool {
+			eventually(t, "the store recovery is logged", func() bool {
 				return len(d.ingresses[0].output.lines("event=store-regained", "what=watch")) == 1
 			})
 		})
 	}
 }
 
-// The store drops its history while a server leaves and a version is written. The
-// watches are cut; a new listing must bring both.
-func TestHistoryIsDropped(t *testing.T) {
+// While the ingress cannot reach the store, a server starts to drain, a new configuration is
+// written and the store compacts its history. A watch can then no longer return the two changes;
+// the ingress must get both from a new listing.
+func TestChangesAreListedAfterCompaction(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
 	d.Store.SetFault(0, hosted.StoreBusy)
-	d.plain[0].Register("draining")
+	d.plainServers[0].Register("draining")
 	version := d.PutConfig(routes(), services(), tenants())
 	d.Store.Compact()
 	d.Store.SetFault(0, hosted.StoreWell)
-	eventually(t, "the version is in force", d.ingresses[0].hasVersion(version))
-	eventually(t, "the drain is known", func() bool { return len(d.ingresses[0].output.lines(d.plain[0].ID, "state=draining")) == 1 })
+	eventually(t, "the version is in force", d.ingresses[0].hasApplied(version))
+	eventually(t, "the drain is observed", func() bool { return len(d.ingresses[0].output.lines(d.plainServers[0].ID, "state=draining")) == 1 })
 	q := newRequest("/order/1")
 	is.Equal(d.ingresses[0].send(context.Background(), q).status, http.StatusOK)
-	is.Equal(d.Runs(q.id)[0].Server, d.plain[1].ID)
+	is.Equal(d.Runs(q.id)[0].Server, d.plainServers[1].ID)
 }
 
-// A server says that it leaves while requests come all the time. A second later
-// none may reach it any more, nor after its entry is gone.
-func TestLeavingServerGetsNoNewWork(t *testing.T) {
+// A server starts to drain while requests keep arriving. It must get no request from one second
+// later on, and none after its entry has been removed.
+func TestDrainingServerGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
-	d.plain[0].Register("draining")
-	said := time.Now()
-	for time.Since(said) < 2*time.Second {
+	d.plainServers[0].Register("draining")
+	drainingSince := time.Now()
+	for time.Since(drainingSince) < 2*time.Second {
 		for _, i := range d.ingresses {
 			is.Equal(i.send(context.Background(), newRequest("/order/1")).status, http.StatusOK)
 		}
 	}
-	d.Store.Remove("servers/" + d.plain[0].ID)
-	for _, seen := range d.plain[0].Seen() {
-		is.True(seen.At.Sub(said) < time.Second)
+	d.Store.Remove("servers/" + d.plainServers[0].ID)
+	for _, seen := range d.plainServers[0].Seen() {
+		is.True(seen.At.Sub(drainingSince) < time.Second)
 	}
 }
 
-// The store is away for two seconds, and when it is back all entries of servers
-// have lapsed. Requests must be served all the time: the servers are well.
-func TestEntriesLapseWhileTheStoreIsAway(t *testing.T) {
+// The store is unavailable for two seconds, and when it recovers the entries of the plain servers
+// have expired. Requests must still be served, because the servers are healthy. A server that does
+// not register again must be dropped after a while.
+func TestEntriesExpireDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
 	d.Store.SetFault(0, hosted.StoreReset)
 	time.Sleep(2 * time.Second)
-	for _, s := range d.plain {
+	for _, s := range d.plainServers {
 		d.Store.Remove("servers/" + s.ID)
 	}
 	d.Store.SetFault(0, hosted.StoreWell)
-	eventually(t, "the store is regained", func() bool {
+	eventually(t, "the store recovery is logged", func() bool {
 		return len(d.ingresses[0].output.lines("event=store-regained", "what=watch")) == 1
 	})
 	is.Equal(d.ingresses[0].send(context.Background(), newRequest("/order/1")).status, http.StatusOK)
-	d.plain[1].Register("ready")
-	eventually(t, "the server that did not come back is dropped", func() bool {
-		return len(d.ingresses[0].output.lines("event=servers-not-back", d.plain[0].ID)) == 1
+	d.plainServers[1].Register("ready")
+	eventually(t, "the server that did not register again is dropped", func() bool {
+		return len(d.ingresses[0].output.lines("event=servers-not-back", d.plainServers[0].ID)) == 1
 	})
 	q := newRequest("/order/1")
 	is.Equal(d.ingresses[0].send(context.Background(), q).status, http.StatusOK)
-	is.Equal(d.Runs(q.id)[0].Server, d.plain[1].ID)
+	is.Equal(d.Runs(q.id)[0].Server, d.plainServers[1].ID)
 }
 
-// An ingress is told to stop in the middle of streams, while the balancer still sends
-// it new connections. It says at once that it is not ready, takes what still
-// comes, and ends when every answer is complete.
+// An ingress gets SIGTERM in the middle of a stream, while the load balancer still sends it new
+// connections. It must at once report itself as not ready, serve the requests that still arrive,
+// complete every answer before it exits, and remove its entry from the store.
 func TestGracefulStop(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
@@ -156,44 +161,45 @@
 	go func() { answers <- d.ingresses[0].send(context.Background(), newReview()) }()
 	time.Sleep(300 * time.Millisecond)
 	d.ingresses[0].signal(syscall.SIGTERM)
-	eventually(t, "it is not ready", func() bool { return !d.ingresses[0].isReady() })
+	eventually(t, "the ingress is not ready", func() bool { return !d.ingresses[0].isReady() })
 	late := d.ingresses[0].send(context.Background(), newRequest("/order/1"))
 	is.Equal(late.status, http.StatusOK)
 	got := <-answers
 	is.NoErr(got.err)
-	is.Equal(events(got.body), "1,2,3,4,5,6")
-	<-d.ingresses[0].ended
+	is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
+	<-d.ingresses[0].exited
 	is.Equal(d.Store.Keys("verbenaroad/ingress/"), []string{"verbenaroad/ingress/ingress-1"})
 }
 
-// The ingress that batches and places for the others freezes, and is killed
-// later. Requests at the others go on, and they do so as well when it wakes.
-func TestLostBatcher(t *testing.T) {
+// Each ingress in turn freezes, among them the one that batches and places for the others. The
+// others must go on serving requests, and so must the frozen one once it resumes. Finally one
+// ingress is killed, and another one must still serve.
+func TestFrozenBatcher(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 3)
-	is.Equal(events(d.ingresses[0].send(context.Background(), newReview()).body), "1,2,3,4,5,6")
-	for _, lost := range d.ingresses {
-		lost.signal(syscall.SIGSTOP)
+	is.Equal(eventIDs(d.ingresses[0].send(context.Background(), newReview()).body), "1,2,3,4,5,6")
+	for _, frozen := range d.ingresses {
+		frozen.signal(syscall.SIGSTOP)
 		for _, i := range d.ingresses {
-			if i == lost {
+			if i == frozen {
 				continue
 			}
 			got := i.send(context.Background(), newReview())
 			is.NoErr(got.err)
-			is.Equal(events(got.body), "1,2,3,4,5,6")
+			is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 		}
-		lost.signal(syscall.SIGCONT)
-		got := lost.send(context.Background(), newReview())
-		is.Equal(events(got.body), "1,2,3,4,5,6")
+		frozen.signal(syscall.SIGCONT)
+		got := frozen.send(context.Background(), newReview())
+		is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 	}
 	d.ingresses[1].kill()
-	is.Equal(events(d.ingresses[0].send(context.Background(), newReview()).body), "1,2,3,4,5,6")
+	is.Equal(eventIDs(d.ingresses[0].send(context.Background(), newReview()).body), "1,2,3,4,5,6")
 	is.Equal(d.Notes(), []string{})
 }
 
-// Everything loses power at once. The ingresses start again, find everything in
-// the store and serve.
-func TestAllAreKilled(t *testing.T) {
+// All ingresses are killed at once. After their restart they must read their state from the store
+// and serve again within five seconds.
+func TestAllIngressesAreKilled(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
 	for _, i := range d.ingresses {
@@ -202,40 +208,40 @@
 	for _, i := range d.ingresses {
 		i.start()
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for _, i := range d.ingresses {
-		eventually(t, "it is ready again", i.isReady)
+		eventually(t, "the ingress is ready again", i.isReady)
 		is.Equal(i.send(context.Background(), newRequest("/order/1")).status, http.StatusOK)
 	}
-	is.True(time.Since(began) < 5*time.Second)
+	is.True(time.Since(startedAt) < 5*time.Second)
 }
 
-// An operator changes the settings file twice, once badly. The bad file changes
-// nothing and is told with its fault; the good one is put in force.
+// An operator changes the settings file twice, the first time with a mistake. The ingress must keep
+// its settings and log the mistake, and must apply the second file.
 func TestReload(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
 	i := d.ingresses[0]
-	good, err := os.ReadFile(i.config)
+	good, err := os.ReadFile(i.configFile)
 	is.NoErr(err)
-	is.NoErr(os.WriteFile(i.config, append([]byte("nonsense = 1\n"), good...), 0o600))
+	is.NoErr(os.WriteFile(i.configFile, append([]byte("nonsense = 1\n"), good...), 0o600))
 	i.signal(syscall.SIGHUP)
-	eventually(t, "the bad file is told", func() bool { return len(i.output.lines("event=reload", "outcome=kept", "nonsense")) == 1 })
-	is.NoErr(os.WriteFile(i.config, []byte(strings.Replace(string(good), "ratio = 0.2", "ratio = 0.1", 1)), 0o600))
+	eventually(t, "the mistake is logged", func() bool { return len(i.output.lines("event=reload", "outcome=kept", "nonsense")) == 1 })
+	is.NoErr(os.WriteFile(i.configFile, []byte(strings.Replace(string(good), "ratio = 0.2", "ratio = 0.1", 1)), 0o600))
 	i.signal(syscall.SIGHUP)
-	eventually(t, "the good file is in force", func() bool {
+	eventually(t, "the correct file is applied", func() bool {
 		return len(i.output.lines("event=reload", "outcome=applied", "repeats-ratio=0.1")) == 1
 	})
 	is.Equal(i.send(context.Background(), newRequest("/order/1")).status, http.StatusOK)
 }
 
-// An ingress starts while the store answers the others and not it. It must learn
-// everything from the seed that its settings name, and serve.
-func TestStartWhileTheStoreTurnsAway(t *testing.T) {
+// An ingress starts while the store does not answer it, but answers another ingress. It must get
+// everything from the seed peers in its settings, of which the first is down, and serve.
+func TestStartWithoutStoreThroughSeedPeer(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
 	d.Store.SetFault(1, hosted.StoreSilent)
-	late := newIngress(t, d.World, "late", "b1", 1, netip.MustParseAddrPort("127.0.0.1:1"), d.ingresses[0].links)
-	eventually(t, "it is ready", late.isReady)
+	late := newIngress(t, d.World, "late", "b1", 1, netip.MustParseAddrPort("127.0.0.1:1"), d.ingresses[0].peerAddress)
+	eventually(t, "the ingress is ready", late.isReady)
 	is.Equal(late.send(context.Background(), newRequest("/order/1")).status, http.StatusOK)
 }
--- a/proofs/hosted/doc.go
+++ b/proofs/hosted/doc.go
@@ -1,4 +1,4 @@
-// Package hosted proves the path on the users' platform: it starts real ingress
-// processes between stand-ins of the platform's store and backend servers and
-// checks what callers and backend servers see, under faults.
+// Package hosted tests the request path on the users' platform. The tests start real ingress
+// processes with stand-ins for the platform's store and backend servers, inject faults, and check
+// what callers and backend servers observe.
 package hosted
--- a/proofs/hosted/faults_test.go
+++ b/proofs/hosted/faults_test.go
@@ -13,9 +13,9 @@
 	"verbenaroad.example/fakes/services/hosted"
 )
 
-// A timber order is in a server's hands when something goes wrong. Whatever it
-// is, the order must run at most once, and a caller that is told to come back
-// must hear so of an order only that did not run and never will.
+// A non-idempotent order reaches a server that has one of the faults of the stand-in. Whatever the
+// fault, the order must run at most once, and the answer may carry Retry-After only if the order did
+// not run and never will.
 func TestOrderRunsAtMostOnce(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, c := range []struct {
@@ -35,7 +35,7 @@
 	} {
 		t.Run("fault "+string(c.fault), func(t *testing.T) {
 			is := is.New(t)
-			for _, s := range d.plain {
+			for _, s := range d.plainServers {
 				s.SetFaults(c.fault, c.fault, c.fault)
 			}
 			q := newRequest("/order/1")
@@ -47,52 +47,54 @@
 			if c.status != http.StatusOK && c.fault != hosted.Fail {
 				is.Equal(got.header.Get("X-Verbenaroad-Replica-Signature"), "")
 			}
-			for _, s := range d.plain {
+			for _, s := range d.plainServers {
 				s.SetFaults()
 			}
 		})
 	}
 }
 
-// The nearest server refuses an order, which it did not run. Another one takes it.
-func TestRefusedOrderGoesToAnotherServer(t *testing.T) {
+// The local server refuses an order and reports that it did not run it. The order must go to the
+// other server.
+func TestRefusedOrderIsRetriedOnAnotherServer(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
-	d.plain[0].SetFaults(hosted.Shed)
+	d.plainServers[0].SetFaults(hosted.Shed)
 	q := newRequest("/order/1")
 	got := d.ingresses[0].send(context.Background(), q)
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(len(d.Runs(q.id)), 1)
-	is.Equal(d.Runs(q.id)[0].Server, d.plain[1].ID)
+	is.Equal(d.Runs(q.id)[0].Server, d.plainServers[1].ID)
 }
 
-// A server has crashed and its entry is still in the store. Nothing was sent, so
-// orders go elsewhere; when all have crashed callers hear at once that theirs did not run.
+// A server has crashed and its entry is still in the store. An order cannot be sent to it, so it
+// must go to another server. When all servers have crashed, callers must learn within a second that
+// their order did not run. A restarted server must be used again.
 func TestCrashedServers(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
-	d.plain[0].Crash()
+	d.plainServers[0].Crash()
 	q := newRequest("/order/1")
 	is.Equal(d.ingresses[0].send(context.Background(), q).status, http.StatusOK)
 	is.Equal(len(d.Runs(q.id)), 1)
-	d.plain[1].Crash()
+	d.plainServers[1].Crash()
 	got := d.ingresses[0].send(context.Background(), newRequest("/order/1"))
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(got.took < time.Second)
-	is.NoErr(d.plain[0].Restart())
+	is.NoErr(d.plainServers[0].Restart())
 	eventually(t, "the restarted server is used", func() bool {
 		return d.ingresses[0].send(context.Background(), newRequest("/order/1")).status == http.StatusOK
 	})
 }
 
-// A catalogue entry is read from a server that fails. Reads may be repeated, at as
-// many servers as the route allows and no more.
-func TestReadsAreRepeated(t *testing.T) {
+// A server fails while it answers a read. Reads are idempotent, so the ingress must retry them, but
+// with no more attempts than the route allows.
+func TestReadsAreRetried(t *testing.T) {
 	for _, fault := range []hosted.Fault{hosted.Fail, hosted.CutAfterRun, hosted.Truncate, hosted.WrongID, hosted.Hang} {
 		t.Run(string(fault), func(t *testing.T) {
 			is := is.New(t)
 			d := newDeployment(t, 1)
-			d.plain[0].SetFaults(fault)
+			d.plainServers[0].SetFaults(fault)
 			q := newRequest("/read/1")
 			q.method = http.MethodGet
 			q.body = ""
@@ -100,8 +102,8 @@
 			is.Equal(got.status, http.StatusOK)
 			is.Equal(len(d.Runs(q.id)), 2)
 
-			d.plain[0].SetFaults(fault, fault)
-			d.plain[1].SetFaults(fault, fault)
+			d.plainServers[0].SetFaults(fault, fault)
+			d.plainServers[1].SetFaults(fault, fault)
 			q = newRequest("/read/2")
 			got = d.ingresses[0].send(context.Background(), q)
 			is.True(got.status >= http.StatusInternalServerError)
@@ -110,22 +112,22 @@
 	}
 }
 
-// A catalogue entry is read at the only server that takes work, which runs it and
-// breaks off. No other server is left; the caller must not hear that it did not run.
-func TestRefusalAfterARunIsTrue(t *testing.T) {
+// A read goes to the only server that takes new work. The server runs it and cuts the connection,
+// and no server is left for a retry. The caller must not be told that the request did not run.
+func TestNoRefusalAfterARun(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
-	d.plain[1].Register("draining")
-	eventually(t, "the drain is known", func() bool { return len(d.ingresses[0].output.lines(d.plain[1].ID, "state=draining")) == 1 })
-	d.plain[0].SetFaults(hosted.CutAfterRun)
+	d.plainServers[1].Register("draining")
+	eventually(t, "the drain is observed", func() bool { return len(d.ingresses[0].output.lines(d.plainServers[1].ID, "state=draining")) == 1 })
+	d.plainServers[0].SetFaults(hosted.CutAfterRun)
 	q := newRequest("/read/1")
 	got := d.ingresses[0].send(context.Background(), q)
 	is.Equal(got.status, http.StatusBadGateway)
 	is.Equal(len(d.Runs(q.id)), 1)
 
-	// The same with a stream that breaks off before its first event, and no other engine.
+	// The same holds for a stream that breaks off before its first event, with no other engine left.
 	d.engines[1].Register("draining")
-	eventually(t, "the drain is known", func() bool { return len(d.ingresses[0].output.lines(d.engines[1].ID, "state=draining")) == 1 })
+	eventually(t, "the drain is observed", func() bool { return len(d.ingresses[0].output.lines(d.engines[1].ID, "state=draining")) == 1 })
 	d.engines[0].SetFaults(hosted.CutAtOnce)
 	q = newReview()
 	got = d.ingresses[0].send(context.Background(), q)
@@ -133,9 +135,9 @@
 	is.Equal(len(d.Runs(q.id)), 1)
 }
 
-// An engine breaks off in the middle of an event. A stream that may be resumed goes
-// on at another engine after the last whole event, within the same answer; one
-// that may not must not look complete.
+// An engine cuts a stream in the middle of an event. A resumable stream must continue on another
+// engine after the last complete event, within the same answer. A stream that is not resumable must
+// end with an error, so that it does not look complete.
 func TestBrokenStream(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
@@ -147,8 +149,8 @@
 	runs := d.Runs(q.id)
 	is.Equal(len(runs), 2)
 	is.Equal(runs[0].Header.Get("Last-Event-Id")+runs[1].Header.Get("Last-Event-Id"), "2")
-	is.True(got.err != nil) // the second engine broke off as well
-	is.Equal(events(got.body), "1,2,3,4")
+	is.True(got.err != nil) // the second engine cut the stream as well
+	is.Equal(eventIDs(got.body), "1,2,3,4")
 
 	q = newReview()
 	d.engines[0].SetFaults(hosted.CutStream)
@@ -157,7 +159,7 @@
 		q = newReview()
 		got = d.ingresses[0].send(context.Background(), q)
 		is.NoErr(got.err)
-		is.Equal(events(got.body), "1,2,3,4,5,6")
+		is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 	}
 
 	for _, e := range d.engines {
@@ -166,13 +168,13 @@
 	q = newRequest("/advice/1")
 	got = d.ingresses[0].send(context.Background(), q)
 	is.True(got.err != nil)
-	is.Equal(events(got.body), "1,2")
+	is.Equal(eventIDs(got.body), "1,2")
 	is.Equal(len(d.Runs(q.id)), 1)
 }
 
-// An engine answers a stream with a failure of its own, a short text and no events.
-// A stream that may be resumed goes to another engine; where that is not
-// allowed, or fails as well, the caller gets the failure whole and unchanged.
+// An engine answers a stream request with status 500, a short text and no events. A resumable
+// stream must be retried on another engine. Otherwise the caller must get the failure complete and
+// unchanged.
 func TestFailedStream(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
@@ -192,61 +194,63 @@
 	for range 2 {
 		got = d.ingresses[0].send(context.Background(), newReview())
 		is.NoErr(got.err)
-		is.Equal(events(got.body), "1,2,3,4,5,6")
+		is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 	}
 }
 
-// A pool's answer is lost after its results were made. They are made again, and
-// no item is ever given those of another request.
-func TestLostResultsAreMadeAgain(t *testing.T) {
+// A pool's answer is lost after its results were produced. They must be produced again, and no item
+// may get the results of another request as its inputs.
+func TestLostResultsAreProducedAgain(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
-	for _, p := range d.pools {
+	for _, p := range d.poolServers {
 		p.SetFaults(hosted.CutAfterRun)
 	}
 	for _, i := range d.ingresses {
 		got := i.send(context.Background(), newReview())
 		is.NoErr(got.err)
-		is.Equal(events(got.body), "1,2,3,4,5,6")
+		is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 	}
 	is.Equal(d.Notes(), []string{})
 }
 
-// A review's second stage breaks off while its server works, and the results of the
-// first were released as soon as that server had fetched them. The stage cannot be
-// sent to another server; the review's stages are made once more and it is served.
-func TestChainBeginsAnewWhenItsInputsAreGone(t *testing.T) {
+// The second stage of a request fails on its server, after the results of the first stage were
+// released because that server had fetched them. Without its inputs the second stage cannot be
+// retried on another server, so the ingress must restart the chain from its first stage. Inputs are
+// released this early only from servers that have reported that they are idle.
+func TestChainRestartsWhenInputsAreGone(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
-	for _, p := range d.pools {
+	for _, p := range d.poolServers {
 		p.Work = 300 * time.Millisecond
 	}
 	ingress := d.ingresses[0]
-	for range 4 { // until both servers have told that they are idle
+	for range 4 { // until both pool servers have reported that they are idle
 		is.Equal(ingress.send(context.Background(), newReview()).status, http.StatusOK)
 	}
 	q := newReview()
-	answered := make(chan answer, 1)
-	go func() { answered <- ingress.send(context.Background(), q) }()
+	answers := make(chan answer, 1)
+	go func() { answers <- ingress.send(context.Background(), q) }()
 	eventually(t, "the second stage has its inputs", func() bool {
 		return len(ingress.output.lines("event=inputs-released", "request="+q.id)) > 0
 	})
-	for _, p := range d.pools {
+	for _, p := range d.poolServers {
 		p.SetFaults(hosted.CutAfterRun)
 	}
-	got := <-answered
+	got := <-answers
 	is.NoErr(got.err)
 	is.Equal(got.status, http.StatusOK)
-	is.Equal(events(got.body), "1,2,3,4,5,6")
+	is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 	is.Equal(len(ingress.output.lines("event=chain-restarted", "request="+q.id)), 1)
 	is.Equal(len(d.Runs(q.id)), 1)
 	eventually(t, "all results are released", func() bool { return d.Held() == 0 })
 	is.Equal(d.Notes(), []string{})
 }
 
-// Entries of another writer stand among the servers, and a configuration that
-// cannot be read is written. What is known stays in force.
-func TestGarbageInTheStore(t *testing.T) {
+// Another writer has put unreadable and invalid entries among the servers, and an unreadable
+// configuration is written. The ingress must ignore them and keep the servers and the configuration
+// that it has.
+func TestUnreadableRecordsInTheStore(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
 	for key, value := range map[string]string{
@@ -257,7 +261,7 @@
 	} {
 		d.Store.PutRaw(key, []byte(value))
 	}
-	eventually(t, "the records were looked at", func() bool {
+	eventually(t, "the ingress has logged the unreadable records", func() bool {
 		o := d.ingresses[0].output
 		return len(o.lines("event=server-unreadable")) >= 5 && len(o.lines("event=config-kept", "unreadable")) == 1
 	})
@@ -266,13 +270,13 @@
 	}
 }
 
-// Somebody opens connections and leaves them, many more than the ingress may have.
-// Orders of others must still be taken.
+// A client opens many more connections than the ingress may have, and leaves them idle. The ingress
+// must close idle connections and still accept the orders of other callers.
 func TestFloodOfConnections(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
 	for range 300 {
-		conn, err := net.Dial("tcp", d.ingresses[0].callers.String())
+		conn, err := net.Dial("tcp", d.ingresses[0].callerAddress.String())
 		is.NoErr(err)
 		defer func() { _ = conn.Close() }()
 	}
@@ -282,16 +286,17 @@
 	is.True(len(d.ingresses[0].output.lines("event=connection-closed")) >= 200)
 }
 
-// Garbage comes in at the callers' port and at the peers' port.
-func TestGarbageAtThePorts(t *testing.T) {
+// Malformed bytes arrive on the port for callers and on the port for peers. Both ingresses must
+// still serve.
+func TestMalformedBytesOnThePorts(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
 	for _, text := range []string{"\x16\x03\x01\x00", "GET", strings.Repeat("A", 1<<16), "POST / HTTP/9.9\r\n\r\n"} {
-		for _, address := range []string{d.ingresses[0].callers.String(), d.ingresses[0].links.String()} {
-			throw(t, address, text)
+		for _, address := range []string{d.ingresses[0].callerAddress.String(), d.ingresses[0].peerAddress.String()} {
+			sendRaw(t, address, text)
 		}
 	}
 	is.Equal(d.ingresses[0].send(context.Background(), newRequest("/order/1")).status, http.StatusOK)
 	got := d.ingresses[1].send(context.Background(), newReview())
-	is.Equal(events(got.body), "1,2,3,4,5,6")
+	is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 }
--- a/proofs/hosted/main_test.go
+++ b/proofs/hosted/main_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// envProgram names the ingress program to test; unset: it is built first.
+// envProgram is the environment variable with the path of the ingress program to test. If it is
+// unset, the tests build the program first.
 const envProgram = "VERBENA_INGRESS"
 
 func TestMain(m *testing.M) {
--- a/proofs/hosted/path_test.go
+++ b/proofs/hosted/path_test.go
@@ -12,13 +12,16 @@
 	"verbenaroad.example/fakes/services/hosted"
 )
 
+// A plain request and its answer must pass through the ingress unchanged, except for the headers
+// that the system owns and for hop-by-hop headers.
 func TestPlainRequestPassesUnchanged(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
 	q := newRequest("/order/a%2Fb//c?x=1&y=%20")
 	q.header = map[string]string{
 		"X-Own": "1", "Connection": "X-Hop", "X-Hop": "1",
-		// What follows is the system's to set.
+		// Only the system may set the following headers. The ingress replaces or drops those of a
+		// caller.
 		"X-Verbenaroad-Tenant": "press", "X-Verbenaroad-Expect-Replica": "i-other", "Kv-From": "10.255.0.1:1/x",
 		"X-Verbenaroad-Pin-Ms": "1000", "X-Verbenaroad-Retention": "r", "X-Verbenaroad-Kv-Backup": "10.255.0.1:1",
 	}
@@ -44,6 +47,7 @@
 	}
 }
 
+// The ingress must refuse these requests with the right status, and send them to no server.
 func TestRefusals(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, c := range []struct {
@@ -69,9 +73,8 @@
 	}
 }
 
-// A long build manual is reviewed: the results of both stages are made, the
-// engine is given those of the last one only, events come as they are made, and
-// no result is left behind.
+// A stream has two stages before its engine. The engine must get the results of the last stage
+// only, the caller must get every event, and every result must be released in the end.
 func TestStagedStream(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
@@ -81,7 +84,7 @@
 			got := i.send(context.Background(), q)
 			is.NoErr(got.err)
 			is.Equal(got.status, http.StatusOK)
-			is.Equal(events(got.body), "1,2,3,4,5,6")
+			is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 			runs := d.Runs(q.id)
 			is.Equal(len(runs), 1)
 			handles := strings.Split(runs[0].Header.Get("X-Verbenaroad-Input-Count"), ",")
@@ -100,49 +103,49 @@
 	d := newDeployment(t, 1)
 	got := d.ingresses[0].send(context.Background(), newRequest("/advice/1"))
 	is.NoErr(got.err)
-	is.Equal(events(got.body), "1,2,3,4,5,6")
+	is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 }
 
-// A caller leaves in the middle of a stream. The engine's work must end within
-// half a second, and a caller that leaves while its stages run must leave no
-// result behind.
-func TestCallerLeaves(t *testing.T) {
+// A caller cancels in the middle of a stream: the engine's work must end within half a second.
+// Another caller cancels while its stages run: all results must be released and no engine may run
+// the request.
+func TestCallerCancels(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
 	for _, e := range d.engines {
 		e.Events, e.Gap = 200, 50*time.Millisecond
 	}
-	ctx, leave := context.WithTimeout(context.Background(), 400*time.Millisecond)
-	defer leave()
+	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
+	defer cancel()
 	q := newReview()
 	_ = d.ingresses[0].send(ctx, q)
-	left := time.Now()
-	eventually(t, "the engine ended its work", func() bool { return d.engines[0].Running()+d.engines[1].Running() == 0 })
+	canceledAt := time.Now()
+	eventually(t, "no engine works on the request any more", func() bool { return d.engines[0].Running()+d.engines[1].Running() == 0 })
 	is.Equal(len(d.Runs(q.id)), 1)
-	is.True(time.Since(left) < 500*time.Millisecond)
+	is.True(time.Since(canceledAt) < 500*time.Millisecond)
 
-	for _, p := range d.pools {
+	for _, p := range d.poolServers {
 		p.Work = 300 * time.Millisecond
 	}
-	early, leaveEarly := context.WithTimeout(context.Background(), 100*time.Millisecond)
-	defer leaveEarly()
+	early, cancelEarly := context.WithTimeout(context.Background(), 100*time.Millisecond)
+	defer cancelEarly()
 	q = newReview()
 	_ = d.ingresses[1].send(early, q)
 	eventually(t, "all results are released", func() bool { return d.Held() == 0 })
 	is.Equal(len(d.Runs(q.id)), 0)
 }
 
-// A review's time passes while its results are still being made, and its caller is
-// still there. The answer says that the review was not run, and not that the caller left.
-func TestTimeRunsOutInAStage(t *testing.T) {
+// The deadline of a request passes while its stages are still running, and the caller is still
+// waiting. The answer must state that the request was not run, and not that the caller canceled.
+func TestDeadlinePassesDuringAStage(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 2)
-	for _, p := range d.pools {
+	for _, p := range d.poolServers {
 		p.Work = 3 * time.Second
 	}
 	for _, i := range d.ingresses {
 		q := newReview()
-		q.patience = 1200 * time.Millisecond
+		q.callerTimeout = 1200 * time.Millisecond
 		got := i.send(context.Background(), q)
 		is.Equal(got.status, http.StatusServiceUnavailable)
 		is.True(got.took < 2*time.Second)
@@ -150,12 +153,12 @@
 	}
 }
 
-// The route's time passes while a server is silent. The caller gets its final
-// answer then, and not at the end of its own patience.
+// A server does not answer within the route's timeout of 1.5 s. The caller must get its final
+// answer then, and not only at the end of its own timeout of 8 s.
 func TestRouteTimeout(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
-	for _, s := range d.plain {
+	for _, s := range d.plainServers {
 		s.SetFaults(hosted.Hang, hosted.Hang)
 	}
 	q := newRequest("/order/1")
--- a/proofs/hosted/poison_test.go
+++ b/proofs/hosted/poison_test.go
@@ -14,31 +14,32 @@
 )
 
 const (
-	// poisonBody is that of a request that crashes who runs it.
+	// poisonBody is the body of a request that crashes every server that runs it.
 	poisonBody = "a board that splits the saw"
-	// poisonDown is how long a crashed server is away.
-	poisonDown = 300 * time.Millisecond
-	// quarantineTime is within what time all ingresses know a quarantine.
-	quarantineTime = 2 * time.Second
+	// poisonDowntime is how long a server that such a request crashed stays down.
+	poisonDowntime = 300 * time.Millisecond
+	// quarantineDelay is the time within which all ingresses know of a quarantine.
+	quarantineDelay = 2 * time.Second
 )
 
-// newPoisoned returns a deployment with enough servers that some are up after a few crashes.
-func newPoisoned(t *testing.T) *deployment {
+// newPoisonDeployment returns a deployment in which requests with poisonBody crash their server. It
+// has enough servers that some are still up after a few crashes.
+func newPoisonDeployment(t *testing.T) *deployment {
 	t.Helper()
 	d := newDeployment(t, 3)
 	for n := range 6 {
 		zone := []string{"a1", "b1"}[n%2]
-		d.plain = append(d.plain, d.add(&hosted.Server{Service: "orders", Zone: zone, Work: 20 * time.Millisecond}))
+		d.plainServers = append(d.plainServers, d.add(&hosted.Server{Service: "orders", Zone: zone, Work: 20 * time.Millisecond}))
 		d.engines = append(d.engines, d.add(&hosted.Server{Service: "models", Zone: zone, Events: 6, Gap: 30 * time.Millisecond}))
 	}
 	for _, i := range d.ingresses {
-		eventually(t, i.name+" knows all servers", func() bool { return len(i.output.lines("event=server-seen")) >= 18 })
+		eventually(t, i.name+" has seen all backend servers", func() bool { return len(i.output.lines("event=server-seen")) >= 18 })
 	}
-	d.SetPoison(poisonBody, poisonDown)
+	d.SetPoison(poisonBody, poisonDowntime)
 	return d
 }
 
-// sendPoison sends a request that crashes servers to one ingress after the other.
+// sendPoison sends a request with poisonBody repeatedly, each time to the next ingress.
 func (d *deployment) sendPoison(is *is.I, target string, times int) {
 	is.Helper()
 	for n := range times {
@@ -50,14 +51,16 @@
 	}
 }
 
-// Guards against a request that crashes one server after the other, since no ingress knows it again.
+// A request that crashes its server arrives at different ingresses. Unless all of them recognize
+// it, it crashes one server after the other. Its quarantine must outlast a restart of all
+// ingresses.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, target := range []string{"/order/7", "/read/7", "/advice/7"} {
 		t.Run(target, func(t *testing.T) {
 			is := is.New(t)
-			d := newPoisoned(t)
+			d := newPoisonDeployment(t)
 			d.sendPoison(is, target, 5)
-			time.Sleep(quarantineTime)
+			time.Sleep(quarantineDelay)
 			before := d.CountRuns(poisonBody)
 			is.True(before >= 3)
 			d.sendPoison(is, target, 6)
@@ -83,8 +86,8 @@
 	}
 }
 
-// Guards against a request that many send, and that is refused for good since it was at several servers that
-// crashed for another reason.
+// Many callers send the same request, and servers that are running it crash repeatedly for another
+// reason. The request must not be quarantined.
 func TestBystandersAreNotQuarantined(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 3)
@@ -93,12 +96,12 @@
 		for _, i := range d.ingresses {
 			group.Go(func() { i.send(context.Background(), newRequest("/read/1")) })
 		}
-		time.Sleep(d.plain[0].Work / 2)
-		for _, s := range d.plain {
+		time.Sleep(d.plainServers[0].Work / 2)
+		for _, s := range d.plainServers {
 			s.Crash()
 		}
 		group.Wait()
-		for _, s := range d.plain {
+		for _, s := range d.plainServers {
 			is.NoErr(s.Restart())
 		}
 		for _, i := range d.ingresses {
@@ -112,19 +115,19 @@
 	}
 }
 
-// Guards against a request whose items crash the servers that make results for it, one after the
-// other, and against its bystanders being refused for it.
+// The items of one request crash every pool server that produces results for them. This request
+// must be quarantined, but not the other requests that are in flight at the same time.
 func TestRequestWhoseItemsCrashServersIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 3)
 	for n := range 6 {
-		d.pools = append(d.pools, d.add(&hosted.Server{
+		d.poolServers = append(d.poolServers, d.add(&hosted.Server{
 			Service: "encoders", Zone: []string{"a1", "b1"}[n%2], Work: 20 * time.Millisecond, Batch: 8, Room: 50,
 		}))
 	}
 	const poisonKey = "00dead00beef"
-	d.SetPoisonKey(poisonKey, poisonDown)
-	sendOne := func(n int) {
+	d.SetPoisonKey(poisonKey, poisonDowntime)
+	sendPoisonItems := func(n int) {
 		q := newReview()
 		q.body = poisonBody
 		q.header["X-Verbenaroad-Segment-Key"] = poisonKey
@@ -139,17 +142,17 @@
 				i.send(context.Background(), q)
 			})
 		}
-		sendOne(n)
+		sendPoisonItems(n)
 		group.Wait()
-		time.Sleep(poisonDown + 100*time.Millisecond) // the servers are back
+		time.Sleep(poisonDowntime + 100*time.Millisecond) // the servers have restarted
 	}
-	time.Sleep(quarantineTime)
-	before := d.countCrashes()
+	time.Sleep(quarantineDelay)
+	before := d.countPoolCrashes()
 	is.True(before >= 3)
 	for n := range 6 {
-		sendOne(n)
+		sendPoisonItems(n)
 	}
-	is.Equal(d.countCrashes(), before)
+	is.Equal(d.countPoolCrashes(), before)
 	for n := range 6 {
 		for _, i := range d.ingresses {
 			q := newReview()
@@ -159,10 +162,10 @@
 	}
 }
 
-// countCrashes returns how often calls have crashed servers that make results.
-func (d *deployment) countCrashes() int {
+// countPoolCrashes returns how often calls have crashed pool servers.
+func (d *deployment) countPoolCrashes() int {
 	crashes := 0
-	for _, s := range d.pools {
+	for _, s := range d.poolServers {
 		crashes += s.Crashes()
 	}
 	return crashes
--- a/proofs/hosted/process_test.go
+++ b/proofs/hosted/process_test.go
@@ -19,12 +19,13 @@
 )
 
 const (
-	// patience bounds every wait for a condition; a busy machine must not reach it.
-	patience   = 40 * time.Second
-	checkEvery = 15 * time.Millisecond
+	// conditionTimeout limits every wait for a condition. It is long so that a busy machine does
+	// not exceed it.
+	conditionTimeout = 40 * time.Second
+	pollInterval     = 15 * time.Millisecond
 )
 
-// output takes what a process writes.
+// output collects what a process writes to its standard output and standard error.
 type output struct {
 	lock sync.Mutex
 	text bytes.Buffer
@@ -36,7 +37,7 @@
 	return o.text.Write(p)
 }
 
-// lines returns the lines that hold all the words.
+// lines returns the non-empty lines that contain all the words.
 func (o *output) lines(words ...string) []string {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -53,22 +54,24 @@
 	return found
 }
 
-// ingress is one process of the system.
+// ingress is one ingress process.
 type ingress struct {
-	t       testing.TB
-	name    string
-	config  string
-	callers netip.AddrPort
-	ready   netip.AddrPort
-	metrics netip.AddrPort
-	links   netip.AddrPort
-	output  *output
+	t          testing.TB
+	name       string
+	configFile string
+	// The addresses on which the process listens for callers, readiness checks, scrapes and peers.
+	callerAddress  netip.AddrPort
+	readyAddress   netip.AddrPort
+	metricsAddress netip.AddrPort
+	peerAddress    netip.AddrPort
+	output         *output
 
 	command *exec.Cmd
-	ended   chan struct{}
+	// exited is closed when the process has exited.
+	exited chan struct{}
 }
 
-// freeAddresses returns loopback addresses that nothing listens on now.
+// freeAddresses returns n loopback addresses on which nothing listens at the moment.
 func freeAddresses(t testing.TB, n int) []netip.AddrPort {
 	t.Helper()
 	addresses := []netip.AddrPort{}
@@ -83,46 +86,47 @@
 	return addresses
 }
 
-// newIngress starts a process in a zone, with the i-th address of the store and seeds.
+// newIngress starts an ingress in the given zone and waits until it has started. storeIndex selects
+// the address of the store that it uses, and seeds are its seed peers.
 //
-// Its ports were free a moment before; another test of the machine may take one
-// meanwhile, and then the process ends at once and others are tried.
-func newIngress(t testing.TB, w *hosted.World, name, zone string, store int, seeds ...netip.AddrPort) *ingress {
+// Another test on the machine may take one of the chosen free ports before the process listens on
+// it. The process then exits at once, and newIngress tries again with other ports.
+func newIngress(t testing.TB, w *hosted.World, name, zone string, storeIndex int, seeds ...netip.AddrPort) *ingress {
 	t.Helper()
 	for {
-		i := startIngress(t, w, name, zone, store, seeds)
-		eventually(t, name+" started or ended", func() bool {
-			return len(i.output.lines("event=started")) > 0 || i.hasEnded()
+		i := startIngress(t, w, name, zone, storeIndex, seeds)
+		eventually(t, name+" starts or exits", func() bool {
+			return len(i.output.lines("event=started")) > 0 || i.hasExited()
 		})
 		if len(i.output.lines("event=started")) > 0 {
 			return i
 		}
 		if len(i.output.lines("address already in use")) == 0 {
-			t.Fatalf("%s ended: %s", name, strings.Join(i.output.lines(), "; "))
+			t.Fatalf("%s exited at start: %s", name, strings.Join(i.output.lines(), "; "))
 		}
-		t.Logf("%s: a port was taken meanwhile, once more", name)
+		t.Logf("%s: a chosen port is in use by another process; retrying with other ports", name)
 	}
 }
 
-func (i *ingress) hasEnded() bool {
+func (i *ingress) hasExited() bool {
 	select {
-	case <-i.ended:
+	case <-i.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-func startIngress(t testing.TB, w *hosted.World, name, zone string, store int, seeds []netip.AddrPort) *ingress {
+func startIngress(t testing.TB, w *hosted.World, name, zone string, storeIndex int, seeds []netip.AddrPort) *ingress {
 	t.Helper()
 	addresses := freeAddresses(t, 4)
-	listed := []string{}
+	quotedSeeds := []string{}
 	for _, seed := range seeds {
-		listed = append(listed, fmt.Sprintf("%q", seed))
+		quotedSeeds = append(quotedSeeds, fmt.Sprintf("%q", seed))
 	}
 	i := &ingress{
-		t: t, name: name, callers: addresses[0], ready: addresses[1], metrics: addresses[2], links: addresses[3], output: &output{},
-		config: filepath.Join(t.TempDir(), name+".toml"),
+		t: t, name: name, callerAddress: addresses[0], readyAddress: addresses[1], metricsAddress: addresses[2], peerAddress: addresses[3], output: &output{},
+		configFile: filepath.Join(t.TempDir(), name+".toml"),
 	}
 	settings := fmt.Sprintf(`
 [place]
@@ -150,8 +154,8 @@
 admit = "500ms"
 [metrics]
 listen = %q
-`, name, zone, zone[:1], i.callers, i.ready, w.Store.Address(store), addresses[3], strings.Join(listed, ", "), i.metrics)
-	if err := os.WriteFile(i.config, []byte(settings), 0o600); err != nil {
+`, name, zone, zone[:1], i.callerAddress, i.readyAddress, w.Store.Address(storeIndex), addresses[3], strings.Join(quotedSeeds, ", "), i.metricsAddress)
+	if err := os.WriteFile(i.configFile, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	i.start()
@@ -161,23 +165,23 @@
 
 func (i *ingress) start() {
 	i.t.Helper()
-	i.command = exec.Command(os.Getenv(envProgram), "--config", i.config)
+	i.command = exec.Command(os.Getenv(envProgram), "--config", i.configFile)
 	i.command.Stdout, i.command.Stderr = i.output, i.output
 	if err := i.command.Start(); err != nil {
 		i.t.Fatal(err)
 	}
-	i.ended = make(chan struct{})
-	go i.run(i.command, i.ended)
+	i.exited = make(chan struct{})
+	go i.run(i.command, i.exited)
 }
 
-func (*ingress) run(command *exec.Cmd, ended chan struct{}) {
-	_ = command.Wait() // the tests look at what the process did
-	close(ended)
+func (*ingress) run(command *exec.Cmd, exited chan struct{}) {
+	_ = command.Wait() // the exit status does not matter: the tests check the output and the answers
+	close(exited)
 }
 
 func (i *ingress) signal(s syscall.Signal) {
 	select {
-	case <-i.ended:
+	case <-i.exited:
 	default:
 		_ = i.command.Process.Signal(s)
 	}
@@ -186,13 +190,13 @@
 func (i *ingress) kill() {
 	i.signal(syscall.SIGCONT)
 	i.signal(syscall.SIGKILL)
-	<-i.ended
+	<-i.exited
 }
 
-// isReady asks as the balancer does.
+// isReady checks readiness in the same way as the load balancer: GET /readyz must return 200.
 func (i *ingress) isReady() bool {
 	client := &http.Client{Timeout: time.Second}
-	got, err := client.Get("http://" + i.ready.String() + "/readyz")
+	got, err := client.Get("http://" + i.readyAddress.String() + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -200,14 +204,15 @@
 	return got.StatusCode == http.StatusOK
 }
 
-// eventually waits for a condition.
-func eventually(t testing.TB, what string, check func() bool) {
+// eventually waits until check returns true, and fails the test if this takes longer than
+// conditionTimeout.
+func eventually(t testing.TB, condition string, check func() bool) {
 	t.Helper()
-	ends := time.Now().Add(patience)
+	deadline := time.Now().Add(conditionTimeout)
 	for !check() {
-		if time.Now().After(ends) {
-			t.Fatalf("not in %v: %s", patience, what)
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within %v: %s", conditionTimeout, condition)
 		}
-		time.Sleep(checkEvery)
+		time.Sleep(pollInterval)
 	}
 }
--- a/proofs/hosted/soak_check_test.go
+++ b/proofs/hosted/soak_check_test.go
@@ -11,18 +11,20 @@
 	"time"
 )
 
-// call is one attempt of a caller with its end.
+// call is one attempt of a caller and its answer.
 type call struct {
 	request request
 	answer  answer
-	// left is set where the caller gave up.
-	left bool
+	// cancelsEarly is set if the caller canceled the request unless it was answered within 20 to
+	// 420 ms.
+	cancelsEarly bool
 }
 
-// runCaller asks one ingress on a kept connection until the faults are over.
+// runCaller sends requests to one ingress, over a connection that is kept alive, until stop is
+// closed.
 func (s *soak) runCaller(n int) {
-	defer s.work.Done()
-	source := rand.New(rand.NewPCG(s.seed, uint64(100+n)))
+	defer s.callers.Done()
+	random := rand.New(rand.NewPCG(s.seed, uint64(100+n)))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	for {
 		select {
@@ -30,37 +32,38 @@
 			return
 		default:
 		}
-		q := newRequest([]string{"/order/1", "/read/1", "/review/1", "/advice/1"}[source.IntN(4)])
+		q := newRequest([]string{"/order/1", "/read/1", "/review/1", "/advice/1"}[random.IntN(4)])
 		if strings.HasPrefix(q.target, "/review") {
 			q = newReview()
 		}
-		q.patience = 4 * time.Second
-		patience := q.patience
-		leaves := source.IntN(8) == 0
-		if leaves {
-			patience = time.Duration(20+source.IntN(400)) * time.Millisecond
+		q.callerTimeout = 4 * time.Second
+		clientTimeout := q.callerTimeout
+		cancelsEarly := random.IntN(8) == 0
+		if cancelsEarly {
+			clientTimeout = time.Duration(20+random.IntN(400)) * time.Millisecond
 		}
-		a := s.ask(client, s.ingresses[n%len(s.ingresses)], q, patience)
+		a := s.sendOnce(client, s.ingresses[n%len(s.ingresses)], q, clientTimeout)
 		s.lock.Lock()
-		s.calls = append(s.calls, call{request: q, answer: a, left: leaves})
+		s.calls = append(s.calls, call{request: q, answer: a, cancelsEarly: cancelsEarly})
 		s.lock.Unlock()
-		time.Sleep(time.Duration(source.IntN(40)) * time.Millisecond)
+		time.Sleep(time.Duration(random.IntN(40)) * time.Millisecond)
 	}
 }
 
-// ask sends a request that net/http does not send again by itself.
-func (s *soak) ask(client *http.Client, i *ingress, q request, patience time.Duration) answer {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// sendOnce sends a request whose body net/http cannot rewind, so that the client does not retry it
+// by itself.
+func (s *soak) sendOnce(client *http.Client, i *ingress, q request, clientTimeout time.Duration) answer {
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	body := struct{ io.Reader }{bytes.NewReader([]byte(q.body))}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+i.callers.String()+q.target, body)
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+i.callerAddress.String()+q.target, body)
 	if err != nil {
 		return answer{err: err}
 	}
 	r.Host = host
 	r.ContentLength = int64(len(q.body))
 	r.Header.Set("X-Verbenaroad-Attempt-Id", q.id)
-	r.Header.Set("X-Verbenaroad-Deadline-Ms", fmt.Sprint(q.patience.Milliseconds()))
+	r.Header.Set("X-Verbenaroad-Deadline-Ms", fmt.Sprint(q.callerTimeout.Milliseconds()))
 	r.Header.Set("X-Verbenaroad-Key", q.key)
 	for name, value := range q.header {
 		r.Header.Set(name, value)
@@ -74,12 +77,13 @@
 	return answer{status: got.StatusCode, header: got.Header, body: string(text), err: err}
 }
 
-// settle ends the faults and waits until everything is served again.
-func (s *soak) settle() {
+// checkRecovery ends the remaining faults and waits until everything is served again. It then stops
+// the callers, checks the quarantine, and waits until no result is held and no request is running.
+func (s *soak) checkRecovery() {
 	for _, r := range s.relays {
-		r.Drop() // what went silent stays so
+		r.Drop() // silenced connections never recover
 	}
-	for _, server := range s.all() {
+	for _, server := range s.allServers() {
 		server.SetFaults()
 	}
 	for _, i := range s.ingresses {
@@ -87,7 +91,7 @@
 	}
 	version := s.PutConfig(routes(), services(), []map[string]any{{"Name": "workshop", "ApiKeys": []string{"key-1"}}})
 	for _, i := range s.ingresses {
-		eventually(s.t, i.name+" has the last version", i.hasVersion(version))
+		eventually(s.t, i.name+" has applied the last version", i.hasApplied(version))
 		for _, target := range []string{"/order/1", "/review/1", "/advice/1"} {
 			eventually(s.t, i.name+" serves "+target, func() bool {
 				q := newRequest(target)
@@ -101,29 +105,29 @@
 		q := newRequest("/order/1")
 		q.key = "key-2"
 		if a := i.send(context.Background(), q); a.status != http.StatusUnauthorized {
-			s.t.Errorf("%s: a key that was taken away is answered with %d", i.name, a.status)
+			s.t.Errorf("%s: a request with a removed key was answered with status %d", i.name, a.status)
 		}
 	}
 	close(s.stop)
-	s.work.Wait()
-	s.settlePoison()
+	s.callers.Wait()
+	s.checkQuarantine()
 	eventually(s.t, "all results are released", func() bool { return s.Held() == 0 })
-	for _, server := range s.all() {
-		eventually(s.t, server.ID+" is at rest", func() bool { return server.Running() == 0 })
+	for _, server := range s.allServers() {
+		eventually(s.t, server.ID+" has no running requests", func() bool { return server.Running() == 0 })
 	}
 }
 
-// settlePoison has a request that crashes servers come again and again, and checks that it is
-// quarantined and that others are served.
-func (s *soak) settlePoison() {
-	s.SetPoison(poisonBody, poisonDown)
+// checkQuarantine sends a request that crashes its server repeatedly, and checks that it is
+// quarantined and that other requests are served.
+func (s *soak) checkQuarantine() {
+	s.SetPoison(poisonBody, poisonDowntime)
 	for n := range 9 {
 		q := newRequest("/advice/7")
 		q.body = poisonBody
 		s.ingresses[n%len(s.ingresses)].send(context.Background(), q)
-		time.Sleep(poisonDown)
+		time.Sleep(poisonDowntime)
 	}
-	time.Sleep(quarantineTime)
+	time.Sleep(quarantineDelay)
 	before := s.CountRuns(poisonBody)
 	for n, i := range s.ingresses {
 		q := newRequest("/advice/7")
@@ -133,15 +137,16 @@
 		}
 		q = newRequest("/advice/7")
 		q.body = fmt.Sprint("a sound board ", n)
-		eventually(s.t, i.name+" serves others", func() bool { return i.send(context.Background(), q).status == http.StatusOK })
+		eventually(s.t, i.name+" serves other requests", func() bool { return i.send(context.Background(), q).status == http.StatusOK })
 	}
 	if runs := s.CountRuns(poisonBody); runs != before {
-		s.t.Errorf("a request that crashes servers was run %d times, then %d", before, runs)
+		s.t.Errorf("a request that crashes servers was run after its quarantine: %d runs before, %d after", before, runs)
 	}
 }
 
-// check compares what callers saw with what servers ran.
-func (s *soak) check() {
+// checkCalls compares what callers received with what servers ran. At least a quarter of the
+// requests must have been served.
+func (s *soak) checkCalls() {
 	s.lock.Lock()
 	calls := append([]call{}, s.calls...)
 	s.lock.Unlock()
@@ -156,7 +161,7 @@
 		s.t.Error(note)
 	}
 	if served*4 < len(calls) {
-		s.t.Errorf("%d of %d requests were served", served, len(calls))
+		s.t.Errorf("only %d of %d requests were served", served, len(calls))
 	}
 	s.t.Logf("%d requests, %d served", len(calls), served)
 }
@@ -164,19 +169,19 @@
 func (s *soak) checkCall(c call) {
 	q, a := c.request, c.answer
 	runs := s.Runs(q.id)
-	fail := func(what string) {
-		s.t.Errorf("%s %s: %s; status %d, error %v, runs %d", q.id, q.target, what, a.status, a.err, len(runs))
+	fail := func(violation string) {
+		s.t.Errorf("%s %s: %s; status %d, error %v, runs %d", q.id, q.target, violation, a.status, a.err, len(runs))
 	}
-	most := 1
+	maxRuns := 1
 	if strings.HasPrefix(q.target, "/read") || strings.HasPrefix(q.target, "/review") {
-		most = 2
+		maxRuns = 2
 	}
-	if len(runs) > most {
-		fail("it ran too often")
+	if len(runs) > maxRuns {
+		fail("it was run more often than its route allows")
 	}
 	for _, r := range runs {
 		if r.Body != q.body || r.Target != q.target || r.Header.Get("X-Verbenaroad-Tenant") != "workshop" {
-			fail("it was changed on its way")
+			fail("it was changed before it reached the server")
 		}
 	}
 	if a.err != nil {
@@ -184,30 +189,30 @@
 	}
 	switch a.status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		if len(runs) > 0 && most == 1 {
-			fail("it is said not to have run")
+		if len(runs) > 0 && maxRuns == 1 {
+			fail("it is reported as not run, but was run")
 		}
 	case http.StatusOK:
 		s.checkAnswer(c, fail)
 	case http.StatusBadGateway, http.StatusGatewayTimeout, http.StatusInternalServerError:
 	default:
-		fail("it should be allowed")
+		fail("the status is unexpected")
 	}
 }
 
-// checkAnswer tells whether an answer that looks whole is the request's own and whole.
+// checkAnswer checks that an answer with status 200 belongs to its request and is complete.
 func (s *soak) checkAnswer(c call, fail func(string)) {
 	q, a := c.request, c.answer
 	if strings.HasPrefix(q.target, "/order") || strings.HasPrefix(q.target, "/read") {
 		if !strings.HasSuffix(a.body, " to "+q.id) || !strings.HasPrefix(a.body, "answer of ") {
-			fail("the answer is not its own: " + a.body)
+			fail("the answer belongs to another request: " + a.body)
 		}
 		return
 	}
-	if events(a.body) != "1,2,3,4,5,6" {
-		fail("the stream looks complete with " + events(a.body))
+	if eventIDs(a.body) != "1,2,3,4,5,6" {
+		fail("the stream ended without an error but has the events " + eventIDs(a.body))
 	}
 	if strings.Count(a.body, "data: "+q.id) != 6 {
-		fail("events of another request")
+		fail("the stream has events of another request")
 	}
 }
--- a/proofs/hosted/soak_faults_test.go
+++ b/proofs/hosted/soak_faults_test.go
@@ -12,44 +12,49 @@
 	"verbenaroad.example/proofs/relay"
 )
 
-// soak is one run.
+// soak is one run of TestSoak for one seed.
 type soak struct {
 	*deployment
-	seed   uint64
+	seed uint64
+	// relays are the relays in front of the backend servers.
 	relays []*relay.Relay
 	start  time.Time
-	stop   chan struct{}
-	// left is closed when the faults are over.
-	work sync.WaitGroup
+	// stop is closed to end the callers, once the system has recovered after the faults.
+	stop chan struct{}
+	// callers waits for the goroutines of runCaller.
+	callers sync.WaitGroup
 
 	lock   sync.Mutex
-	source *rand.Rand
-	story  []string
-	calls  []call
-	// busy marks the ingresses that a fault holds, so that two do not start one process twice.
-	busy map[int]bool
-	// version is that of the newest configuration, with the key that it took away.
+	random *rand.Rand
+	// timeline records the faults, for the log of a failed run.
+	timeline []string
+	calls    []call
+	// inFault marks the ingresses that a fault has acquired, so that two faults do not start the
+	// same process twice.
+	inFault map[int]bool
+	// version is the newest configuration version that changeConfig has written.
 	version int
-	// down holds the servers that have crashed.
-	down map[string]bool
-	// leaving holds since when servers leave.
-	leaving map[string]time.Time
+	// crashed holds the IDs of the servers that crashServer has stopped and not yet restarted.
+	crashed map[string]bool
+	// draining holds the time since which a server drains, by its ID.
+	draining map[string]time.Time
 }
 
-// newSoak starts three ingresses, each before a relay to the store, and servers behind relays.
+// newSoak starts three ingresses, and backend servers that register with the address of a relay in
+// front of them.
 func newSoak(t *testing.T, seed uint64) *soak {
 	t.Helper()
 	s := &soak{
 		deployment: newDeployment(t, 3),
 		seed:       seed,
-		source:     rand.New(rand.NewPCG(seed, 7)),
+		random:     rand.New(rand.NewPCG(seed, 7)),
 		start:      time.Now(),
 		stop:       make(chan struct{}),
-		busy:       map[int]bool{},
-		down:       map[string]bool{},
-		leaving:    map[string]time.Time{},
+		inFault:    map[int]bool{},
+		crashed:    map[string]bool{},
+		draining:   map[string]time.Time{},
 	}
-	for _, servers := range [][]*hosted.Server{s.plain, s.engines, s.pools} {
+	for _, servers := range [][]*hosted.Server{s.plainServers, s.engines, s.poolServers} {
 		for _, server := range servers {
 			r, err := relay.NewRelay(server.Address())
 			if err != nil {
@@ -64,226 +69,232 @@
 	return s
 }
 
-func (s *soak) draw(n int) int {
+func (s *soak) randomInt(n int) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.source.IntN(n)
+	return s.random.IntN(n)
 }
 
-func (s *soak) millis(from, to int) time.Duration {
-	return time.Duration(from+s.draw(to-from)) * time.Millisecond
+func (s *soak) randomDelay(from, to int) time.Duration {
+	return time.Duration(from+s.randomInt(to-from)) * time.Millisecond
 }
 
-func (s *soak) tellf(format string, words ...any) {
+func (s *soak) recordf(format string, args ...any) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.story = append(s.story, fmt.Sprintf("%7.3f ", time.Since(s.start).Seconds())+fmt.Sprintf(format, words...))
+	s.timeline = append(s.timeline, fmt.Sprintf("%7.3f ", time.Since(s.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// play runs callers and faults for a time.
-func (s *soak) play(length time.Duration) {
+// injectFaults starts the callers and then starts random faults for the given time. It returns when
+// the last fault has ended; the callers go on.
+func (s *soak) injectFaults(duration time.Duration) {
 	for n := range 9 {
-		s.work.Add(1)
+		s.callers.Add(1)
 		go s.runCaller(n)
 	}
 	faults := []func(){
-		s.freeze, s.kill, s.restart, s.failStore, s.changeConfig, s.crashServer, s.spoilAnswers, s.leave, s.disturbLink, s.disturbLink,
+		s.freezeIngress, s.killIngress, s.restartIngress, s.failStore, s.changeConfig, s.crashServer, s.setServerFaults, s.drainServer, s.disruptLink, s.disruptLink,
 	}
-	ends := time.Now().Add(length)
-	wait := sync.WaitGroup{}
-	for time.Now().Before(ends) {
-		fault := faults[s.draw(len(faults))]
-		wait.Add(1)
-		go runFault(fault, &wait)
-		time.Sleep(s.millis(50, 500))
+	deadline := time.Now().Add(duration)
+	running := sync.WaitGroup{}
+	for time.Now().Before(deadline) {
+		fault := faults[s.randomInt(len(faults))]
+		running.Add(1)
+		go runFault(fault, &running)
+		time.Sleep(s.randomDelay(50, 500))
 	}
-	wait.Wait()
-	s.tellf("the faults are over")
+	running.Wait()
+	s.recordf("all faults have ended")
 }
 
-func runFault(fault func(), wait *sync.WaitGroup) {
-	defer wait.Done()
+func runFault(fault func(), running *sync.WaitGroup) {
+	defer running.Done()
 	fault()
 }
 
-// hold takes an ingress for a fault; false where another fault has it.
-func (s *soak) hold() (n int, held bool) {
-	n = s.draw(len(s.ingresses))
+// acquireIngress picks a random ingress for a fault. It returns false if another fault has acquired
+// this ingress.
+func (s *soak) acquireIngress() (n int, acquired bool) {
+	n = s.randomInt(len(s.ingresses))
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.busy[n] {
+	if s.inFault[n] {
 		return 0, false
 	}
-	s.busy[n] = true
+	s.inFault[n] = true
 	return n, true
 }
 
-func (s *soak) letGo(n int) {
+func (s *soak) releaseIngress(n int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.busy[n] = false
+	s.inFault[n] = false
 }
 
-func (s *soak) freeze() {
-	n, held := s.hold()
-	if !held {
+func (s *soak) freezeIngress() {
+	n, acquired := s.acquireIngress()
+	if !acquired {
 		return
 	}
-	defer s.letGo(n)
-	s.tellf("%s freezes", s.ingresses[n].name)
+	defer s.releaseIngress(n)
+	s.recordf("%s freezes", s.ingresses[n].name)
 	s.ingresses[n].signal(syscall.SIGSTOP)
-	time.Sleep(s.millis(100, 3000))
+	time.Sleep(s.randomDelay(100, 3000))
 	s.ingresses[n].signal(syscall.SIGCONT)
-	s.tellf("%s wakes", s.ingresses[n].name)
+	s.recordf("%s resumes", s.ingresses[n].name)
 }
 
-func (s *soak) kill() {
-	n, held := s.hold()
-	if !held {
+func (s *soak) killIngress() {
+	n, acquired := s.acquireIngress()
+	if !acquired {
 		return
 	}
-	defer s.letGo(n)
-	s.tellf("%s is killed", s.ingresses[n].name)
+	defer s.releaseIngress(n)
+	s.recordf("%s is killed", s.ingresses[n].name)
 	s.ingresses[n].kill()
-	time.Sleep(s.millis(10, 800))
+	time.Sleep(s.randomDelay(10, 800))
 	s.ingresses[n].start()
-	s.tellf("%s starts", s.ingresses[n].name)
+	s.recordf("%s starts", s.ingresses[n].name)
 }
 
-func (s *soak) restart() {
-	n, held := s.hold()
-	if !held {
+func (s *soak) restartIngress() {
+	n, acquired := s.acquireIngress()
+	if !acquired {
 		return
 	}
-	defer s.letGo(n)
+	defer s.releaseIngress(n)
 	i := s.ingresses[n]
-	s.tellf("%s is told to stop", i.name)
+	s.recordf("%s gets SIGTERM", i.name)
 	i.signal(syscall.SIGTERM)
-	if s.draw(3) == 0 {
-		time.Sleep(s.millis(10, 600))
+	if s.randomInt(3) == 0 {
+		time.Sleep(s.randomDelay(10, 600))
 		i.signal(syscall.SIGTERM)
 	}
 	select {
-	case <-i.ended:
+	case <-i.exited:
 	case <-time.After(6 * time.Second):
-		s.t.Errorf("%s did not end within its grace time", i.name)
+		s.t.Errorf("%s did not exit within 6s of the last SIGTERM", i.name)
 		i.kill()
 	}
 	i.start()
-	s.tellf("%s starts", i.name)
+	s.recordf("%s starts", i.name)
 }
 
 func (s *soak) failStore() {
-	n := s.draw(len(s.ingresses))
+	n := s.randomInt(len(s.ingresses))
 	faults := []hosted.StoreFault{hosted.StoreBusy, hosted.StoreReset, hosted.StoreSilent}
-	fault := faults[s.draw(len(faults))]
-	s.tellf("the store is %s for ingress %d", fault, n)
+	fault := faults[s.randomInt(len(faults))]
+	s.recordf("store fault %s for ingress %d", fault, n)
 	s.Store.SetFault(n, fault)
-	time.Sleep(s.millis(200, 2500))
-	if s.draw(3) == 0 {
+	time.Sleep(s.randomDelay(200, 2500))
+	if s.randomInt(3) == 0 {
 		s.Store.Compact()
 	}
 	s.Store.SetFault(n, hosted.StoreWell)
 }
 
-// changeConfig takes key-2 away or gives it back; key-1 is always there.
+// changeConfig writes a configuration with or without key-2. key-1 is always in it.
 func (s *soak) changeConfig() {
-	keys := [][]string{{"key-1"}, {"key-1", "key-2"}}[s.draw(2)]
+	keys := [][]string{{"key-1"}, {"key-1", "key-2"}}[s.randomInt(2)]
 	version := s.PutConfig(routes(), services(), []map[string]any{{"Name": "workshop", "ApiKeys": keys}})
 	s.lock.Lock()
 	s.version = max(s.version, version)
 	s.lock.Unlock()
-	s.tellf("configuration %d", version)
+	s.recordf("configuration version %d is written", version)
 }
 
 func (s *soak) crashServer() {
-	servers := s.all()
-	server := servers[s.draw(len(servers))]
+	servers := s.allServers()
+	server := servers[s.randomInt(len(servers))]
 	s.lock.Lock()
-	down := s.down[server.ID]
-	s.down[server.ID] = true
+	isDown := s.crashed[server.ID]
+	s.crashed[server.ID] = true
 	s.lock.Unlock()
-	if down {
+	if isDown {
 		return
 	}
-	defer s.noteUp(server.ID)
-	s.tellf("%s crashes", server.ID)
+	defer s.markUp(server.ID)
+	s.recordf("%s crashes", server.ID)
 	server.Crash()
-	time.Sleep(s.millis(50, 1500))
+	time.Sleep(s.randomDelay(50, 1500))
 	if err := server.Restart(); err != nil {
 		s.t.Error(err)
 	}
-	s.tellf("%s is up", server.ID)
+	s.recordf("%s is up again", server.ID)
 }
 
-func (s *soak) noteUp(id string) {
+func (s *soak) markUp(id string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	delete(s.down, id)
+	delete(s.crashed, id)
 }
 
-func (s *soak) spoilAnswers() {
-	servers := s.all()
-	server := servers[s.draw(len(servers))]
+// setServerFaults sets a random fault for the next and the third request of a random server.
+func (s *soak) setServerFaults() {
+	servers := s.allServers()
+	server := servers[s.randomInt(len(servers))]
 	faults := []hosted.Fault{
 		hosted.Shed, hosted.Vague, hosted.CutAfterRun, hosted.WrongID, hosted.Unsigned, hosted.Truncate, hosted.Fail, hosted.CutStream,
 	}
-	fault := faults[s.draw(len(faults))]
-	s.tellf("%s: %s", server.ID, fault)
+	fault := faults[s.randomInt(len(faults))]
+	s.recordf("%s: fault %s for the next and the third request", server.ID, fault)
 	server.SetFaults(fault, hosted.Well, fault)
 }
 
-// leave has a plain server leave and come back; one of two stays.
-func (s *soak) leave() {
-	server := s.plain[0]
+// drainServer drains the first plain server and registers it as ready again. The second plain
+// server is never drained.
+func (s *soak) drainServer() {
+	server := s.plainServers[0]
 	s.lock.Lock()
-	busy := !s.leaving[server.ID].IsZero()
-	s.leaving[server.ID] = time.Now()
+	isDraining := !s.draining[server.ID].IsZero()
+	s.draining[server.ID] = time.Now()
 	s.lock.Unlock()
-	if busy {
+	if isDraining {
 		return
 	}
-	s.tellf("%s leaves", server.ID)
+	s.recordf("%s drains", server.ID)
 	server.Register("draining")
-	time.Sleep(s.millis(500, 2500))
+	time.Sleep(s.randomDelay(500, 2500))
 	s.lock.Lock()
-	delete(s.leaving, server.ID)
+	delete(s.draining, server.ID)
 	s.lock.Unlock()
 	server.Register("ready")
-	s.tellf("%s is ready", server.ID)
+	s.recordf("%s is ready again", server.ID)
 }
 
-func (s *soak) disturbLink() {
-	n := s.draw(len(s.relays))
+// disruptLink disturbs the connections through one relay, that is between the ingresses and one
+// backend server.
+func (s *soak) disruptLink() {
+	n := s.randomInt(len(s.relays))
 	r := s.relays[n]
-	switch s.draw(5) {
+	switch s.randomInt(5) {
 	case 0:
-		s.tellf("link %d is delayed", n)
-		r.Delay(s.millis(5, 80))
-		time.Sleep(s.millis(200, 1500))
+		s.recordf("link %d is delayed", n)
+		r.Delay(s.randomDelay(5, 80))
+		time.Sleep(s.randomDelay(200, 1500))
 		r.Delay(0)
 	case 1:
-		s.tellf("link %d is reset", n)
+		s.recordf("link %d is reset", n)
 		r.Drop()
 	case 2:
-		s.tellf("open connections of link %d go silent", n)
+		s.recordf("open connections of link %d go silent", n)
 		r.Silence()
 	case 3:
-		s.tellf("link %d is cut one way", n)
+		s.recordf("link %d is cut one way", n)
 		r.HoldAnswers()
-		time.Sleep(s.millis(100, 1500))
+		time.Sleep(s.randomDelay(100, 1500))
 		r.Resume()
 	default:
-		s.tellf("link %d is cut", n)
+		s.recordf("link %d is cut", n)
 		r.Hold()
-		time.Sleep(s.millis(100, 1500))
+		time.Sleep(s.randomDelay(100, 1500))
 		r.Resume()
 	}
 }
 
-func (s *soak) all() []*hosted.Server {
+func (s *soak) allServers() []*hosted.Server {
 	all := []*hosted.Server{}
-	for _, servers := range [][]*hosted.Server{s.plain, s.engines, s.pools} {
+	for _, servers := range [][]*hosted.Server{s.plainServers, s.engines, s.poolServers} {
 		all = append(all, servers...)
 	}
 	return all
--- a/proofs/hosted/soak_test.go
+++ b/proofs/hosted/soak_test.go
@@ -10,28 +10,30 @@
 )
 
 const (
-	// envSeeds sets how many seeds are run, envSeed the first one, envLength the time of each.
+	// envSeeds sets how many seeds are run, envSeed the first of them, and envLength for how many
+	// seconds faults are injected with each seed.
 	envSeeds  = "VERBENA_SOAK_SEEDS"
 	envSeed   = "VERBENA_SOAK_SEED"
 	envLength = "VERBENA_SOAK_LENGTH"
 
-	// defaultLength is the time of faults of one seed in CI.
+	// defaultLength is how long faults are injected with each seed if envLength is unset, as in CI.
 	defaultLength = 4 * time.Second
 )
 
-// failedSeeds are the seeds that ever failed, each with its cause.
+// failedSeeds returns the seeds that have failed in the past, each with the cause of its failure.
+// They are run before the others.
 func failedSeeds() []uint64 {
 	return []uint64{
-		102, // the soak's own: one server crashed twice at once and was started twice
-		715, // a batcher that stopped gave a job up, and its caller was answered as one that had left
+		102, // a fault of the test itself: a server was crashed twice at once and then started twice
+		715, // a batcher that was stopping dropped a job, and the caller was answered as if it had canceled
 	}
 }
 
-// Processes are stopped, frozen, killed and started again, connections are delayed,
-// reset, silenced and cut one way, the store fails in its ways, servers crash, leave and
-// answer wrongly, and the configuration changes, in series that overlap, while
-// callers order, read and stream. What callers and servers see must keep the
-// promises, and when the faults end everything must be served again.
+// TestSoak injects random faults that overlap while callers send orders, reads and streams.
+// Ingresses are stopped, frozen, killed and restarted; connections are delayed, reset, silenced and
+// cut in one or both directions; the store fails; servers crash, drain and answer wrongly; the
+// configuration changes. The checks on runs and answers in checkCall and checkAnswer must hold
+// throughout, and everything must be served again when the faults have ended.
 //
 //	VERBENA_SOAK_SEEDS=50 VERBENA_SOAK_SEED=1000 go test ./proofs/hosted -run TestSoak -timeout 2h
 func TestSoak(t *testing.T) {
@@ -45,16 +47,17 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			s := newSoak(t, seed)
-			s.play(length)
-			s.settle()
-			s.check()
+			s.injectFaults(length)
+			s.checkRecovery()
+			s.checkCalls()
 			if t.Failed() {
-				s.dump()
+				s.dumpLogs()
 			}
 		})
 	}
 }
 
+// readNumber returns the number in an environment variable, or otherwise if the variable is unset.
 func readNumber(t *testing.T, name string, otherwise uint64) uint64 {
 	t.Helper()
 	text := os.Getenv(name)
@@ -68,11 +71,12 @@
 	return n
 }
 
-// dump writes what happened, and every line of the processes about the attempts that are told of.
-func (s *soak) dump() {
+// dumpLogs logs the timeline of the run, and writes the complete output of each ingress to a file
+// in the directory VERBENA_SOAK_LOGS, or by default in the directory for temporary files.
+func (s *soak) dumpLogs() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	for _, line := range s.story {
+	for _, line := range s.timeline {
 		s.t.Log(line)
 	}
 	directory := os.Getenv("VERBENA_SOAK_LOGS")
@@ -85,6 +89,6 @@
 			s.t.Log(err)
 			continue
 		}
-		s.t.Log("log kept: " + name)
+		s.t.Log("log written to " + name)
 	}
 }
--- a/proofs/hosted/world_test.go
+++ b/proofs/hosted/world_test.go
@@ -14,20 +14,22 @@
 	"verbenaroad.example/fakes/services/hosted"
 )
 
-// deployment is a world with ingresses before it.
+// deployment is a world (a store and backend servers) with ingress processes in front of it.
 type deployment struct {
 	*hosted.World
 	t         *testing.T
 	ingresses []*ingress
-	plain     []*hosted.Server
-	engines   []*hosted.Server
-	pools     []*hosted.Server
+	// plainServers run the service orders, engines the service models, and poolServers the service
+	// encoders. newDeployment adds one of each in zone a1 and one in zone b1, in this order.
+	plainServers []*hosted.Server
+	engines      []*hosted.Server
+	poolServers  []*hosted.Server
 }
 
 const host = "kits.example"
 
-// lastLines is how many lines of each process a failed test shows.
-const lastLines = 30
+// maxShownLines limits the log lines of each ingress that a failed test shows.
+const maxShownLines = 30
 
 func routes() []hosted.Route {
 	return []hosted.Route{
@@ -70,7 +72,8 @@
 	return []map[string]any{{"Name": "workshop", "ApiKeys": []string{"key-1", "key-2"}}}
 }
 
-// newDeployment starts n ingresses with a store address each, and the usual servers.
+// newDeployment starts n ingresses and two backend servers of each service. Each ingress has its
+// own address of the store, so that a test can make the store fail for this ingress alone.
 func newDeployment(t *testing.T, n int) *deployment {
 	t.Helper()
 	w, err := hosted.NewWorld(n)
@@ -82,9 +85,9 @@
 	w.PutConfig(routes(), services(), tenants())
 	for i := range 2 {
 		zone := []string{"a1", "b1"}[i]
-		d.plain = append(d.plain, d.add(&hosted.Server{Service: "orders", Zone: zone, Work: 20 * time.Millisecond}))
+		d.plainServers = append(d.plainServers, d.add(&hosted.Server{Service: "orders", Zone: zone, Work: 20 * time.Millisecond}))
 		d.engines = append(d.engines, d.add(&hosted.Server{Service: "models", Zone: zone, Events: 6, Gap: 30 * time.Millisecond}))
-		d.pools = append(d.pools, d.add(&hosted.Server{
+		d.poolServers = append(d.poolServers, d.add(&hosted.Server{
 			Service: "encoders", Zone: zone, Work: 20 * time.Millisecond, Batch: 8, Room: 50,
 		}))
 	}
@@ -97,15 +100,15 @@
 		}
 		for _, i := range d.ingresses {
 			lines := i.output.lines()
-			t.Logf("%s, last lines:\n%s", i.name, strings.Join(lines[max(0, len(lines)-lastLines):], "\n"))
+			t.Logf("%s, last lines:\n%s", i.name, strings.Join(lines[max(0, len(lines)-maxShownLines):], "\n"))
 		}
 	})
 	for _, i := range d.ingresses {
-		eventually(t, i.name+" knows the others", func() bool { return len(i.output.lines("event=ingress-seen")) >= n })
+		eventually(t, i.name+" has seen all ingresses", func() bool { return len(i.output.lines("event=ingress-seen")) >= n })
 	}
 	for _, i := range d.ingresses {
 		eventually(t, i.name+" is ready", i.isReady)
-		eventually(t, i.name+" knows all servers", func() bool { return len(i.output.lines("event=server-seen")) >= 6 })
+		eventually(t, i.name+" has seen all backend servers", func() bool { return len(i.output.lines("event=server-seen")) >= 6 })
 	}
 	return d
 }
@@ -119,9 +122,9 @@
 	return added
 }
 
-var attempts atomic.Uint64 //nolint:gochecknoglobals // attempts are told apart over all tests
+var lastAttemptID atomic.Uint64 //nolint:gochecknoglobals // attempt IDs are unique across all tests
 
-// request is one attempt of a caller.
+// request is one attempt of a caller. Its id is the attempt ID, and its key the caller's API key.
 type request struct {
 	id     string
 	method string
@@ -129,40 +132,40 @@
 	key    string
 	body   string
 	header map[string]string
-	// patience is what the caller says that it waits.
-	patience time.Duration
+	// callerTimeout is the time that the caller states in X-Verbenaroad-Deadline-Ms.
+	callerTimeout time.Duration
 }
 
 func newRequest(target string) request {
 	return request{
-		id:       fmt.Sprintf("%016x", attempts.Add(1)),
-		method:   http.MethodPost,
-		target:   target,
-		key:      "key-1",
-		body:     "two boards of spruce",
-		patience: 8 * time.Second,
+		id:            fmt.Sprintf("%016x", lastAttemptID.Add(1)),
+		method:        http.MethodPost,
+		target:        target,
+		key:           "key-1",
+		body:          "two boards of spruce",
+		callerTimeout: 8 * time.Second,
 	}
 }
 
-// answer is what the caller got.
+// answer is what the caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// err is set where the answer is not whole or did not come.
+	// err is set if the answer is missing or incomplete.
 	err  error
 	took time.Duration
 }
 
 func (i *ingress) send(ctx context.Context, q request) answer {
-	began := time.Now()
-	r, err := http.NewRequestWithContext(ctx, q.method, "http://"+i.callers.String()+q.target, bytes.NewReader([]byte(q.body)))
+	startedAt := time.Now()
+	r, err := http.NewRequestWithContext(ctx, q.method, "http://"+i.callerAddress.String()+q.target, bytes.NewReader([]byte(q.body)))
 	if err != nil {
 		return answer{err: err}
 	}
 	r.Host = host
 	r.Header.Set("X-Verbenaroad-Attempt-Id", q.id)
-	r.Header.Set("X-Verbenaroad-Deadline-Ms", fmt.Sprint(q.patience.Milliseconds()))
+	r.Header.Set("X-Verbenaroad-Deadline-Ms", fmt.Sprint(q.callerTimeout.Milliseconds()))
 	if q.key != "" {
 		r.Header.Set("X-Verbenaroad-Key", q.key)
 	}
@@ -172,14 +175,14 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	got, err := client.Do(r)
 	if err != nil {
-		return answer{err: err, took: time.Since(began)}
+		return answer{err: err, took: time.Since(startedAt)}
 	}
 	defer func() { _ = got.Body.Close() }()
 	body, err := io.ReadAll(got.Body)
-	return answer{status: got.StatusCode, header: got.Header, body: string(body), err: err, took: time.Since(began)}
+	return answer{status: got.StatusCode, header: got.Header, body: string(body), err: err, took: time.Since(startedAt)}
 }
 
-// newReview is a stream with two stages.
+// newReview returns a request of the route review, which is a stream with two stages.
 func newReview() request {
 	q := newRequest("/review/1?lang=sl")
 	q.header = map[string]string{
@@ -190,8 +193,8 @@
 	return q
 }
 
-// events returns the IDs of a stream's events, with commas between them.
-func events(body string) string {
+// eventIDs returns the IDs of the events in a stream, separated by commas.
+func eventIDs(body string) string {
 	ids := []string{}
 	for _, line := range strings.Split(body, "\n") {
 		if id, found := strings.CutPrefix(line, "id: "); found {
