--- a/proofs/relay/relay.go
+++ b/proofs/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay passes bytes between two processes of a test and can drop,
-// delay or cut connections, or let them fall silent for good.
+// Package relay forwards TCP connections between two processes of a test and injects network
+// faults: it can close, refuse, delay, hold or cut connections, or make them silent for good.
 package relay
 
 import (
@@ -16,42 +16,45 @@
 var ErrRelay = errs.Class("relay") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
 const (
-	pieceBytes = 32 << 10
-	// noCut stands for a cut that is not set.
+	bufferBytes = 32 << 10
+	// noCut is the value of Relay.cutAfter while no cut is set.
 	noCut = -1
 )
 
-// Relay listens on loopback and passes every connection on to its target.
+// Relay listens on loopback and forwards every connection to its target. The bytes from the target
+// to the caller are called answers.
 type Relay struct {
 	target   string
 	listener net.Listener
 
+	// lock guards the fields below and pair.silent.
 	lock sync.Mutex
 	// pairs holds the open connections.
 	pairs map[*pair]bool
-	// held is closed when bytes may pass again; nil while they may.
-	held chan struct{}
-	// answersOnly holds only the bytes of answers: a link that is cut one way.
-	answersOnly bool
+	// resumed is closed by Resume; nil while no bytes are held.
+	resumed chan struct{}
+	// holdAnswersOnly is set if only the answers are held, as on a link that has failed in one
+	// direction.
+	holdAnswersOnly bool
 	// refusing is set while new connections are closed at once.
 	refusing bool
 	delay    time.Duration
-	// cutAfter counts down the bytes of answers until a connection is closed; noCut: never.
+	// cutAfter is the number of answer bytes until a connection is closed; noCut: none is closed.
 	cutAfter int
-	// cuts counts the connections that were closed so.
+	// cuts is the number of connections that were closed because of cutAfter.
 	cuts int
-	// passed counts the bytes of answers.
-	passed int
+	// forwardedBytes is the number of answer bytes that were forwarded.
+	forwardedBytes int
 }
 
-// pair is one connection and its continuation.
+// pair is a connection from a caller and the connection to the target that continues it.
 type pair struct {
 	caller, target net.Conn
-	// silent is set for good once the pair carries nothing any more.
+	// silent is set once the pair must not carry any more bytes. It is never reset.
 	silent bool
 }
 
-// NewRelay listens on a free port and passes connections on to the target.
+// NewRelay listens on a free port and forwards connections to the target.
 func NewRelay(target netip.AddrPort) (*Relay, error) {
 	settings := net.ListenConfig{}
 	listener, err := settings.Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -63,20 +66,21 @@
 	return r, nil
 }
 
-// Address returns where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() netip.AddrPort {
 	address, _ := netip.ParseAddrPort(r.listener.Addr().String())
 	return address
 }
 
-// Close ends the relay and every connection through it.
+// Close stops the relay and closes every connection through it.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.Resume()
 	r.Drop()
 }
 
-// Silence lets the open connections stay open and carry nothing, for good; new ones work.
+// Silence makes the open connections carry no more bytes, for good, while they stay open. New
+// connections work.
 func (r *Relay) Silence() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -94,49 +98,50 @@
 	}
 }
 
-// Refuse says whether new connections are closed at once.
+// Refuse sets whether new connections are closed at once.
 func (r *Relay) Refuse(refusing bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.refusing = refusing
 }
 
-// Hold keeps all bytes back until Resume, also those of new connections.
+// Hold holds all bytes back until Resume, including those of new connections.
 func (r *Relay) Hold() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.answersOnly = false
-	if r.held == nil {
-		r.held = make(chan struct{})
+	r.holdAnswersOnly = false
+	if r.resumed == nil {
+		r.resumed = make(chan struct{})
 	}
 }
 
-// HoldAnswers keeps the bytes of answers back until Resume; those of requests pass.
+// HoldAnswers holds the answers back until Resume, while the bytes of requests are forwarded.
 func (r *Relay) HoldAnswers() {
 	r.Hold()
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.answersOnly = true
+	r.holdAnswersOnly = true
 }
 
-// Resume lets the bytes pass again.
+// Resume ends Hold and HoldAnswers.
 func (r *Relay) Resume() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.held != nil {
-		close(r.held)
-		r.held = nil
+	if r.resumed != nil {
+		close(r.resumed)
+		r.resumed = nil
 	}
 }
 
-// Delay passes each piece on later by d.
+// Delay makes the relay wait for d before it forwards what it has read.
 func (r *Relay) Delay(d time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.delay = d
 }
 
-// CutAfter closes the connection that carries the n-th byte of answers from now on, after that byte.
+// CutAfter closes the connection that carries the n-th answer byte from now on, right after that
+// byte. A negative n cancels the cut.
 func (r *Relay) CutAfter(n int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -150,11 +155,11 @@
 	return r.cuts
 }
 
-// CountPassed returns the number of bytes of answers that were passed on.
+// CountPassed returns the number of answer bytes that were forwarded.
 func (r *Relay) CountPassed() int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.passed
+	return r.forwardedBytes
 }
 
 // CountOpen returns the number of open connections.
@@ -205,23 +210,25 @@
 	_ = p.target.Close()
 }
 
-// runCopy passes one direction on until it ends; answers is set for the one towards the caller.
+// runCopy forwards one direction of a pair until it ends. answers is set for the direction to the
+// caller.
 func (r *Relay) runCopy(p *pair, from, to net.Conn, answers bool) {
-	piece := make([]byte, pieceBytes)
+	buffer := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(piece)
-		if n > 0 && !r.pass(p, to, piece[:n], answers) {
+		n, err := from.Read(buffer)
+		if n > 0 && !r.forward(p, to, buffer[:n], answers) {
 			break
 		}
 		if err != nil {
 			break
 		}
 	}
-	r.end(p)
+	r.remove(p)
 }
 
-// end closes both connections, but not those of a silent pair: neither end may learn of the other's end.
-func (r *Relay) end(p *pair) {
+// remove closes both connections of a pair that has ended, unless the pair is silent: neither end
+// of a silent pair may notice that the other has closed its connection.
+func (r *Relay) remove(p *pair) {
 	r.lock.Lock()
 	silent := p.silent
 	delete(r.pairs, p)
@@ -231,46 +238,48 @@
 	}
 }
 
-// pass writes a piece under the faults in force; false ends the connection.
-func (r *Relay) pass(p *pair, to net.Conn, piece []byte, answers bool) bool {
+// forward writes the data as far as the injected faults allow. It returns false if the pair must be
+// closed.
+func (r *Relay) forward(p *pair, to net.Conn, data []byte, answers bool) bool {
 	r.lock.Lock()
-	held, delay := r.held, r.delay
-	if r.answersOnly && !answers {
-		held = nil
+	resumed, delay := r.resumed, r.delay
+	if r.holdAnswersOnly && !answers {
+		resumed = nil
 	}
 	r.lock.Unlock()
 	if delay > 0 {
 		time.Sleep(delay)
 	}
-	if held != nil {
-		<-held
+	if resumed != nil {
+		<-resumed
 	}
 	r.lock.Lock()
 	silent := p.silent
 	cut := false
 	if answers && !silent {
-		piece, cut = r.count(piece)
+		data, cut = r.countAnswer(data)
 	}
 	r.lock.Unlock()
 	if silent {
 		return true
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(data)
 	return err == nil && !cut
 }
 
-// count takes the piece off the bytes until the cut; called under the lock.
-func (r *Relay) count(piece []byte) (rest []byte, cut bool) {
+// countAnswer counts the answer bytes. It returns the part of the data up to the cut, and whether
+// the cut is in the data. It is called under the lock.
+func (r *Relay) countAnswer(data []byte) (rest []byte, cut bool) {
 	if r.cutAfter >= 0 {
-		cut = len(piece) >= r.cutAfter
+		cut = len(data) >= r.cutAfter
 		if cut {
-			piece = piece[:r.cutAfter]
+			data = data[:r.cutAfter]
 			r.cutAfter = noCut
 			r.cuts++
 		} else {
-			r.cutAfter -= len(piece)
+			r.cutAfter -= len(data)
 		}
 	}
-	r.passed += len(piece)
-	return piece, cut
+	r.forwardedBytes += len(data)
+	return data, cut
 }
--- a/proofs/relay/relay_test.go
+++ b/proofs/relay/relay_test.go
@@ -12,12 +12,12 @@
 	"verbenaroad.example/proofs/relay"
 )
 
-// echo answers every byte with itself.
-type echo struct {
+// echoServer sends back every byte that it receives.
+type echoServer struct {
 	listener net.Listener
 }
 
-func (e *echo) run() {
+func (e *echoServer) run() {
 	for {
 		conn, err := e.listener.Accept()
 		if err != nil {
@@ -27,7 +27,7 @@
 	}
 }
 
-func (e *echo) runCopy(conn net.Conn) {
+func (e *echoServer) runCopy(conn net.Conn) {
 	_, _ = io.Copy(conn, conn)
 	_ = conn.Close()
 }
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	e := &echo{listener: listener}
+	e := &echoServer{listener: listener}
 	go e.run()
 	t.Cleanup(func() { _ = listener.Close() })
 	target, err := netip.ParseAddrPort(listener.Addr().String())
@@ -56,8 +56,8 @@
 	return conn
 }
 
-// ask sends the text and returns what comes back, at most as many bytes.
-func ask(conn net.Conn, text string) (string, error) {
+// exchange sends the text and returns what the echo server sends back, at most as many bytes.
+func exchange(conn net.Conn, text string) (string, error) {
 	if _, err := conn.Write([]byte(text)); err != nil {
 		return "", err
 	}
@@ -66,32 +66,35 @@
 	return string(answer[:n]), err
 }
 
-func TestRelayPassesAndCuts(t *testing.T) {
+// The relay cuts a connection at another byte than it was set to, or new connections fail after the
+// cut.
+func TestRelayCutsAfterGivenByte(t *testing.T) {
 	is := is.New(t)
 	r := startRelay(t)
 	conn := connect(t, r)
-	got, err := ask(conn, "spruce")
+	got, err := exchange(conn, "spruce")
 	is.NoErr(err)
 	is.Equal(got, "spruce")
 	r.CutAfter(3)
-	got, err = ask(conn, "plectrum")
+	got, err = exchange(conn, "plectrum")
 	is.True(err != nil)
 	is.Equal(got, "ple")
 	is.Equal(r.CountCuts(), 1)
-	got, err = ask(connect(t, r), "jack")
+	got, err = exchange(connect(t, r), "jack")
 	is.NoErr(err)
 	is.Equal(got, "jack")
 }
 
-// A connection goes silent: it stays open and carries nothing, while a new one works.
+// A silent connection must stay open and carry nothing, while a new connection works. A relay that
+// closes it would let the processes under test notice the fault at once.
 func TestRelaySilence(t *testing.T) {
 	is := is.New(t)
 	r := startRelay(t)
 	old := connect(t, r)
-	_, err := ask(old, "first")
+	_, err := exchange(old, "first")
 	is.NoErr(err)
 	r.Silence()
-	got, err := ask(connect(t, r), "second")
+	got, err := exchange(connect(t, r), "second")
 	is.NoErr(err)
 	is.Equal(got, "second")
 	_, err = old.Write([]byte("third"))
@@ -102,11 +105,12 @@
 	is.True(isTimeout && timeout.Timeout())
 }
 
-func TestRelayHoldsAndDrops(t *testing.T) {
+// Held bytes are lost instead of forwarded after Resume, or connections survive Drop and Refuse.
+func TestRelayHoldDropAndRefuse(t *testing.T) {
 	is := is.New(t)
 	r := startRelay(t)
 	conn := connect(t, r)
-	_, err := ask(conn, "first")
+	_, err := exchange(conn, "first")
 	is.NoErr(err)
 	r.Hold()
 	_, err = conn.Write([]byte("late"))
@@ -120,6 +124,6 @@
 	_, err = conn.Read(answer)
 	is.True(err != nil)
 	r.Refuse(true)
-	_, err = ask(connect(t, r), "refused")
+	_, err = exchange(connect(t, r), "refused")
 	is.True(err != nil)
 }
