--- a/agent/cmds/serve.go
+++ b/agent/cmds/serve.go
@@ -31,31 +31,34 @@
 )
 
 const (
-	// silentBeats is how many heartbeats may be missing before a session counts as silent.
-	silentBeats = 3.5
-	// guardAttempts and guardAnswers bound the memory of claims; see claim.GuardLimits.
-	guardAttempts = 100_000
-	guardAnswers  = 64
-	closeTimeout  = 2 * time.Second
+	// silenceFactor times the heartbeat interval is how long a session may be silent before it is
+	// closed.
+	silenceFactor = 3.5
+	// maxRememberedAttempts and maxCachedAnswers limit the memory for claims; see claim.GuardLimits.
+	maxRememberedAttempts = 100_000
+	maxCachedAnswers      = 64
+	// closeTimeout limits the time to close the metrics server and the tracer.
+	closeTimeout = 2 * time.Second
 )
 
-// Agent is the assembled process.
+// Agent is an agent process with all its services.
 type Agent struct {
-	settings *Settings
-	log      *zap.Logger
-	tracer   *spans.Tracer
-	store    *kvapi.Client
-	follower *follow.Follower
-	keeper   *claims.Keeper
-	gate     *gate.Gate
-	intake   *intake.Intake
-	stopper  *stops.Stopper
-	server   *peers.Server
-	metrics  *stats.Server
-	watcher  *procs.ListPoller
+	settings   *Settings
+	log        *zap.Logger
+	tracer     *spans.Tracer
+	store      *kvapi.Client
+	follower   *follow.Follower
+	claims     *claims.Manager
+	gate       *gate.Gate
+	intake     *intake.Intake
+	stopper    *stops.Stopper
+	server     *peers.Server
+	metrics    *stats.Server
+	listPoller *procs.ListPoller
 }
 
-// Serve runs the agent until a signal has stopped it, and reports whether any work was cut.
+// Serve runs the agent until a signal has stopped it or ctx ends. It returns an error if the agent
+// cannot start or the tracer cannot be closed.
 func Serve(ctx context.Context, settings *Settings, output io.Writer) error {
 	a, err := newAgent(ctx, settings, output)
 	if err != nil {
@@ -84,7 +87,7 @@
 	return a, a.listen()
 }
 
-// build wires the services; none of them does I/O yet.
+// build creates the services. None of them does I/O before listen and serve.
 func (a *Agent) build() {
 	s := a.settings
 	incarnation := link.NewIncarnation()
@@ -92,26 +95,26 @@
 	port := kvport.NewPort(a.store)
 	a.stopper = stops.NewStopper(drain.Settings{Grace: s.Stop.Grace, Linger: min(s.Peers.Linger, s.Stop.Grace)})
 	a.follower = procs.NewFollower(s.Instance.Name, s.Instance.Domain, port, a, a.log)
-	guard := claim.NewGuard(incarnation, claim.GuardLimits{Attempts: guardAttempts, CachedAnswers: guardAnswers})
-	a.keeper = claims.NewKeeper(guard, port, a.log)
+	guard := claim.NewGuard(incarnation, claim.GuardLimits{Attempts: maxRememberedAttempts, CachedAnswers: maxCachedAnswers})
+	a.claims = claims.NewManager(guard, port, a.log)
 	a.gate = gate.NewGate(queue.Settings{
 		Mode:               queue.Mode(s.Backend.QueueMode),
 		MaxWaiting:         s.Backend.QueueLimit,
 		Slots:              s.Backend.Slots,
-		InitialServiceTime: s.Backend.ServiceGuess,
+		InitialServiceTime: s.Backend.DefaultServiceTime,
 	})
 	a.intake = intake.NewIntake(intake.Options{
 		Incarnation:    incarnation,
 		Follower:       a.follower,
-		Keeper:         a.keeper,
+		Claims:         a.claims,
 		Gate:           a.gate,
 		Backend:        target.NewServer(s.Backend.Address),
-		Doorman:        a.stopper,
+		Admission:      a.stopper,
 		Tracer:         a.tracer,
 		Log:            a.log,
 		MaxAnswerBytes: s.Backend.MaxAnswerBytes,
 	})
-	a.watcher = procs.NewListPoller(procs.ListOptions{
+	a.listPoller = procs.NewListPoller(procs.ListOptions{
 		List:     roster.NewClient(roster.Options{Address: s.Platform.List, CallTimeout: s.Platform.StoreTimeout}),
 		Interval: s.Platform.ListEvery,
 		Observer: a.follower,
@@ -121,7 +124,7 @@
 
 func (a *Agent) listen() error {
 	s := a.settings
-	security, err := s.Secure.BuildConfig()
+	tlsConfig, err := s.TLS.BuildConfig()
 	if err != nil {
 		return err
 	}
@@ -131,11 +134,11 @@
 		Log:     a.log,
 		Link: link.Options{
 			Hello:             a.newHello(),
-			TLS:               security,
+			TLS:               tlsConfig,
 			HeartbeatInterval: s.Peers.BeatEvery,
-			SilenceTimeout:    time.Duration(silentBeats * float64(s.Peers.BeatEvery)),
-			NewHeartbeat:      a.newBeat,
-			OnHeartbeat:       a.takeBeat,
+			SilenceTimeout:    time.Duration(silenceFactor * float64(s.Peers.BeatEvery)),
+			NewHeartbeat:      a.newHeartbeat,
+			OnHeartbeat:       a.handleHeartbeat,
 		},
 	})
 	if err != nil {
@@ -169,17 +172,17 @@
 	return hello
 }
 
-func (a *Agent) newBeat() *wire.Beat {
-	beat := a.follower.NewHeartbeat(a.stopper.IsLeaving())
-	beat.Load = a.intake.GetLoad()
-	return beat
+func (a *Agent) newHeartbeat() *wire.Beat {
+	heartbeat := a.follower.NewHeartbeat(a.stopper.IsLeaving())
+	heartbeat.Load = a.intake.GetLoad()
+	return heartbeat
 }
 
-func (a *Agent) takeBeat(session *link.Session, beat *wire.Beat, notBefore time.Time) {
-	a.follower.OnPeerHeartbeat(session.Peer().GetName(), beat, notBefore)
+func (a *Agent) handleHeartbeat(session *link.Session, heartbeat *wire.Beat, notBefore time.Time) {
+	a.follower.OnPeerHeartbeat(session.Peer().GetName(), heartbeat, notBefore)
 }
 
-// FetchChunks asks an entry for configuration.
+// FetchChunks fetches configuration from the entry that is the given peer.
 func (a *Agent) FetchChunks(ctx context.Context, peer string, fetch *wire.Fetch) (*wire.Chunks, error) {
 	return procs.FetchChunks(ctx, a.server.GetSession(peer), fetch)
 }
@@ -188,38 +191,38 @@
 	return procs.CheckReady(a.follower, a.stopper)
 }
 
-// serve runs until the drain is over.
+// serve runs the services until the drain has ended.
 func (a *Agent) serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	a.follower.Start(ctx)
 	a.gate.Start(ctx)
-	a.watcher.Start(ctx)
+	a.listPoller.Start(ctx)
 	a.server.Start(ctx)
 	a.log.Info("started", zap.Stringer("peers", a.server.Address()), zap.Stringer("metrics", a.metrics.Address()))
 	stops.Wait(ctx, a.stopper, a.log)
-	a.waitUnwritten()
+	a.waitForWrites()
 	a.server.Close()
-	closing, done := context.WithTimeout(context.Background(), closeTimeout)
-	defer done()
-	_ = a.metrics.Close(closing)
-	return a.tracer.Close(closing)
+	closeCtx, cancelClose := context.WithTimeout(context.Background(), closeTimeout)
+	defer cancelClose()
+	_ = a.metrics.Close(closeCtx)
+	return a.tracer.Close(closeCtx)
 }
 
-// waitUnwritten keeps the process until the answers that only it knows are
-// written, or the grace period ends: a caller's repeated key would get
-// "outcome unknown" otherwise.
-func (a *Agent) waitUnwritten() {
-	limit := time.Now().Add(a.settings.Stop.Grace)
-	for a.keeper.CountUnwritten() > 0 && time.Now().Before(limit) {
+// waitForWrites waits until all answers are written to the key-value service, or until a further
+// grace period has passed. If the process exited earlier, a retry with the key of such an answer
+// would get "outcome unknown".
+func (a *Agent) waitForWrites() {
+	deadline := time.Now().Add(a.settings.Stop.Grace)
+	for a.claims.CountUnwritten() > 0 && time.Now().Before(deadline) {
 		time.Sleep(procs.StopCheckInterval)
 	}
-	if left := a.keeper.CountUnwritten(); left > 0 {
-		a.log.Error("answers-unwritten", zap.Int("count", left))
+	if unwritten := a.claims.CountUnwritten(); unwritten > 0 {
+		a.log.Error("answers-unwritten", zap.Int("count", unwritten))
 	}
 }
 
-// report is the process's expvar.
+// report returns the value of the expvar "verbena".
 func (a *Agent) report() any {
 	read, written := a.server.CountBytes()
 	counts := a.intake.GetCounts()
@@ -232,7 +235,7 @@
 		"tokens":        counts.Tokens,
 		"sessions":      a.server.CountSessions(),
 		"session-bytes": read + written,
-		"unwritten":     a.keeper.CountUnwritten(),
+		"unwritten":     a.claims.CountUnwritten(),
 		"load":          a.gate.GetLoad(),
 		"config":        procs.DescribeConfig(a.follower),
 		"store":         a.store.Stats(),
--- a/agent/cmds/settings.go
+++ b/agent/cmds/settings.go
@@ -1,4 +1,4 @@
-// Package cmds assembles the agent from its settings.
+// Package cmds assembles the agent from its settings and runs it.
 package cmds
 
 import (
@@ -11,20 +11,22 @@
 	"verbenaroad.example/share/modules/setup"
 )
 
-// Peers is the table [peers]: the address for the entries' sessions.
+// Peers is the table [peers]: the sessions with entries.
 type Peers struct {
+	// Listen is the address for the sessions of entries.
 	Listen netip.AddrPort
-	// BeatEvery is the time between two heartbeats; a session is silent after 3.5 of them.
+	// BeatEvery is the time between two heartbeats; a session that is silent for 3.5 times as long is
+	// closed.
 	BeatEvery time.Duration
-	// Linger is the shortest time between announcing a stop and stopping.
+	// Linger is the shortest time between the announcement of a stop and the stop.
 	Linger time.Duration
 }
 
 // Register declares the keys of the section.
 func (p *Peers) Register(fs *flag.FlagSet) {
 	fs.TextVar(&p.Listen, "peers.listen", netip.AddrPort{}, "`ip:port` for the sessions of entries")
-	fs.DurationVar(&p.BeatEvery, "peers.beat-every", time.Second, "`time` between two heartbeats")
-	fs.DurationVar(&p.Linger, "peers.linger", time.Second, "shortest `time` from announcing a stop to stopping")
+	fs.DurationVar(&p.BeatEvery, "peers.beat-every", time.Second, "`time` between two heartbeats; a session that is silent for three and a half times as long is closed")
+	fs.DurationVar(&p.Linger, "peers.linger", time.Second, "shortest `time` from the announcement of a stop to the stop")
 }
 
 // Check returns the faults of the section.
@@ -39,41 +41,41 @@
 	return faults
 }
 
-// Backend is the table [backend]: the backend server beside the agent.
+// Backend is the table [backend]: the backend server that the agent serves.
 type Backend struct {
 	Address netip.AddrPort
-	// Service is the name of the service that it belongs to.
+	// Service is the name of the service that the backend server belongs to.
 	Service string
-	// Slots is how many calls it takes at once; QueueLimit how many may wait.
+	// Slots is how many calls the backend server runs at once, QueueLimit how many may wait.
 	Slots      int
 	QueueLimit int
-	// QueueMode is fair, or fifo as a baseline for experiments.
+	// QueueMode is "fair", or "fifo" as a baseline for experiments.
 	QueueMode string
-	// ServiceGuess stands for the service time until runs tell it.
-	ServiceGuess time.Duration
-	// Fencing says whether it checks fencing numbers: checks or ignores.
+	// DefaultServiceTime is the assumed service time until runs have been measured.
+	DefaultServiceTime time.Duration
+	// Fencing is "checks" if the backend server checks fencing numbers, and otherwise "ignores".
 	Fencing string
-	// MaxAnswerBytes bounds one answer.
+	// MaxAnswerBytes limits the size of one answer.
 	MaxAnswerBytes int
 }
 
 const (
-	defaultSlots        = 16
-	defaultQueueLimit   = 256
-	defaultServiceGuess = 50 * time.Millisecond
-	defaultMaxAnswer    = 16 << 20
+	defaultSlots          = 16
+	defaultQueueLimit     = 256
+	defaultServiceTime    = 50 * time.Millisecond
+	defaultMaxAnswerBytes = 16 << 20
 )
 
 // Register declares the keys of the section.
 func (b *Backend) Register(fs *flag.FlagSet) {
 	fs.TextVar(&b.Address, "backend.address", netip.AddrPort{}, "`ip:port` of the backend server")
-	fs.StringVar(&b.Service, "backend.service", "", "`name` of the service it belongs to")
-	fs.IntVar(&b.Slots, "backend.slots", defaultSlots, "`number` of calls it takes at once")
+	fs.StringVar(&b.Service, "backend.service", "", "`name` of the service that the backend server belongs to")
+	fs.IntVar(&b.Slots, "backend.slots", defaultSlots, "`number` of calls that the backend server runs at once")
 	fs.IntVar(&b.QueueLimit, "backend.queue-limit", defaultQueueLimit, "`number` of calls that may wait")
 	fs.StringVar(&b.QueueMode, "backend.queue-mode", "fair", "`order` of waiting calls: fair, or fifo as a baseline")
-	fs.DurationVar(&b.ServiceGuess, "backend.service-guess", defaultServiceGuess, "service `time` until runs tell it")
-	fs.StringVar(&b.Fencing, "backend.fencing", "ignores", "whether it `checks` or ignores fencing numbers of orders")
-	fs.IntVar(&b.MaxAnswerBytes, "backend.max-answer-bytes", defaultMaxAnswer, "longest answer in `bytes`")
+	fs.DurationVar(&b.DefaultServiceTime, "backend.service-guess", defaultServiceTime, "assumed service `time` until runs have been measured")
+	fs.StringVar(&b.Fencing, "backend.fencing", "ignores", "whether the backend server `checks` or ignores the fencing numbers of orders")
+	fs.IntVar(&b.MaxAnswerBytes, "backend.max-answer-bytes", defaultMaxAnswerBytes, "maximum size of an answer in `bytes`")
 }
 
 // Check returns the faults of the section.
@@ -103,36 +105,37 @@
 	return faults
 }
 
-// Settings are all tables of the agent's settings.
+// Settings holds all tables of the agent's settings.
 type Settings struct {
 	Log      setup.Log
 	Trace    setup.Trace
 	Instance setup.Instance
 	Platform setup.Platform
 	Stop     setup.Stop
-	Secure   setup.TLS
+	TLS      setup.TLS
 	Metrics  setup.Metrics
 	Peers    Peers
 	Backend  Backend
 }
 
-// Sections lists the tables for loading and for checks of example files.
+// Sections returns all tables, for loading and for checks of example files.
 func (s *Settings) Sections() []setup.Section {
 	return []setup.Section{
 		&s.Log, &s.Trace, &s.Instance, &s.Platform, &s.Stop,
-		&s.Secure, &s.Metrics, &s.Peers, &s.Backend, &listenCheck{settings: s},
+		&s.TLS, &s.Metrics, &s.Peers, &s.Backend, &listenCheck{settings: s},
 	}
 }
 
-// listenCheck refuses a plain listener beyond loopback, which takes two tables to see.
+// listenCheck rejects a listener without TLS beyond loopback. It is a section of its own because it
+// needs two tables, [peers] and [tls].
 type listenCheck struct {
 	settings *Settings
 }
 
-// Register declares no key.
+// Register declares no key; listenCheck only checks.
 func (l *listenCheck) Register(*flag.FlagSet) {}
 
-// Check returns the fault of a plain listener that others can reach.
+// Check returns a fault if other machines can reach a listener without TLS.
 func (l *listenCheck) Check() []error {
-	return l.settings.Secure.CheckListen("peers.listen", l.settings.Peers.Listen)
+	return l.settings.TLS.CheckListen("peers.listen", l.settings.Peers.Listen)
 }
--- a/agent/cmds/settings_test.go
+++ b/agent/cmds/settings_test.go
@@ -27,12 +27,12 @@
 	})
 }
 
-// TestExampleHoldsEveryKey fails where a flag is not in the example, the
-// example has another value than the default, or a key that is none.
-func TestExampleHoldsEveryKey(t *testing.T) {
+// A setting is added to the code but not to the example file, the example file shows another value
+// than the default, or a key of the example file is not a setting.
+func TestExampleListsEveryKey(t *testing.T) {
 	is := is.New(t)
 	result, err := load(example, "--check-config")
-	is.NoErr(err) // no unknown key, every value readable and in range
+	is.NoErr(err) // no unknown key; every value is valid and in range
 	is.True(result.CheckOnly)
 	text, err := os.ReadFile(example)
 	is.NoErr(err)
@@ -48,11 +48,11 @@
 			return
 		}
 		if f.DefValue == "" || f.DefValue == "invalid AddrPort" {
-			return // the example shows a value that must be set
+			return // there is no default; the example shows a value for a setting that must be set
 		}
-		given := *f
-		is.NoErr(given.Value.Set(toText(value)))
-		is.Equal(f.Name+"="+given.Value.String(), f.Name+"="+f.DefValue)
+		parsed := *f
+		is.NoErr(parsed.Value.Set(toText(value)))
+		is.Equal(f.Name+"="+parsed.Value.String(), f.Name+"="+f.DefValue)
 	})
 }
 
@@ -61,13 +61,14 @@
 	return strings.Trim(strings.TrimPrefix(strings.TrimSpace(string(text)), "v = "), "'\"")
 }
 
-// An operator starts a process with a settings file that has several faults.
-// All of them are told at once, one a line, each with file, line and key.
-func TestEveryFaultIsToldAtOnce(t *testing.T) {
+// Loading that stops at the first fault makes an operator fix a settings file one fault at a time.
+// All faults are reported at once, one per line, each with its key, and with file and line if the
+// file has the key.
+func TestAllFaultsAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile(example)
 	is.NoErr(err)
-	broken := strings.NewReplacer(
+	faulty := strings.NewReplacer(
 		`store = "127.0.0.1:8500"`, `store = "kv.local:8500"`,
 		`list-every = "5s"`, `list-every = "2"`,
 		`grace = "30s"`, `grace = "-1s"`,
@@ -76,10 +77,10 @@
 		`share = 1.0`, `share = 7.5`,
 	).Replace(string(text))
 	path := filepath.Join(t.TempDir(), "broken.toml")
-	is.NoErr(os.WriteFile(path, []byte(broken), 0o600))
+	is.NoErr(os.WriteFile(path, []byte(faulty), 0o600))
 	_, err = load(path)
 	is.True(err != nil)
-	lines := strings.Split(broken, "\n")
+	lines := strings.Split(faulty, "\n")
 	at := func(text string) string {
 		for i, line := range lines {
 			if strings.HasPrefix(line, text) {
@@ -100,7 +101,8 @@
 	is.Equal(err.Error(), strings.Join(want, "\n"))
 }
 
-func TestPlainSessionsAreForLoopback(t *testing.T) {
+// Sessions without TLS are offered on an address that other machines can reach.
+func TestListenBeyondLoopbackRequiresTLS(t *testing.T) {
 	is := is.New(t)
 	_, err := load(example, "--peers.listen", "10.1.2.3:7000")
 	is.True(err != nil)
@@ -109,7 +111,7 @@
 	is.NoErr(err)
 }
 
-// TestDeployments checks the settings that stand as examples in deploy/.
+// An example of a deployment in deploy/ has settings that the agent rejects.
 func TestDeployments(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("../../deploy/*/settings/agent*.toml")
--- a/agent/main.go
+++ b/agent/main.go
@@ -1,4 +1,5 @@
-// Command agent stands beside one backend server and is the only way into it.
+// Command agent runs next to one backend server and is the only way to reach it: it queues the
+// calls of entries, sends them on and reports the load.
 package main
 
 import (
--- a/agent/services/gate/gate.go
+++ b/agent/services/gate/gate.go
@@ -1,5 +1,5 @@
-// Package gate lets calls through to the backend server one free slot at a
-// time, in the order of share/decide/queue. In: calls. Out: grants and refusals.
+// Package gate admits calls to the backend server, each when a slot is free, in the order of
+// share/decide/queue.
 package gate
 
 import (
@@ -12,58 +12,63 @@
 )
 
 const (
-	// idleCheck bounds how late an expiry may be found when no event wakes the loop.
-	idleCheck = 250 * time.Millisecond
-	minCheck  = time.Millisecond
+	// maxInterval is the longest time between two updates of the queue. It limits how late an expiry
+	// is found when no event wakes the loop.
+	maxInterval = 250 * time.Millisecond
+	// minInterval is the shortest interval that the timer of the loop is set to.
+	minInterval = time.Millisecond
 )
 
-// Gate guards a queue with a lock and wakes those who wait in it.
+// Gate makes a queue safe for concurrent use and notifies the calls that wait in it.
 type Gate struct {
 	wake chan struct{}
 
-	lock sync.Mutex
-	// queue and tickets are guarded by lock; each ticket waits or runs in queue.
-	queue   *queue.Queue
-	tickets map[string]*Ticket
-	// times is guarded by lock.
-	times *times
+	// lock guards the fields below.
+	lock  sync.Mutex
+	queue *queue.Queue
+	// tickets holds the tickets of the calls that wait or run in queue, by item ID.
+	tickets      map[string]*Ticket
+	serviceTimes *serviceTimes
 }
 
-// Ticket is one call's place.
+// Ticket is a call's place in the queue and, once granted, its slot.
 type Ticket struct {
-	// Queued is the time that the call waited.
+	// Queued is how long the call waited.
 	Queued time.Duration
 
-	item    queue.Item
-	stage   string
-	pushed  time.Time
-	started time.Time
+	item       queue.Item
+	stage      string
+	enqueuedAt time.Time
+	startedAt  time.Time
+	// verdict receives nil when the slot is granted, or the refusal.
 	verdict chan *codes.Result
-	// preempt ends the run in favour of a higher class; nil until the run starts.
-	preempt context.CancelCauseFunc
-	// preempted is set once preempt was called; the run's time then says nothing.
+	// cancel ends the run so that a higher class gets the slot; nil until SetCancel.
+	cancel context.CancelCauseFunc
+	// preempted is set once the gate has called cancel. The duration of such a run is not a service
+	// time.
 	preempted bool
 }
 
 // NewGate returns a gate with an empty queue.
 func NewGate(settings queue.Settings) *Gate {
 	return &Gate{
-		wake:    make(chan struct{}, 1),
-		queue:   queue.New(settings),
-		tickets: map[string]*Ticket{},
-		times:   newTimes(),
+		wake:         make(chan struct{}, 1),
+		queue:        queue.New(settings),
+		tickets:      map[string]*Ticket{},
+		serviceTimes: newServiceTimes(),
 	}
 }
 
-// Start looks after expiries and preemption until the context ends.
+// Start starts the loop that handles expiries and preemption until the context ends.
 func (g *Gate) Start(ctx context.Context) {
 	go g.loop(ctx)
 }
 
-// Enter waits for a slot; stage tells the measured times apart. A refusal is not run and never will be.
-func (g *Gate) Enter(ctx context.Context, stage string, item queue.Item) (*Ticket, *codes.Result) {
-	t := &Ticket{item: item, stage: stage, pushed: time.Now(), verdict: make(chan *codes.Result, 1)}
-	if refused := g.push(t); refused != nil {
+// Acquire waits for a slot. Service times are estimated for each stage separately. A refused call
+// has not run and will not run.
+func (g *Gate) Acquire(ctx context.Context, stage string, item queue.Item) (*Ticket, *codes.Result) {
+	t := &Ticket{item: item, stage: stage, enqueuedAt: time.Now(), verdict: make(chan *codes.Result, 1)}
+	if refused := g.enqueue(t); refused != nil {
 		return nil, refused
 	}
 	select {
@@ -71,8 +76,8 @@
 		if refused != nil {
 			return nil, refused
 		}
-		t.started = time.Now()
-		t.Queued = t.started.Sub(t.pushed)
+		t.startedAt = time.Now()
+		t.Queued = t.startedAt.Sub(t.enqueuedAt)
 		return t, nil
 	case <-ctx.Done():
 		g.abandon(t)
@@ -80,11 +85,11 @@
 	}
 }
 
-func (g *Gate) push(t *Ticket) *codes.Result {
+func (g *Gate) enqueue(t *Ticket) *codes.Result {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	now := time.Now()
-	t.item.MinRunTime = g.times.expect(now, t.stage, t.item.Cost)
+	t.item.MinRunTime = g.serviceTimes.estimate(now, t.stage, t.item.Cost)
 	pushed := g.queue.Push(now, t.item)
 	if pushed.Refused != nil {
 		return pushed.Refused
@@ -92,16 +97,17 @@
 	g.tickets[t.item.ID] = t
 	if pushed.Evicted != nil {
 		refusal := codes.NewResult(codes.Overloaded, "gave its place in the queue to other work")
-		g.settle(pushed.Evicted.ID, refusal.WithRetryAfter(pushed.RetryAfter))
+		g.refuse(pushed.Evicted.ID, refusal.WithRetryAfter(pushed.RetryAfter))
 	}
-	g.pump(now)
+	g.grantFreeSlots(now)
 	g.preempt(now)
 	g.wakeLoop()
 	return nil
 }
 
-// pump grants free slots; called under the lock.
-func (g *Gate) pump(now time.Time) {
+// grantFreeSlots grants the free slots and refuses the waiting calls that can no longer meet their
+// deadline. It is called under the lock.
+func (g *Gate) grantFreeSlots(now time.Time) {
 	for {
 		item, ok := g.queue.Pop(now)
 		if !ok {
@@ -112,12 +118,12 @@
 		}
 	}
 	for _, item := range g.queue.Expire(now) {
-		g.settle(item.ID, codes.NewResult(codes.DeadlineUnmeetable, "could not start in time").WithRetryAfter(g.queue.Load(now).Wait))
+		g.refuse(item.ID, codes.NewResult(codes.DeadlineUnmeetable, "could not start in time").WithRetryAfter(g.queue.Load(now).Wait))
 	}
 }
 
-// settle answers a waiting call for good; called under the lock.
-func (g *Gate) settle(id string, refusal *codes.Result) {
+// refuse ends the wait of a call that was removed from the queue. It is called under the lock.
+func (g *Gate) refuse(id string, refusal *codes.Result) {
 	t := g.tickets[id]
 	if t == nil {
 		return
@@ -126,8 +132,8 @@
 	t.verdict <- refusal
 }
 
-// abandon takes a call out whose caller has gone. The lock decides a race with
-// the grant: a call that was granted already gives its slot back without a run.
+// abandon removes a call whose context has ended. The lock decides a race with the grant: a call
+// that already has its slot frees it without a run.
 func (g *Gate) abandon(t *Ticket) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -139,27 +145,29 @@
 	if _, waiting := g.queue.Remove(t.item.ID); !waiting {
 		g.queue.Done(now, t.item.ID, 0)
 	}
-	g.pump(now)
+	g.grantFreeSlots(now)
 }
 
-// Bind lets the gate end the run when a higher class needs the slot.
-func (g *Gate) Bind(t *Ticket, preempt context.CancelCauseFunc) {
+// SetCancel sets the function with which the gate cancels the run when a higher class needs the
+// slot.
+func (g *Gate) SetCancel(t *Ticket, cancel context.CancelCauseFunc) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	t.preempt = preempt
+	t.cancel = cancel
 }
 
-// Leave frees the slot of a run and counts its measured cost.
-func (g *Gate) Leave(t *Ticket, cost float64) {
+// Release frees the slot of a run and charges its cost to the team; a cost of 0 keeps the estimated
+// cost.
+func (g *Gate) Release(t *Ticket, cost float64) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	delete(g.tickets, t.item.ID)
 	now := time.Now()
 	if !t.preempted {
-		g.times.add(now, t.stage, t.item.Cost, now.Sub(t.started))
+		g.serviceTimes.observe(now, t.stage, t.item.Cost, now.Sub(t.startedAt))
 	}
 	g.queue.Done(now, t.item.ID, cost)
-	g.pump(now)
+	g.grantFreeSlots(now)
 }
 
 // GetLoad returns the load of the queue and its running set.
@@ -169,16 +177,17 @@
 	return g.queue.Load(time.Now())
 }
 
-// preempt ends runs of a lower class that keep a higher one from its deadline; called under the lock.
+// preempt cancels runs of a lower class that would make a call of a higher class miss its deadline.
+// It is called under the lock.
 func (g *Gate) preempt(now time.Time) {
 	for {
 		item, ok := g.queue.Preempt(now)
 		if !ok {
 			return
 		}
-		if t := g.tickets[item.ID]; t != nil && t.preempt != nil {
+		if t := g.tickets[item.ID]; t != nil && t.cancel != nil {
 			t.preempted = true
-			t.preempt(codes.NewResult(codes.Preempted, "gave way to higher priority"))
+			t.cancel(codes.NewResult(codes.Preempted, "gave way to higher priority"))
 		}
 	}
 }
@@ -190,9 +199,9 @@
 	}
 }
 
-// loop finds expiries and preemptions between other events.
+// loop handles the expiries and preemptions that become due while no call arrives or ends.
 func (g *Gate) loop(ctx context.Context) {
-	timer := time.NewTimer(idleCheck)
+	timer := time.NewTimer(maxInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -201,20 +210,20 @@
 		case <-g.wake:
 		case <-timer.C:
 		}
-		timer.Reset(g.check())
+		timer.Reset(g.update())
 	}
 }
 
-// check returns the time until the next look.
-func (g *Gate) check() time.Duration {
+// update handles due grants, expiries and preemptions, and returns the time until the next update.
+func (g *Gate) update() time.Duration {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	now := time.Now()
-	g.pump(now)
+	g.grantFreeSlots(now)
 	g.preempt(now)
 	next, ok := g.queue.NextExpiry()
 	if !ok {
-		return idleCheck
+		return maxInterval
 	}
-	return min(idleCheck, max(minCheck, time.Until(next)))
+	return min(maxInterval, max(minInterval, time.Until(next)))
 }
--- a/agent/services/gate/gate_test.go
+++ b/agent/services/gate/gate_test.go
@@ -17,122 +17,123 @@
 )
 
 const (
+	// runTime is how long a run takes.
 	runTime = 100 * time.Millisecond
-	runs    = 10
+	// runs is the number of runs that observeRuns makes, enough for an estimate to be used.
+	runs = 10
 )
 
 func newGate() *gate.Gate {
 	return gate.NewGate(queue.Settings{Mode: queue.ModeFair, MaxWaiting: 16, Slots: 1, InitialServiceTime: runTime})
 }
 
-func item(id string, priority config.Priority, left time.Duration) queue.Item {
+func newItem(id string, priority config.Priority, remaining time.Duration) queue.Item {
 	return queue.Item{
 		ID:          id,
 		Team:        "kranj",
 		Priority:    priority,
 		Weight:      1,
 		Cost:        1,
-		Deadline:    time.Now().Add(left),
+		Deadline:    time.Now().Add(remaining),
 		Preemptible: priority == config.PriorityBatch,
 	}
 }
 
-// learn lets the gate see runs of the usual length.
-func learn(t *testing.T, g *gate.Gate) {
+// observeRuns sends runs through the gate that each take runTime.
+func observeRuns(t *testing.T, g *gate.Gate) {
 	t.Helper()
 	for n := range runs {
-		ticket, refused := g.Enter(t.Context(), "generate", item(strconv.Itoa(n), config.PriorityNormal, time.Second))
+		ticket, refused := g.Acquire(t.Context(), "generate", newItem(strconv.Itoa(n), config.PriorityNormal, time.Second))
 		if refused != nil {
 			t.Fatal(refused)
 		}
 		time.Sleep(runTime)
-		g.Leave(ticket, 1)
+		g.Release(ticket, 1)
 	}
 }
 
-// A caller with little time left gets a late answer, and the work for it held
-// a slot that another caller's answer needed: the call was let through though
-// no run of its stage ends that fast.
-func TestGateRefusesWhatARunCannotEndInTime(t *testing.T) {
+// A call is admitted with less time left than a run of its stage takes. Its answer comes late, and
+// the run holds a slot that another call needs to meet its deadline.
+func TestGateRefusesCallWithTooLittleTimeLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGate()
-		learn(t, g)
-		_, refused := g.Enter(t.Context(), "generate", item("short", config.PriorityUrgent, runTime/2))
+		observeRuns(t, g)
+		_, refused := g.Acquire(t.Context(), "generate", newItem("short", config.PriorityUrgent, runTime/2))
 		is.True(refused != nil)
 		is.Equal(refused.Code, codes.DeadlineUnmeetable)
 		is.Equal(refused.Outcome, codes.OutcomeNotRun)
-		_, refused = g.Enter(t.Context(), "encode", item("other", config.PriorityUrgent, runTime/2))
-		is.Equal(refused, nil) // another stage's times say nothing of this one
+		_, refused = g.Acquire(t.Context(), "encode", newItem("other", config.PriorityUrgent, runTime/2))
+		is.Equal(refused, nil) // the estimate of one stage does not apply to another
 	})
 }
 
-// Short prompts' answers come late above capacity after a minute of long
-// prompts: those cost five times as much and take hardly longer, so that a time
-// per cost unit taken from them lets short ones begin with a fifth of their time.
-func TestGateTellsLongPromptsFromShortOnes(t *testing.T) {
+// After a minute of long prompts, answers to short prompts come late above capacity. Long prompts
+// cost five times as much but take hardly longer, so with their time per cost unit a short prompt
+// would be admitted with a fifth of the time that it takes.
+func TestGateEstimatesLongAndShortPromptsSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGate()
-		learn(t, g)
+		observeRuns(t, g)
 		for n := range 30 * runs {
-			long := item("long-"+strconv.Itoa(n), config.PriorityNormal, time.Second)
+			long := newItem("long-"+strconv.Itoa(n), config.PriorityNormal, time.Second)
 			long.Cost = 5
-			ticket, refused := g.Enter(t.Context(), "generate", long)
+			ticket, refused := g.Acquire(t.Context(), "generate", long)
 			is.Equal(refused, nil)
 			time.Sleep(runTime)
-			g.Leave(ticket, long.Cost)
+			g.Release(ticket, long.Cost)
 		}
-		learn(t, g) // the estimate of the short ones is fresh again
-		_, refused := g.Enter(t.Context(), "generate", item("short", config.PriorityUrgent, runTime/2))
+		observeRuns(t, g) // the estimate of short prompts is fresh again
+		_, refused := g.Acquire(t.Context(), "generate", newItem("short", config.PriorityUrgent, runTime/2))
 		is.True(refused != nil)
 	})
 }
 
-// Callers stay refused after a slow minute has passed: runs were refused as too
-// late to start, so that none told that the backend server is fast again.
-func TestGateForgetsASlowStage(t *testing.T) {
+// Calls are still refused after a slow minute has passed: they are refused as too late to start, so
+// no run shows that the backend server is fast again.
+func TestGateEstimateDecaysWithoutRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGate()
-		learn(t, g)
+		observeRuns(t, g)
 		time.Sleep(10 * time.Second)
-		_, refused := g.Enter(t.Context(), "generate", item("short", config.PriorityUrgent, runTime/2))
+		_, refused := g.Acquire(t.Context(), "generate", newItem("short", config.PriorityUrgent, runTime/2))
 		is.Equal(refused, nil)
 	})
 }
 
-// An urgent caller waits for a whole batch run and gets its answer late. The
-// gate cancels the batch run in time, with the cause that lets it be sent again.
+// An urgent call waits for a batch run to end, and its answer comes late. The gate must cancel the
+// batch run in time, with the cause that allows it to be retried.
 func TestGatePreemptsBatchRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGate()
-		learn(t, g)
-		batch, refused := g.Enter(t.Context(), "generate", item("batch", config.PriorityBatch, time.Minute))
+		observeRuns(t, g)
+		batch, refused := g.Acquire(t.Context(), "generate", newItem("batch", config.PriorityBatch, time.Minute))
 		is.Equal(refused, nil)
 		ctx, cancel := context.WithCancelCause(t.Context())
-		g.Bind(batch, cancel)
-		l := &leaver{gate: g, ticket: batch, ctx: ctx}
-		go l.run()
-		ticket, refused := g.Enter(t.Context(), "generate", item("urgent", config.PriorityUrgent, runTime+runTime/2))
+		g.SetCancel(batch, cancel)
+		r := &canceledRun{gate: g, ticket: batch, ctx: ctx}
+		go r.run()
+		ticket, refused := g.Acquire(t.Context(), "generate", newItem("urgent", config.PriorityUrgent, runTime+runTime/2))
 		is.Equal(refused, nil)
 		is.True(ticket.Queued < runTime/2)
 		var cause *codes.Result
 		is.True(errors.As(context.Cause(ctx), &cause))
 		is.Equal(cause.Code, codes.Preempted)
-		g.Leave(ticket, 1)
+		g.Release(ticket, 1)
 	})
 }
 
-// leaver frees the slot of a run once it was canceled.
-type leaver struct {
+// canceledRun is a run that frees its slot once it is canceled.
+type canceledRun struct {
 	gate   *gate.Gate
 	ticket *gate.Ticket
-	ctx    context.Context //nolint:containedctx // the run that is watched
+	ctx    context.Context //nolint:containedctx // the context of the run
 }
 
-func (l *leaver) run() {
-	<-l.ctx.Done()
-	l.gate.Leave(l.ticket, 0)
+func (r *canceledRun) run() {
+	<-r.ctx.Done()
+	r.gate.Release(r.ticket, 0)
 }
--- a/agent/services/gate/times.go
+++ b/agent/services/gate/times.go
@@ -6,95 +6,99 @@
 )
 
 const (
-	// quantile of the service times that a run is given.
+	// quantile is the quantile of the service times that an estimate follows.
 	quantile = 0.75
-	// step is the part of itself by which an estimate moves with a run.
-	step = 0.05
-	// settled is the number of runs before an estimate counts.
-	settled = 8
-	// maxKinds bounds the kinds told apart.
-	maxKinds = 1024
-	// fresh is the age up to which an estimate stands; halfLife halves an older one. Without it a slow
-	// minute would last: calls would be refused as too late to start, and no
-	// run would tell that the backend server is fast again.
-	fresh    = 2 * time.Second
+	// stepRatio scales the change of an estimate after each run, as a part of the estimate.
+	stepRatio = 0.05
+	// minRuns is the number of runs after which an estimate is used.
+	minRuns = 8
+	// maxBuckets limits the number of buckets; the runs of further buckets have no estimate.
+	maxBuckets = 1024
+	// freshFor is how long an estimate stands after its last run; after that it halves in every
+	// halfLife. Without this decay the estimates of a slow minute would last: calls would be refused
+	// as too late to start, so no run would show that the backend server is fast again.
+	freshFor = 2 * time.Second
 	halfLife = 2 * time.Second
 )
 
-// times estimates how long a run of each kind takes, in time per cost unit.
-type times struct {
-	kinds map[kind]*estimate
+// serviceTimes estimates how long a run takes, from the time per cost unit of earlier runs in the
+// same bucket.
+type serviceTimes struct {
+	buckets map[bucket]*estimate
 }
 
-// kind tells runs apart by stage and by the power of two of their cost. Time
-// does not grow with cost: a prompt token costs as much as a generated one and
-// takes a hundredth of its time. One estimate for all would tell short prompts'
-// runs a fraction of their time after a minute of long ones.
-type kind struct {
-	stage  string
-	octave int
+// bucket groups runs by their stage and by the binary exponent of their cost. Time is not
+// proportional to cost: a prompt token costs as much as a generated token but takes a hundredth of
+// its time. With one estimate for all costs, after a minute of long prompts the estimate for short
+// prompts would be a fraction of the time that they take.
+type bucket struct {
+	stage    string
+	exponent int
 }
 
-func kindOf(stage string, cost float64) kind {
-	_, octave := math.Frexp(cost)
-	return kind{stage: stage, octave: octave}
+func bucketOf(stage string, cost float64) bucket {
+	_, exponent := math.Frexp(cost)
+	return bucket{stage: stage, exponent: exponent}
 }
 
-// estimate follows a quantile: it rises with runs above it and falls with
-// those below, in steps whose ratio makes the quantile its resting point.
+// estimate follows a quantile of the time per cost unit. It rises after a run above it and falls
+// after any other run; the ratio of the two steps makes it settle at the quantile.
 type estimate struct {
-	unit float64
-	runs int
-	at   time.Time
+	// timePerCost is in nanoseconds per cost unit.
+	timePerCost float64
+	runs        int
+	updatedAt   time.Time
 }
 
-func newTimes() *times {
-	return &times{kinds: map[kind]*estimate{}}
+func newServiceTimes() *serviceTimes {
+	return &serviceTimes{buckets: map[bucket]*estimate{}}
 }
 
-// add takes a run's time.
-func (t *times) add(now time.Time, stage string, cost float64, took time.Duration) {
+// observe updates the estimate of the run's bucket with the duration of the run.
+func (s *serviceTimes) observe(now time.Time, stage string, cost float64, took time.Duration) {
 	if cost <= 0 || took <= 0 {
 		return
 	}
-	k := kindOf(stage, cost)
-	e := t.kinds[k]
+	b := bucketOf(stage, cost)
+	e := s.buckets[b]
 	if e == nil {
-		if len(t.kinds) >= maxKinds {
+		if len(s.buckets) >= maxBuckets {
 			return
 		}
-		e = &estimate{unit: float64(took) / cost}
-		t.kinds[k] = e
+		e = &estimate{timePerCost: float64(took) / cost}
+		s.buckets[b] = e
 	}
-	if !e.at.IsZero() && now.Sub(e.at) > fresh+halfLife {
-		// Too old to follow from: a faded value would need many runs to climb back.
-		*e = estimate{unit: float64(took) / cost}
+	if !e.updatedAt.IsZero() && now.Sub(e.updatedAt) > freshFor+halfLife {
+		// The estimate is too old to continue from: a decayed value would need many runs to rise
+		// again. It starts anew with this run.
+		*e = estimate{timePerCost: float64(took) / cost}
 	}
-	e.at = now
+	e.updatedAt = now
 	e.runs++
-	if float64(took)/cost > e.unit {
-		e.unit *= 1 + step*quantile
+	if float64(took)/cost > e.timePerCost {
+		e.timePerCost *= 1 + stepRatio*quantile
 		return
 	}
-	e.unit *= 1 - step*(1-quantile)
+	e.timePerCost *= 1 - stepRatio*(1-quantile)
 }
 
-// expect returns the time that a run should be given; 0 while too little is known.
-func (t *times) expect(now time.Time, stage string, cost float64) time.Duration {
-	e := t.kinds[kindOf(stage, cost)]
-	if e == nil || e.runs < settled {
+// estimate returns the time that a run should be given, or 0 if its bucket has too few runs.
+func (s *serviceTimes) estimate(now time.Time, stage string, cost float64) time.Duration {
+	e := s.buckets[bucketOf(stage, cost)]
+	if e == nil || e.runs < minRuns {
 		return 0
 	}
-	return time.Duration(e.faded(now) * cost)
+	return time.Duration(e.decayed(now) * cost)
 }
 
-func (e *estimate) faded(now time.Time) float64 {
-	if e.at.IsZero() {
-		return e.unit
+// decayed returns the time per cost unit at the given time; see freshFor.
+func (e *estimate) decayed(now time.Time) float64 {
+	if e.updatedAt.IsZero() {
+		return e.timePerCost
 	}
-	age := now.Sub(e.at) - fresh
+	age := now.Sub(e.updatedAt) - freshFor
 	if age <= 0 {
-		return e.unit
+		return e.timePerCost
 	}
-	return e.unit * math.Exp2(-float64(age)/float64(halfLife))
+	return e.timePerCost * math.Exp2(-float64(age)/float64(halfLife))
 }
--- a/agent/services/intake/intake.go
+++ b/agent/services/intake/intake.go
@@ -1,6 +1,6 @@
-// Package intake takes the streams of a session: calls, fetches of
-// configuration and asks about claimed attempts. A call passes, in this order,
-// the checks, the claim guard, the gate and the backend server.
+// Package intake serves the streams that entries open to the agent: calls, fetches of configuration
+// and requests for the state of claimed attempts. A call passes, in this order, the checks, the
+// claim guard, the gate and the backend server.
 package intake
 
 import (
@@ -23,37 +23,42 @@
 )
 
 const (
-	// catchUp bounds how long a call decided under a newer configuration waits for it here.
-	catchUp = 2 * time.Second
-	// firstFrame bounds how long a stream may stay without its first frame.
-	firstFrame = 10 * time.Second
-	// retryHint is when to come back after a refusal that passes by itself.
-	retryHint = 100 * time.Millisecond
+	// revisionTimeout limits how long a call that was decided under a newer configuration waits for
+	// that configuration.
+	revisionTimeout = 2 * time.Second
+	// firstFrameTimeout limits how long a stream may be open without its first frame.
+	firstFrameTimeout = 10 * time.Second
+	// notReadyRetryAfter is the retry delay that a call gets when it is refused because its
+	// configuration has not arrived yet.
+	notReadyRetryAfter = 100 * time.Millisecond
 )
 
-// Doorman admits work unless the instance is draining, and is told when it ends.
-type Doorman interface {
+// Admission admits work unless the instance is draining, and keeps track of the work that has not
+// ended.
+type Admission interface {
+	// AdmitWork reports whether the work may start.
 	AdmitWork(id string) bool
+	// EndWork records that the work has ended.
 	EndWork(id string)
 }
 
-// Backend runs calls; *target.Server is one.
+// Backend sends calls to the backend server. *target.Server implements it.
 type Backend interface {
-	Send(ctx context.Context, call target.Call, sink target.Sink) target.Ending
+	Send(ctx context.Context, call target.Call, sink target.Sink) target.CallResult
 }
 
 // Options are the settings of an Intake.
 type Options struct {
-	// Incarnation changes with each start of the process.
+	// Incarnation identifies this start of the process.
 	Incarnation string
 	Follower    *follow.Follower
-	Keeper      *claims.Keeper
+	Claims      *claims.Manager
 	Gate        *gate.Gate
 	Backend     Backend
-	Doorman     Doorman
+	Admission   Admission
 	Tracer      *spans.Tracer
 	Log         *zap.Logger
-	// MaxAnswerBytes bounds one answer.
+	// MaxAnswerBytes limits the size of one answer.
 	MaxAnswerBytes int
 }
 
@@ -63,29 +68,29 @@
 	counts  counters
 }
 
-// NewIntake returns an intake.
+// NewIntake returns an intake with these settings.
 func NewIntake(options Options) *Intake {
 	return &Intake{options: options}
 }
 
-// ServeSession takes streams until the session ends.
+// ServeSession accepts and serves the streams of a session until the session ends.
 func (i *Intake) ServeSession(ctx context.Context, session *link.Session) {
 	for {
 		stream, err := session.Accept()
 		if err != nil {
 			return
 		}
-		go i.run(ctx, session, stream)
+		go i.runStream(ctx, session, stream)
 	}
 }
 
-// run serves one stream, which carries one call after the other. Its end, or a
-// close by the entry, cancels the call that is under way.
-func (i *Intake) run(ctx context.Context, session *link.Session, stream net.Conn) {
+// runStream serves one stream, which carries one call after the other. The call in flight is
+// canceled when the stream ends or the entry closes it.
+func (i *Intake) runStream(ctx context.Context, session *link.Session, stream net.Conn) {
 	defer func() { _ = stream.Close() }()
-	ctx, hangUp := context.WithCancel(ctx)
-	defer hangUp()
-	_ = stream.SetReadDeadline(time.Now().Add(firstFrame))
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	_ = stream.SetReadDeadline(time.Now().Add(firstFrameTimeout))
 	reader := wire.NewReader(stream)
 	for {
 		frame, err := reader.Next()
@@ -95,65 +100,67 @@
 		_ = stream.SetReadDeadline(time.Time{})
 		switch body := frame.GetBody().(type) {
 		case *wire.Frame_Call:
-			// The loop goes on reading, so that a close of the stream is seen while the call runs.
-			go i.runCall(ctx, session, &line{stream: stream, call: body.Call})
+			// The loop keeps reading so that it notices a close of the stream while the call runs.
+			go i.runCall(ctx, session, &callStream{stream: stream, call: body.Call})
 		case *wire.Frame_Fetch:
 			answer := i.options.Follower.AnswerFetch(body.Fetch)
 			_ = wire.WriteFrame(stream, &wire.Frame{Body: &wire.Frame_Chunks{Chunks: answer}})
 		case *wire.Frame_Ask:
-			told := i.options.Keeper.AnswerAsk(body.Ask)
-			_ = wire.WriteFrame(stream, &wire.Frame{Body: &wire.Frame_Told{Told: told}})
+			report := i.options.Claims.AnswerAsk(body.Ask)
+			_ = wire.WriteFrame(stream, &wire.Frame{Body: &wire.Frame_Told{Told: report}})
 		}
 	}
 }
 
-func (i *Intake) runCall(ctx context.Context, session *link.Session, l *line) {
+func (i *Intake) runCall(ctx context.Context, session *link.Session, c *callStream) {
 	i.counts.calls.Add(1)
-	notBefore := session.NotBefore(l.call.GetEcho(), time.Duration(l.call.GetEchoHoldNanos()))
-	i.options.Follower.OnPeerCall(session.Peer().GetName(), l.call, notBefore)
-	ctx, span := i.options.Tracer.Start(i.options.Tracer.Extract(ctx, l.call.GetTraceparent()), "agent.call",
-		attribute.String("request-id", l.call.GetRequestId()),
-		attribute.String("stage", l.call.GetStage()),
-		attribute.Int("attempt", int(l.call.GetAttempt())),
+	notBefore := session.NotBefore(c.call.GetEcho(), time.Duration(c.call.GetEchoHoldNanos()))
+	i.options.Follower.OnPeerCall(session.Peer().GetName(), c.call, notBefore)
+	ctx, span := i.options.Tracer.Start(i.options.Tracer.Extract(ctx, c.call.GetTraceparent()), "agent.call",
+		attribute.String("request-id", c.call.GetRequestId()),
+		attribute.String("stage", c.call.GetStage()),
+		attribute.Int("attempt", int(c.call.GetAttempt())),
 	)
 	defer span.End()
-	// The time left was measured when the call was written; the session's delay has passed since.
-	left := time.Duration(l.call.GetRemainingNanos()) - session.Delay()
-	deadline := time.Now().Add(left)
-	ctx, stop := context.WithDeadline(ctx, deadline)
-	defer stop()
-	end := i.process(ctx, l, deadline)
+	// The remaining time was measured when the call was written. Since then it has shrunk by the
+	// one-way delay of the session.
+	remaining := time.Duration(c.call.GetRemainingNanos()) - session.Delay()
+	deadline := time.Now().Add(remaining)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
+	defer cancel()
+	end := i.process(ctx, c, deadline)
 	span.SetAttributes(attribute.Int("code", int(end.GetCode())))
-	i.finish(l, end)
+	i.writeEnd(c, end)
 }
 
-// process runs the call through every step and returns its end record.
-func (i *Intake) process(ctx context.Context, l *line, deadline time.Time) *wire.End {
-	call := l.call
+// process passes the call through all steps and returns its end record.
+func (i *Intake) process(ctx context.Context, c *callStream, deadline time.Time) *wire.End {
+	call := c.call
 	if refusal := i.check(ctx, call); refusal != nil {
-		i.options.Keeper.DropAttempt(call.GetClaimAttempt())
+		i.options.Claims.DropAttempt(call.GetClaimAttempt())
 		return newEnd(refusal)
 	}
 	id := workID(call)
-	if !i.options.Doorman.AdmitWork(id) {
-		i.options.Keeper.DropAttempt(call.GetClaimAttempt())
+	if !i.options.Admission.AdmitWork(id) {
+		i.options.Claims.DropAttempt(call.GetClaimAttempt())
 		return newEnd(codes.NewResult(codes.Draining, "the instance is stopping"))
 	}
-	defer i.options.Doorman.EndWork(id)
+	defer i.options.Admission.EndWork(id)
 	if !call.GetIdempotent() {
-		if refusal := i.options.Keeper.AdmitAttempt(call); refusal != nil {
+		if refusal := i.options.Claims.AdmitAttempt(call); refusal != nil {
 			return newEnd(refusal)
 		}
 	}
-	ticket, refusal := i.options.Gate.Enter(ctx, call.GetStage(), newItem(id, call, deadline))
+	ticket, refusal := i.options.Gate.Acquire(ctx, call.GetStage(), newItem(id, call, deadline))
 	if refusal != nil {
-		i.options.Keeper.DropAttempt(call.GetClaimAttempt())
-		return newEnd(lateOr(ctx, refusal))
+		i.options.Claims.DropAttempt(call.GetClaimAttempt())
+		return newEnd(deadlineCause(ctx, refusal))
 	}
-	return i.runTicket(ctx, l, ticket, deadline)
+	return i.runGranted(ctx, c, ticket, deadline)
 }
 
-// check refuses what must not run here; nothing was queued yet.
+// check returns the refusal of a call that must not run here, or nil. It is called before the call
+// is queued.
 func (i *Intake) check(ctx context.Context, call *wire.Call) *codes.Result {
 	if call.GetIncarnation() != i.options.Incarnation {
 		return codes.NewResult(codes.OtherIncarnation, "the agent restarted")
@@ -164,14 +171,14 @@
 	return i.checkRevision(ctx, call)
 }
 
-// checkRevision lets a call run only under the configuration that is in force
-// here. An entry that missed a change would otherwise send work where a new
-// rule forbids it; it shows as a lower revision on the call.
+// checkRevision refuses a call that was not decided under the configuration that is in force here.
+// An entry that has missed a change could otherwise send work to a place where a new rule forbids
+// it; its calls carry a lower revision.
 func (i *Intake) checkRevision(ctx context.Context, call *wire.Call) *codes.Result {
-	wait, cancel := context.WithTimeout(ctx, catchUp)
+	waitCtx, cancel := context.WithTimeout(ctx, revisionTimeout)
 	defer cancel()
-	if err := i.options.Follower.WaitRevision(wait, call.GetRevision()); err != nil {
-		return codes.NewResult(codes.NotReady, "the call's configuration is not here yet").WithRetryAfter(retryHint)
+	if err := i.options.Follower.WaitRevision(waitCtx, call.GetRevision()); err != nil {
+		return codes.NewResult(codes.NotReady, "the call's configuration is not here yet").WithRetryAfter(notReadyRetryAfter)
 	}
 	snapshot, refusal := i.options.Follower.GetUsable(ctx)
 	if refusal != nil {
@@ -183,41 +190,42 @@
 	return nil
 }
 
-// runTicket sends the call to the backend server in its slot.
-func (i *Intake) runTicket(ctx context.Context, l *line, ticket *gate.Ticket, deadline time.Time) *wire.End {
-	call := l.call
+// runGranted sends a call that has a slot to the backend server, and frees the slot.
+func (i *Intake) runGranted(ctx context.Context, c *callStream, ticket *gate.Ticket, deadline time.Time) *wire.End {
+	call := c.call
 	if !call.GetIdempotent() {
-		if refusal := i.options.Keeper.StartAttempt(call.GetClaimAttempt(), deadline); refusal != nil {
-			i.options.Gate.Leave(ticket, 0)
+		if refusal := i.options.Claims.StartAttempt(call.GetClaimAttempt(), deadline); refusal != nil {
+			i.options.Gate.Release(ticket, 0)
 			return newEnd(refusal)
 		}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	i.options.Gate.Bind(ticket, cancel)
+	i.options.Gate.SetCancel(ticket, cancel)
 	started := time.Now()
-	sink := l.newSink(!call.GetIdempotent())
+	sink := c.newSink(!call.GetIdempotent())
 	ctx, span := i.options.Tracer.Start(ctx, "backend.call", attribute.String("path", call.GetPath()))
-	ending := i.options.Backend.Send(i.runContext(ctx, call), i.newCall(ctx, call), sink)
-	span.SetAttributes(attribute.Int("status", ending.Status))
+	result := i.options.Backend.Send(i.runContext(ctx, call), i.newCall(ctx, call), sink)
+	span.SetAttributes(attribute.Int("status", result.Status))
 	span.End()
 	took := time.Since(started)
-	i.options.Gate.Leave(ticket, call.GetCost())
+	i.options.Gate.Release(ticket, call.GetCost())
 	if !call.GetIdempotent() {
-		i.finishAttempt(ctx, call, ending, sink)
+		i.finishAttempt(ctx, call, result, sink)
 	}
-	end := newEnd(preemptedOr(ctx, ending.Result))
-	end.Status = uint32(ending.Status) //nolint:gosec // an HTTP status
-	end.ContentType = ending.ContentType
+	end := newEnd(preemptionCause(ctx, result.Failure))
+	end.Status = uint32(result.Status) //nolint:gosec // an HTTP status
+	end.ContentType = result.ContentType
 	end.Bytes = sink.sent
-	end.Tokens = ending.Tokens
+	end.Tokens = result.Tokens
 	end.QueueNanos = int64(ticket.Queued)
 	end.ServiceNanos = int64(took)
 	return end
 }
 
-// runContext keeps a non-idempotent run going when its caller hangs up: the
-// order is placed already, and its answer is what a repeated key will get.
+// runContext returns the context of a run. A non-idempotent run continues when its caller
+// disconnects or its deadline passes: its order may already be placed, and a retry with the same
+// key receives its answer.
 func (i *Intake) runContext(ctx context.Context, call *wire.Call) context.Context {
 	if call.GetIdempotent() {
 		return ctx
@@ -246,9 +254,10 @@
 	}
 }
 
-// finish writes the end record with the load and revision that ride on every answer.
-func (i *Intake) finish(l *line, end *wire.End) {
-	call := l.call
+// writeEnd writes the end record of the call with the load and the revision of this agent, which
+// every answer carries.
+func (i *Intake) writeEnd(c *callStream, end *wire.End) {
+	call := c.call
 	end.RequestId = call.GetRequestId()
 	end.Stage = call.GetStage()
 	end.Attempt = call.GetAttempt()
@@ -265,10 +274,10 @@
 		zap.Duration("queued", time.Duration(end.GetQueueNanos())),
 		zap.Duration("ran", time.Duration(end.GetServiceNanos())),
 	)
-	_ = wire.WriteFrame(l.stream, &wire.Frame{Body: &wire.Frame_End{End: end}})
+	_ = wire.WriteFrame(c.stream, &wire.Frame{Body: &wire.Frame_End{End: end}})
 }
 
-// GetLoad returns the load report that answers and heartbeats carry.
+// GetLoad returns the load that answers and heartbeats report.
 func (i *Intake) GetLoad() *wire.Load {
 	load := i.options.Gate.GetLoad()
 	return &wire.Load{
@@ -280,5 +289,5 @@
 	}
 }
 
-// Incarnation returns the id of this start of the process.
+// Incarnation returns the incarnation of the agent: the id of this start of the process.
 func (i *Intake) Incarnation() string { return i.options.Incarnation }
--- a/agent/services/intake/line.go
+++ b/agent/services/intake/stream.go
@@ -17,62 +17,66 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// line is one call and the stream that its answer goes to.
-type line struct {
+// callStream is one call and the stream that its answer is written to.
+type callStream struct {
 	stream net.Conn
 	call   *wire.Call
 }
 
-// sink sends pieces on as they come and keeps those of a non-idempotent run for its claim.
+// sink writes an answer to the call's stream as it arrives. For the claim of a non-idempotent run
+// it also keeps the answer.
 type sink struct {
-	line *line
-	// keep is set for non-idempotent runs: the pieces then outlive a caller that went away.
+	callStream *callStream
+	// keep is set for non-idempotent runs: their answer is needed even if the caller has disconnected.
 	keep bool
+	// kept is the start of the answer, up to the first write that takes it beyond
+	// claim.MaxAnswerBytes.
 	kept bytes.Buffer
-	// broken is set once the entry is gone.
-	broken bool
+	// failed is set once a write to the stream has failed; nothing more is written to it.
+	failed bool
 	sent   uint64
 }
 
-func (l *line) newSink(keep bool) *sink {
-	return &sink{line: l, keep: keep}
+func (c *callStream) newSink(keep bool) *sink {
+	return &sink{callStream: c, keep: keep}
 }
 
-// Write sends one piece.
+// Write sends one part of the answer to the entry.
 func (s *sink) Write(p []byte) (int, error) {
 	if s.keep && s.kept.Len() <= claim.MaxAnswerBytes {
 		s.kept.Write(p)
 	}
-	if s.broken {
+	if s.failed {
 		return len(p), nil
 	}
-	err := wire.WriteFrame(s.line.stream, &wire.Frame{Body: &wire.Frame_Part{Part: &wire.Part{Data: p}}})
-	s.broken = err != nil
+	err := wire.WriteFrame(s.callStream.stream, &wire.Frame{Body: &wire.Frame_Part{Part: &wire.Part{Data: p}}})
+	s.failed = err != nil
 	if err == nil {
 		s.sent += uint64(len(p))
 		return len(p), nil
 	}
 	if s.keep {
-		// The run goes on without its caller: its answer is kept for the claim.
+		// The run continues without its caller, and its answer is kept for the claim.
 		err = nil
 	}
 	return len(p), err
 }
 
-// finishAttempt hands the end of a non-idempotent run to the claim's keeper.
-func (i *Intake) finishAttempt(ctx context.Context, call *wire.Call, ending target.Ending, s *sink) {
+// finishAttempt records the end of a non-idempotent run and its answer for the claim.
+func (i *Intake) finishAttempt(ctx context.Context, call *wire.Call, result target.CallResult, s *sink) {
 	outcome := codes.OutcomeRan
 	code := codes.OK
-	if ending.Result != nil {
-		outcome = ending.Result.Outcome
-		code = ending.Result.Code
+	if result.Failure != nil {
+		outcome = result.Failure.Outcome
+		code = result.Failure.Code
 	}
-	answer := claim.Answer{Code: code, Status: ending.Status, ContentType: ending.ContentType, Body: s.kept.Bytes()}
-	i.options.Keeper.FinishAttempt(context.WithoutCancel(ctx), call.GetClaimAttempt(), outcome, answer)
+	answer := claim.Answer{Code: code, Status: result.Status, ContentType: result.ContentType, Body: s.kept.Bytes()}
+	i.options.Claims.FinishAttempt(context.WithoutCancel(ctx), call.GetClaimAttempt(), outcome, answer)
 }
 
-// preemptedOr names the gate's cancel as the cause where there was one.
-func preemptedOr(ctx context.Context, result *codes.Result) *codes.Result {
+// preemptionCause returns the result of a run that the gate preempted: the cause of the
+// cancellation, with the outcome "ran". It returns any other result unchanged.
+func preemptionCause(ctx context.Context, result *codes.Result) *codes.Result {
 	var cause *codes.Result
 	if result != nil && result.Code == codes.Canceled && errors.As(context.Cause(ctx), &cause) {
 		return cause.WithOutcome(codes.OutcomeRan)
@@ -80,13 +84,13 @@
 	return result
 }
 
-// lateOr names the passed deadline as the cause where it ended the wait. The
-// gate sees only that the context ended, and would tell a caller that still
-// waits that it went away itself.
-func lateOr(ctx context.Context, refusal *codes.Result) *codes.Result {
+// deadlineCause replaces the refusal of a call whose deadline passed while it waited for a slot.
+// The gate only observes that the context ended and answers "canceled", which would be wrong for a
+// caller that is still waiting. It returns any other refusal unchanged.
+func deadlineCause(ctx context.Context, refusal *codes.Result) *codes.Result {
 	if refusal.Code == codes.Canceled && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		late := codes.NewResult(codes.DeadlineExceeded, "the deadline passed while the call waited")
-		return late.WithOutcome(refusal.Outcome)
+		expired := codes.NewResult(codes.DeadlineExceeded, "the deadline passed while the call waited")
+		return expired.WithOutcome(refusal.Outcome)
 	}
 	return refusal
 }
@@ -116,7 +120,7 @@
 	}
 }
 
-// workID is unique among the calls that may be here at once.
+// workID returns an id that is unique among the calls that this agent can have at the same time.
 func workID(call *wire.Call) string {
 	return fmt.Sprintf("%s/%s", call.GetRequestId(), attemptName(call))
 }
@@ -125,7 +129,7 @@
 	return fmt.Sprintf("%s-%d", call.GetStage(), call.GetAttempt())
 }
 
-// counters are the figures of an intake.
+// counters count the calls of an intake by their end, and the tokens of their answers.
 type counters struct {
 	calls   atomic.Uint64
 	ok      atomic.Uint64
@@ -146,12 +150,13 @@
 	}
 }
 
-// Counts are an intake's figures since its start.
+// Counts are the numbers of calls and tokens since the start of an intake. Refused calls have not
+// run; failed calls are all others that did not end with codes.OK.
 type Counts struct {
 	Calls, OK, Refused, Failed, Tokens uint64
 }
 
-// GetCounts returns the figures.
+// GetCounts returns the counts since the start.
 func (i *Intake) GetCounts() Counts {
 	return Counts{
 		Calls:   i.counts.calls.Load(),
--- a/agent/services/target/target.go
+++ b/agent/services/target/target.go
@@ -1,5 +1,5 @@
-// Package target sends calls to the backend server beside the agent. In: one
-// call. Out: the pieces of its answer and how it ended.
+// Package target sends calls to the agent's backend server, passes each answer on as it arrives and
+// reports how the call ended.
 package target
 
 import (
@@ -22,14 +22,17 @@
 var ErrTarget = errs.Class("target") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
 const (
-	pieceBytes       = 32 << 10
-	dialTimeout      = 2 * time.Second
-	idleConnections  = 1024
-	idleTimeout      = 30 * time.Second
-	contentTypeKey   = "Content-Type"
-	doneEvent        = "data: [DONE]"
-	doneTailBytes    = 64
-	tokenEventEnding = "\n\n"
+	bufferBytes        = 32 << 10
+	dialTimeout        = 2 * time.Second
+	maxIdleConnections = 1024
+	idleTimeout        = 30 * time.Second
+	contentTypeHeader  = "Content-Type"
+	// doneEvent is the last event of a complete stream.
+	doneEvent = "data: [DONE]"
+	// tailBytes is how much of the end of an answer is kept to look for doneEvent.
+	tailBytes = 64
+	// eventEnd ends a server-sent event; each event counts as a token.
+	eventEnd = "\n\n"
 )
 
 // Call is one HTTP call to the backend server.
@@ -38,98 +41,101 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Idempotent is false where a second run would do harm.
+	// Idempotent is false for a call that must not run twice.
 	Idempotent bool
-	// Stream is set where server-sent events are expected, ended by a [DONE] event.
+	// Stream is set if the answer is a stream of server-sent events that ends with a [DONE] event.
 	Stream bool
-	// MaxBytes bounds the answer.
+	// MaxBytes limits the size of the answer; 0 means no limit.
 	MaxBytes int
 }
 
-// Ending says how a call ended.
-type Ending struct {
-	// Result is nil when the answer is whole.
-	Result *codes.Result
-	// Status is the HTTP status, 0 when no answer came.
+// CallResult describes how a call ended.
+type CallResult struct {
+	// Failure is nil if the answer is complete and its status is below 500.
+	Failure *codes.Result
+	// Status is the HTTP status; 0 if there was no answer.
 	Status      int
 	ContentType string
-	Bytes       uint64
-	Tokens      uint64
+	// Bytes is the size of the answer's body as far as it was received.
+	Bytes uint64
+	// Tokens is the number of events of a stream, including the [DONE] event.
+	Tokens uint64
 }
 
-// Sink takes the pieces of an answer in order and keeps none of their memory; an error ends the call.
+// Sink receives an answer in parts, in order. It must not retain a part, because its memory is
+// reused. An error ends the call.
 type Sink interface {
 	Write(p []byte) (int, error)
 }
 
-// Server is the backend server.
+// Server sends calls to one backend server.
 type Server struct {
 	address netip.AddrPort
-	// shared keeps connections alive for idempotent calls.
-	shared *http.Client
-	// single makes a connection for each call. The transport sends a request
-	// again by itself when a kept connection breaks and the request counts as
-	// idempotent, which an Idempotency-Key header makes of a POST: the backend
-	// server would run a non-idempotent call twice. On a connection that was
-	// never used before the transport does not send again.
-	single *http.Client
-	// pieces holds read buffers between calls; a sink does not keep what it is given.
-	pieces sync.Pool
+	// reusing sends idempotent calls and keeps its connections alive.
+	reusing *http.Client
+	// singleUse sends non-idempotent calls and opens a connection for each of them. The transport
+	// retries a request by itself when a reused connection breaks and the request counts as
+	// idempotent, and it counts a POST with an Idempotency-Key header as such: the backend server
+	// would run the call twice. The transport does not retry after a failure on a new connection.
+	singleUse *http.Client
+	// buffers holds read buffers between calls; a sink does not retain them.
+	buffers sync.Pool
 }
 
-func newPiece() any {
-	piece := make([]byte, pieceBytes)
-	return &piece
+func newBuffer() any {
+	buffer := make([]byte, bufferBytes)
+	return &buffer
 }
 
-// NewServer returns the backend server at the address.
+// NewServer returns a Server for the backend server at the address.
 func NewServer(address netip.AddrPort) *Server {
 	return &Server{
-		address: address,
-		shared:  &http.Client{Transport: newTransport(false)},
-		single:  &http.Client{Transport: newTransport(true)},
-		pieces:  sync.Pool{New: newPiece},
+		address:   address,
+		reusing:   &http.Client{Transport: newTransport(false)},
+		singleUse: &http.Client{Transport: newTransport(true)},
+		buffers:   sync.Pool{New: newBuffer},
 	}
 }
 
-func newTransport(single bool) *http.Transport {
+func newTransport(singleUse bool) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
-		DisableKeepAlives:   single,
+		DisableKeepAlives:   singleUse,
 		DisableCompression:  true,
-		MaxIdleConns:        idleConnections,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConns:        maxIdleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     idleTimeout,
 	}
 }
 
-// Send runs the call and hands the answer's pieces to the sink as they arrive.
-func (s *Server) Send(ctx context.Context, call Call, sink Sink) Ending {
+// Send sends the call and passes the parts of the answer to the sink as they arrive.
+func (s *Server) Send(ctx context.Context, call Call, sink Sink) CallResult {
 	request, err := s.newRequest(ctx, call)
 	if err != nil {
-		return Ending{Result: codes.NewResult(codes.BadRequest, err.Error())}
+		return CallResult{Failure: codes.NewResult(codes.BadRequest, err.Error())}
 	}
-	client := s.shared
+	client := s.reusing
 	if !call.Idempotent {
-		client = s.single
+		client = s.singleUse
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return Ending{Result: describeSendError(ctx, err)}
+		return CallResult{Failure: sendFailure(ctx, err)}
 	}
 	defer func() { _ = response.Body.Close() }()
-	ending := Ending{Status: response.StatusCode, ContentType: response.Header.Get(contentTypeKey)}
-	s.copyAnswer(ctx, call, response.Body, sink, &ending)
-	if ending.Result == nil && response.StatusCode >= http.StatusInternalServerError {
-		ending.Result = codes.NewResult(codes.BackendFailed, response.Status)
+	result := CallResult{Status: response.StatusCode, ContentType: response.Header.Get(contentTypeHeader)}
+	s.copyAnswer(ctx, call, response.Body, sink, &result)
+	if result.Failure == nil && response.StatusCode >= http.StatusInternalServerError {
+		result.Failure = codes.NewResult(codes.BackendFailed, response.Status)
 	}
-	return ending
+	return result
 }
 
 func (s *Server) newRequest(ctx context.Context, call Call) (*http.Request, error) {
 	url := "http://" + s.address.String() + call.Path
-	// The bare reader has no GetBody, so that the transport cannot send the body twice.
+	// http.NewRequest sets GetBody for a *bytes.Reader. Wrapping the reader hides its type, so the
+	// request has no GetBody and the transport cannot send the body twice.
 	body := struct{ io.Reader }{bytes.NewReader(call.Body)}
 	request, err := http.NewRequestWithContext(ctx, call.Method, url, body)
 	if err != nil {
@@ -145,67 +151,68 @@
 	return request, nil
 }
 
-// describeSendError says "not run" only where no byte can have reached the backend server.
-func describeSendError(ctx context.Context, err error) *codes.Result {
+// sendFailure returns the result for an error of Do. It is "not run" only if the connection could
+// not be opened, so that no byte can have reached the backend server.
+func sendFailure(ctx context.Context, err error) *codes.Result {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return codes.NewResult(codes.NoBackend, err.Error())
 	}
 	if ctx.Err() != nil {
-		return describeContext(ctx)
+		return contextFailure(ctx)
 	}
 	return codes.NewResult(codes.BackendLost, err.Error())
 }
 
-func describeContext(ctx context.Context) *codes.Result {
+func contextFailure(ctx context.Context) *codes.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return codes.NewResult(codes.DeadlineExceeded, "deadline passed while the backend server ran")
 	}
 	return codes.NewResult(codes.Canceled, "canceled while the backend server ran")
 }
 
-func (s *Server) copyAnswer(ctx context.Context, call Call, body io.Reader, sink Sink, ending *Ending) {
-	pooled, _ := s.pieces.Get().(*[]byte)
-	defer s.pieces.Put(pooled)
-	piece := *pooled
+func (s *Server) copyAnswer(ctx context.Context, call Call, body io.Reader, sink Sink, result *CallResult) {
+	pooled, _ := s.buffers.Get().(*[]byte)
+	defer s.buffers.Put(pooled)
+	buffer := *pooled
 	tail := []byte{}
 	for {
-		n, err := body.Read(piece)
+		n, err := body.Read(buffer)
 		if n > 0 {
-			ending.Bytes += uint64(n)
-			tail = keepTail(tail, piece[:n])
-			ending.Tokens += countEvents(call.Stream, piece[:n])
-			if call.MaxBytes > 0 && ending.Bytes > uint64(call.MaxBytes) {
-				ending.Result = codes.NewResult(codes.AnswerTooLarge, "answer over the limit")
+			result.Bytes += uint64(n)
+			tail = appendTail(tail, buffer[:n])
+			result.Tokens += countEvents(call.Stream, buffer[:n])
+			if call.MaxBytes > 0 && result.Bytes > uint64(call.MaxBytes) {
+				result.Failure = codes.NewResult(codes.AnswerTooLarge, "answer over the limit")
 				return
 			}
-			if _, writeErr := sink.Write(piece[:n]); writeErr != nil {
-				ending.Result = codes.NewResult(codes.Canceled, writeErr.Error())
+			if _, writeErr := sink.Write(buffer[:n]); writeErr != nil {
+				result.Failure = codes.NewResult(codes.Canceled, writeErr.Error())
 				return
 			}
 		}
 		if err == io.EOF {
-			ending.Result = checkWhole(call, ending, tail)
+			result.Failure = checkComplete(call, result, tail)
 			return
 		}
 		if err != nil {
-			ending.Result = describeReadError(ctx, err)
+			result.Failure = readFailure(ctx, err)
 			return
 		}
 	}
 }
 
-func describeReadError(ctx context.Context, err error) *codes.Result {
+func readFailure(ctx context.Context, err error) *codes.Result {
 	if ctx.Err() != nil {
-		return describeContext(ctx)
+		return contextFailure(ctx)
 	}
 	return codes.NewResult(codes.AnswerIncomplete, err.Error())
 }
 
-// checkWhole guards against a stream cut at a byte where the connection still
-// closes cleanly: only the [DONE] event shows that the engine finished.
-func checkWhole(call Call, ending *Ending, tail []byte) *codes.Result {
-	if !call.Stream || ending.Status != http.StatusOK {
+// checkComplete detects a stream that was cut although its connection closed cleanly: only the
+// [DONE] event shows that the engine finished.
+func checkComplete(call Call, result *CallResult, tail []byte) *codes.Result {
+	if !call.Stream || result.Status != http.StatusOK {
 		return nil
 	}
 	if !bytes.HasSuffix(bytes.TrimSpace(tail), []byte(doneEvent)) {
@@ -214,17 +221,18 @@
 	return nil
 }
 
-func keepTail(tail, piece []byte) []byte {
-	tail = append(tail, piece...)
-	if len(tail) > doneTailBytes {
-		tail = append(tail[:0], tail[len(tail)-doneTailBytes:]...)
+// appendTail appends to the tail and shortens it to its last tailBytes bytes.
+func appendTail(tail, part []byte) []byte {
+	tail = append(tail, part...)
+	if len(tail) > tailBytes {
+		tail = append(tail[:0], tail[len(tail)-tailBytes:]...)
 	}
 	return tail
 }
 
-func countEvents(stream bool, piece []byte) uint64 {
+func countEvents(stream bool, part []byte) uint64 {
 	if !stream {
 		return 0
 	}
-	return uint64(bytes.Count(piece, []byte(tokenEventEnding)))
+	return uint64(bytes.Count(part, []byte(eventEnd)))
 }
--- a/agent/services/target/target_test.go
+++ b/agent/services/target/target_test.go
@@ -17,52 +17,53 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-func serve(t *testing.T, handler http.HandlerFunc) *target.Server {
+func newServer(t *testing.T, handler http.HandlerFunc) *target.Server {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return target.NewServer(netip.MustParseAddrPort(server.Listener.Addr().String()))
 }
 
-func TestSendStreams(t *testing.T) {
+// A stream is cut although its connection closes cleanly, and the incomplete answer passes as
+// complete.
+func TestSendDetectsCutStream(t *testing.T) {
 	cases := map[string]struct {
 		answer string
 		want   codes.Code
 		tokens uint64
 	}{
-		"whole":           {"data: a\n\ndata: b\n\ndata: [DONE]\n\n", codes.OK, 3},
-		"cut at an event": {"data: a\n\n", codes.AnswerIncomplete, 1},
-		"cut in the end":  {"data: a\n\ndata: [DON", codes.AnswerIncomplete, 1},
-		"empty":           {"", codes.AnswerIncomplete, 0},
+		"complete":              {"data: a\n\ndata: b\n\ndata: [DONE]\n\n", codes.OK, 3},
+		"cut at an event":       {"data: a\n\n", codes.AnswerIncomplete, 1},
+		"cut in the last event": {"data: a\n\ndata: [DON", codes.AnswerIncomplete, 1},
+		"empty":                 {"", codes.AnswerIncomplete, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, c.answer) })
+			s := newServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, c.answer) })
 			got := bytes.Buffer{}
-			ending := s.Send(context.Background(), target.Call{Method: http.MethodPost, Path: "/", Idempotent: true, Stream: true}, &got)
+			result := s.Send(context.Background(), target.Call{Method: http.MethodPost, Path: "/", Idempotent: true, Stream: true}, &got)
 			is.Equal(got.String(), c.answer)
-			is.Equal(ending.Tokens, c.tokens)
+			is.Equal(result.Tokens, c.tokens)
 			if c.want == codes.OK {
-				is.Equal(ending.Result, nil)
+				is.Equal(result.Failure, nil)
 				return
 			}
-			is.Equal(ending.Result.Code, c.want)
+			is.Equal(result.Failure.Code, c.want)
 		})
 	}
 }
 
-// A maker's timber order is billed twice: the order service reads it, runs it
-// and closes the connection without an answer; the HTTP client finds a kept
-// connection broken and sends the order again by itself, because its
+// An order is placed twice: the backend server runs it and closes the connection without an answer.
+// The HTTP client, on a connection that it has used before, then retries by itself, because the
 // Idempotency-Key header makes the POST count as idempotent.
-func TestOrderIsNotSentAgainWhenTheConnectionBreaks(t *testing.T) {
+func TestNonIdempotentCallIsNotRetriedWhenTheConnectionBreaks(t *testing.T) {
 	is := is.New(t)
 	runs := atomic.Int32{}
-	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
 		if runs.Add(1) == 1 {
-			return // a whole answer first, so that a kept connection could be used again
+			return // a complete answer first, so that its connection could be reused
 		}
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
@@ -77,17 +78,19 @@
 		Body:   []byte("two spruce boards"),
 	}
 	first := s.Send(context.Background(), call, io.Discard)
-	is.Equal(first.Result, nil)
+	is.Equal(first.Failure, nil)
 	second := s.Send(context.Background(), call, io.Discard)
-	is.Equal(second.Result.Code, codes.BackendLost)
-	is.Equal(second.Result.Outcome, codes.OutcomeUnknown)
+	is.Equal(second.Failure.Code, codes.BackendLost)
+	is.Equal(second.Failure.Outcome, codes.OutcomeUnknown)
 	is.Equal(runs.Load(), int32(2)) // one run for each Send
 }
 
-func TestNothingListensIsNotRun(t *testing.T) {
+// The backend server does not listen, so a call cannot have reached it; reporting its outcome as
+// unknown would prevent a retry.
+func TestRefusedConnectionIsNotRun(t *testing.T) {
 	is := is.New(t)
 	s := target.NewServer(netip.MustParseAddrPort("127.0.0.1:1"))
-	ending := s.Send(context.Background(), target.Call{Method: http.MethodPost, Path: "/"}, io.Discard)
-	is.Equal(ending.Result.Code, codes.NoBackend)
-	is.Equal(ending.Result.Outcome, codes.OutcomeNotRun)
+	result := s.Send(context.Background(), target.Call{Method: http.MethodPost, Path: "/"}, io.Discard)
+	is.Equal(result.Failure.Code, codes.NoBackend)
+	is.Equal(result.Failure.Outcome, codes.OutcomeNotRun)
 }
