--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -180,7 +180,7 @@
 		Configuration: e.follower,
 		Walker:        walk.NewWalker(e.runner, e.policy, e.fleet, e.follower),
 		Direct:        e.newDirect(),
-		Doorman:       e.stopper,
+		Admission:     e.stopper,
 		Tracer:        e.tracer,
 		Log:           e.log,
 		MaxBodyBytes:  s.Callers.MaxBodyBytes,
--- a/entry/routers/caller/caller.go
+++ b/entry/routers/caller/caller.go
@@ -1,4 +1,5 @@
-// Package caller is the HTTP API for callers: pipelines and plain services.
+// Package caller is the HTTP router of the API for callers. It serves requests of pipelines and calls
+// of plain services.
 package caller
 
 import (
@@ -24,104 +25,113 @@
 	"verbenaroad.example/share/modules/spans"
 )
 
-// The headers of the API beside the usual ones.
+// The request headers with which a caller sets the deadline, priority and idempotency key, and the
+// response header with the id of the request.
 const (
-	HeaderDeadline  = "Verbena-Deadline"
-	HeaderPriority  = "Verbena-Priority"
-	HeaderRequestID = "Verbena-Request-Id"
-	HeaderKey       = "Idempotency-Key"
+	HeaderDeadline       = "Verbena-Deadline"
+	HeaderPriority       = "Verbena-Priority"
+	HeaderRequestID      = "Verbena-Request-Id"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const (
-	bearer          = "Bearer "
-	eventStream     = "text/event-stream"
+	bearerPrefix    = "Bearer "
+	eventStreamType = "text/event-stream"
 	maxKeyBytes     = 255
+	// maxHeaderBytes limits one header value, maxHeadersBytes the names and values of all headers.
 	maxHeaderBytes  = 4096
 	maxHeadersBytes = 32 << 10
 	requestIDBytes  = 12
-	minimumDeadline = time.Millisecond
+	minDeadline     = time.Millisecond
 )
 
-// Doorman admits work unless the instance is draining, and is told when it ends.
-type Doorman interface {
+// Admission decides which requests run while the process is stopping.
+type Admission interface {
+	// AdmitWork reports whether a request may run. A request that may run delays the stop until
+	// EndWork is called with its id.
 	AdmitWork(id string) bool
 	EndWork(id string)
 }
 
-// Options are the parts of a Router.
+// Options are the dependencies and settings of a Router.
 type Options struct {
 	Configuration calls.Configuration
 	Walker        *walk.Walker
 	Direct        *direct.Caller
-	Doorman       Doorman
+	Admission     Admission
 	Tracer        *spans.Tracer
 	Log           *zap.Logger
-	// MaxBodyBytes bounds a request body.
+	// MaxBodyBytes is the size limit of a request body.
 	MaxBodyBytes int
 }
 
-// Router serves the API.
+// Router authenticates the requests of callers, passes them to the walker or the direct caller, and
+// writes the answers.
 type Router struct {
 	options Options
 	results *Results
 }
 
-// NewRouter returns the router.
+// NewRouter returns a router.
 func NewRouter(options Options) *Router {
 	return &Router{options: options, results: NewResults()}
 }
 
-// GetResults returns the figures of the API.
+// GetResults returns the counts of requests by result code.
 func (r *Router) GetResults() *Results { return r.results }
 
-// NewHandler returns the API's routes.
+// NewHandler returns a handler that serves all paths of the API.
 func (r *Router) NewHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/pipelines/{pipeline}", r.serve(r.servePipeline))
 	mux.HandleFunc("/v1/services/{service}/{path...}", r.serve(r.serveService))
-	mux.HandleFunc("/v1/services/{service}", r.serveUnknown) // else the mux redirects it to the path with a slash
-	mux.HandleFunc("/", r.serveUnknown)
+	mux.HandleFunc("/v1/services/{service}", r.serveUnknownRoute) // without it the mux redirects to the path with a slash
+	mux.HandleFunc("/", r.serveUnknownRoute)
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		if !isPlainPath(request.URL.Path) {
-			r.serveUnknown(w, request)
+		if !isCanonicalPath(request.URL.Path) {
+			r.serveUnknownRoute(w, request)
 			return
 		}
 		mux.ServeHTTP(w, request)
 	})
 }
 
-// isPlainPath tells whether the mux leaves the path alone. It redirects any
-// other, and a caller that follows may send its order a second time.
-func isPlainPath(given string) bool {
-	if !strings.HasPrefix(given, "/") {
+// isCanonicalPath reports whether the path is in canonical form, with or without a trailing slash. The
+// mux redirects all other paths, and a client that follows the redirect may send a non-idempotent
+// request a second time.
+func isCanonicalPath(requestPath string) bool {
+	if !strings.HasPrefix(requestPath, "/") {
 		return false
 	}
-	return strings.TrimSuffix(path.Clean(given), "/") == strings.TrimSuffix(given, "/")
+	return strings.TrimSuffix(path.Clean(requestPath), "/") == strings.TrimSuffix(requestPath, "/")
 }
 
-// visit is one request on its way through the API.
-type visit struct {
+// exchange is one request with its response writer.
+type exchange struct {
 	id       string
 	writer   http.ResponseWriter
 	request  *http.Request
 	snapshot *config.Snapshot
 	team     *config.Team
 	priority config.Priority
-	// deadline is what the caller asked for; 0: the default of what is called.
+	// deadline is the duration that the caller set; 0: the default of the pipeline or service.
 	deadline time.Duration
 	started  time.Time
 	body     []byte
 }
 
-type handler func(ctx context.Context, v *visit) *codes.Result
+// handler serves one request. It returns nil if it has written the answer, else the result that is
+// still to be written.
+type handler func(ctx context.Context, x *exchange) *codes.Result
 
-func (r *Router) serveUnknown(w http.ResponseWriter, request *http.Request) {
-	v := &visit{id: newRequestID(), writer: w, request: request, started: time.Now()}
-	w.Header().Set(HeaderRequestID, v.id)
-	r.finish(v, codes.NewResult(codes.UnknownRoute, "see docs/CALLER-API.md for methods and paths"))
+// serveUnknownRoute answers a request whose method or path is not part of the API.
+func (r *Router) serveUnknownRoute(w http.ResponseWriter, request *http.Request) {
+	x := &exchange{id: newRequestID(), writer: w, request: request, started: time.Now()}
+	w.Header().Set(HeaderRequestID, x.id)
+	r.finish(x, codes.NewResult(codes.UnknownRoute, "see docs/CALLER-API.md for methods and paths"))
 }
 
-// Refuse answers what the server could not hand to the router.
+// Refuse returns the answer to a request that the HTTP server refused before it reached the router.
 func (r *Router) Refuse(reason httpd.Reason, detail string) (status int, body []byte) {
 	result := codes.NewResult(httpd.CodeOf(reason), detail)
 	r.results.add(result)
@@ -132,56 +142,58 @@
 	return codes.GetEntry(result.Code).Status, body
 }
 
-// serve does what all routes share: identity, limits, tracing and the final result.
+// serve returns the HTTP handler of a route. It does what all routes have in common: admission,
+// tracing, authentication, limits and the final result.
 func (r *Router) serve(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
-		v := &visit{id: newRequestID(), writer: w, request: request, started: time.Now()}
-		w.Header().Set(HeaderRequestID, v.id)
-		if !r.options.Doorman.AdmitWork(v.id) {
+		x := &exchange{id: newRequestID(), writer: w, request: request, started: time.Now()}
+		w.Header().Set(HeaderRequestID, x.id)
+		if !r.options.Admission.AdmitWork(x.id) {
 			w.Header().Set("Connection", "close")
-			r.writeResult(v, codes.NewResult(codes.Draining, "the instance is stopping"))
+			r.writeResult(x, codes.NewResult(codes.Draining, "the instance is stopping"))
 			return
 		}
-		defer r.options.Doorman.EndWork(v.id)
+		defer r.options.Admission.EndWork(x.id)
 		ctx := r.options.Tracer.Extract(request.Context(), request.Header.Get("traceparent"))
-		ctx, span := r.options.Tracer.Start(ctx, "entry.request", attribute.String("request-id", v.id))
+		ctx, span := r.options.Tracer.Start(ctx, "entry.request", attribute.String("request-id", x.id))
 		defer span.End()
-		result := r.identify(ctx, v)
+		result := r.prepare(ctx, x)
 		if result == nil {
-			result = next(ctx, v)
+			result = next(ctx, x)
 		}
-		r.finish(v, result)
+		r.finish(x, result)
 		if result != nil {
 			span.SetAttributes(attribute.Int("code", int(result.Code)))
 		}
 	}
 }
 
-// identify reads who calls, and with what deadline and priority.
-func (r *Router) identify(ctx context.Context, v *visit) *codes.Result {
+// prepare authenticates the team and reads the priority, the deadline and the body. It returns a
+// result if the request is refused.
+func (r *Router) prepare(ctx context.Context, x *exchange) *codes.Result {
 	snapshot, refusal := r.options.Configuration.GetUsable(ctx)
 	if refusal != nil {
 		return refusal
 	}
-	v.snapshot = snapshot
-	if result := checkHeaders(v.request.Header); result != nil {
+	x.snapshot = snapshot
+	if result := checkHeaders(x.request.Header); result != nil {
 		return result
 	}
-	token, found := strings.CutPrefix(v.request.Header.Get("Authorization"), bearer)
+	token, found := strings.CutPrefix(x.request.Header.Get("Authorization"), bearerPrefix)
 	if !found {
 		return codes.NewResult(codes.BadToken, "send the team's token as Authorization: Bearer")
 	}
-	v.team = snapshot.GetTeamByToken(token)
-	if v.team == nil {
+	x.team = snapshot.GetTeamByToken(token)
+	if x.team == nil {
 		return codes.NewResult(codes.BadToken, "no team has this token")
 	}
-	if result := v.readPriority(); result != nil {
+	if result := x.readPriority(); result != nil {
 		return result
 	}
-	if result := v.readDeadline(); result != nil {
+	if result := x.readDeadline(); result != nil {
 		return result
 	}
-	return r.readBody(v)
+	return r.readBody(x)
 }
 
 func checkHeaders(header http.Header) *codes.Result {
@@ -194,63 +206,65 @@
 			}
 		}
 	}
-	if len(header.Get(HeaderKey)) > maxKeyBytes {
-		return codes.NewResult(codes.HeaderTooLarge, HeaderKey+" is longer than 255 bytes")
+	if len(header.Get(HeaderIdempotencyKey)) > maxKeyBytes {
+		return codes.NewResult(codes.HeaderTooLarge, HeaderIdempotencyKey+" is longer than 255 bytes")
 	}
 	return nil
 }
 
-// readPriority lets a caller ask for its team's class or a lower one.
-func (v *visit) readPriority() *codes.Result {
-	v.priority = v.team.Priority
-	asked := config.Priority(v.request.Header.Get(HeaderPriority))
-	switch asked {
+// readPriority sets the priority to the requested one if that is lower than the team's, and to the
+// team's otherwise.
+func (x *exchange) readPriority() *codes.Result {
+	x.priority = x.team.Priority
+	requested := config.Priority(x.request.Header.Get(HeaderPriority))
+	switch requested {
 	case "":
 		return nil
 	case config.PriorityUrgent, config.PriorityNormal, config.PriorityBatch:
 	default:
 		return codes.NewResult(codes.BadRequest, HeaderPriority+": want urgent, normal or batch")
 	}
-	if asked.Rank() > v.team.Priority.Rank() {
-		v.priority = asked
+	if requested.Rank() > x.team.Priority.Rank() {
+		x.priority = requested
 	}
 	return nil
 }
 
-func (v *visit) readDeadline() *codes.Result {
-	text := v.request.Header.Get(HeaderDeadline)
+func (x *exchange) readDeadline() *codes.Result {
+	text := x.request.Header.Get(HeaderDeadline)
 	if text == "" {
 		return nil
 	}
 	deadline, err := time.ParseDuration(text)
-	if err != nil || deadline < minimumDeadline {
+	if err != nil || deadline < minDeadline {
 		return codes.NewResult(codes.BadDeadline, HeaderDeadline+": want a duration such as 2500ms")
 	}
-	v.deadline = deadline
+	x.deadline = deadline
 	return nil
 }
 
-// deadlineAt returns when the answer must be there; a caller may shorten the default, not lengthen it.
-func (v *visit) deadlineAt(most time.Duration) time.Time {
-	if v.deadline > 0 && (most <= 0 || v.deadline < most) {
-		most = v.deadline
+// deadlineAt returns the time by which the request must be answered. limit is the default duration of
+// the pipeline or service; a caller can shorten it but not extend it.
+func (x *exchange) deadlineAt(limit time.Duration) time.Time {
+	if x.deadline > 0 && (limit <= 0 || x.deadline < limit) {
+		limit = x.deadline
 	}
-	return v.started.Add(most)
+	return x.started.Add(limit)
 }
 
-func (r *Router) readBody(v *visit) *codes.Result {
+func (r *Router) readBody(x *exchange) *codes.Result {
 	limit := int64(r.options.MaxBodyBytes)
-	if v.request.ContentLength > limit {
+	if x.request.ContentLength > limit {
 		return codes.NewResult(codes.BodyTooLarge, "the body is over the limit")
 	}
-	body, err := io.ReadAll(io.LimitReader(v.request.Body, limit+1))
+	body, err := io.ReadAll(io.LimitReader(x.request.Body, limit+1))
 	if err != nil {
 		return codes.NewResult(codes.BadRequest, err.Error())
 	}
 	if int64(len(body)) > limit {
 		return codes.NewResult(codes.BodyTooLarge, "the body is over the limit")
 	}
-	v.body = body
+	x.body = body
 	return nil
 }
 
@@ -260,7 +274,7 @@
 	return hex.EncodeToString(id)
 }
 
-// accepts tells whether the caller wants server-sent events.
-func (v *visit) acceptsEvents() bool {
-	return strings.Contains(v.request.Header.Get("Accept"), eventStream)
+// acceptsEvents reports whether the caller accepts server-sent events.
+func (x *exchange) acceptsEvents() bool {
+	return strings.Contains(x.request.Header.Get("Accept"), eventStreamType)
 }
--- a/entry/routers/caller/caller_test.go
+++ b/entry/routers/caller/caller_test.go
@@ -17,9 +17,10 @@
 
 const question = `{"input": "which plectrum?"}`
 
-// Whatever cannot be served gets one numbered body that says "not run", and nothing reaches an agent.
+// Guards against a refusal without a result code and the outcome "not run", and against a refused
+// request that reaches an agent.
 func TestRefusalsRunNothing(t *testing.T) {
-	const notes = "/v1/pipelines/notes"
+	const notesPath = "/v1/pipelines/notes"
 	tests := []struct {
 		name   string
 		raw    string
@@ -29,40 +30,40 @@
 		{"unknown pipeline", request("POST", "/v1/pipelines/none", question), 404, codes.UnknownPipeline},
 		{"unknown service", request("POST", "/v1/services/none/orders", "{}"), 404, codes.UnknownService},
 		{"unknown route", request("POST", "/v1/services/orders/bills", "{}"), 404, codes.UnknownRoute},
-		{"method that the route lacks", request("DELETE", "/v1/services/orders/orders", ""), 404, codes.UnknownRoute},
+		{"method without a route", request("DELETE", "/v1/services/orders/orders", ""), 404, codes.UnknownRoute},
 		{"unknown path", request("GET", "/", ""), 404, codes.UnknownRoute},
 		{"service without a path", request("POST", "/v1/services/orders", "{}"), 404, codes.UnknownRoute},
 		{"path that the mux would redirect", request("POST", "/v1//pipelines/notes", question), 404, codes.UnknownRoute},
 		{"path with dots", request("POST", "/v1/services/orders/../orders/orders", "{}"), 404, codes.UnknownRoute},
-		{"wrong method", request("GET", notes, ""), 404, codes.UnknownRoute},
-		{"options", request("OPTIONS", notes, ""), 404, codes.UnknownRoute},
-		{"no token", strings.Replace(request("POST", notes, question), "Authorization", "X-Other", 1), 401, codes.BadToken},
-		{"bad token", strings.Replace(request("POST", notes, question), "kranj-token", "guess", 1), 401, codes.BadToken},
-		{"empty token", strings.Replace(request("POST", notes, question), "kranj-token", "", 1), 401, codes.BadToken},
-		{"deadline without unit", request("POST", notes, question, "Verbena-Deadline: 250"), 400, codes.BadDeadline},
-		{"negative deadline", request("POST", notes, question, "Verbena-Deadline: -1s"), 400, codes.BadDeadline},
-		{"deadline of nothing", request("POST", notes, question, "Verbena-Deadline: 0s"), 400, codes.BadDeadline},
-		{"deadline no number can hold", request("POST", notes, question, "Verbena-Deadline: 99999999999h"), 400, codes.BadDeadline},
-		{"unknown priority", request("POST", notes, question, "Verbena-Priority: top"), 400, codes.BadRequest},
-		{"no JSON", request("POST", notes, "input"), 400, codes.BadRequest},
-		{"half of JSON", request("POST", notes, `{"input": "a`), 400, codes.BadRequest},
-		{"no input", request("POST", notes, `{"max-tokens": 3}`), 400, codes.BadRequest},
-		{"negative tokens", request("POST", notes, `{"input": "a", "max-tokens": -3}`), 400, codes.BadRequest},
-		{"no body", request("POST", notes, ""), 400, codes.BadRequest},
-		{"order without key", request("POST", "/v1/services/orders/orders", "{}"), 400, codes.KeyRequired},
+		{"wrong method", request("GET", notesPath, ""), 404, codes.UnknownRoute},
+		{"OPTIONS method", request("OPTIONS", notesPath, ""), 404, codes.UnknownRoute},
+		{"no token", strings.Replace(request("POST", notesPath, question), "Authorization", "X-Other", 1), 401, codes.BadToken},
+		{"bad token", strings.Replace(request("POST", notesPath, question), "kranj-token", "guess", 1), 401, codes.BadToken},
+		{"empty token", strings.Replace(request("POST", notesPath, question), "kranj-token", "", 1), 401, codes.BadToken},
+		{"deadline without unit", request("POST", notesPath, question, "Verbena-Deadline: 250"), 400, codes.BadDeadline},
+		{"negative deadline", request("POST", notesPath, question, "Verbena-Deadline: -1s"), 400, codes.BadDeadline},
+		{"zero deadline", request("POST", notesPath, question, "Verbena-Deadline: 0s"), 400, codes.BadDeadline},
+		{"deadline that overflows", request("POST", notesPath, question, "Verbena-Deadline: 99999999999h"), 400, codes.BadDeadline},
+		{"unknown priority", request("POST", notesPath, question, "Verbena-Priority: top"), 400, codes.BadRequest},
+		{"body that is not JSON", request("POST", notesPath, "input"), 400, codes.BadRequest},
+		{"truncated JSON", request("POST", notesPath, `{"input": "a`), 400, codes.BadRequest},
+		{"no input", request("POST", notesPath, `{"max-tokens": 3}`), 400, codes.BadRequest},
+		{"negative tokens", request("POST", notesPath, `{"input": "a", "max-tokens": -3}`), 400, codes.BadRequest},
+		{"no body", request("POST", notesPath, ""), 400, codes.BadRequest},
+		{"non-idempotent call without key", request("POST", "/v1/services/orders/orders", "{}"), 400, codes.KeyRequired},
 		{"long key", request("POST", "/v1/services/orders/orders", "{}", "Idempotency-Key: "+strings.Repeat("k", 256)), 431, codes.HeaderTooLarge},
-		{"long header", request("POST", notes, question, "X-Long: "+strings.Repeat("h", 5000)), 431, codes.HeaderTooLarge},
-		{"many headers", request("POST", notes, question, manyHeaders(2000)...), 431, codes.HeaderTooLarge},
-		{"more headers than are kept", request("POST", notes, question, manyHeaders(20000)...), 431, codes.HeaderTooLarge},
-		{"endless header", request("POST", notes, question, "X-Long: "+strings.Repeat("h", 1<<20)), 431, codes.HeaderTooLarge},
-		{"body just over the limit", request("POST", notes, strings.Repeat(" ", maxBody+1)), 413, codes.BodyTooLarge},
-		{"body far over the limit", request("POST", notes, strings.Repeat(" ", 100*maxBody)), 413, codes.BodyTooLarge},
-		{"pieces just over the limit", chunked(maxBody + 1), 413, codes.BodyTooLarge},
-		{"pieces far over the limit", chunked(100 * maxBody), 413, codes.BodyTooLarge},
-		{"a length that is none", request("POST", notes, "", "Content-Length: many"), 400, codes.BadRequest},
-		{"a header that is none", request("POST", notes, question, "no colon\x01"), 400, codes.BadRequest},
-		{"no HTTP", "\x16\x03\x01 hello\r\n\r\n", 400, codes.BadRequest},
-		{"unknown verb", request("BREW", notes, ""), 400, codes.BadRequest},
+		{"long header", request("POST", notesPath, question, "X-Long: "+strings.Repeat("h", 5000)), 431, codes.HeaderTooLarge},
+		{"many headers", request("POST", notesPath, question, manyHeaders(2000)...), 431, codes.HeaderTooLarge},
+		{"more header bytes than the server reads", request("POST", notesPath, question, manyHeaders(20000)...), 431, codes.HeaderTooLarge},
+		{"header of 1 MB", request("POST", notesPath, question, "X-Long: "+strings.Repeat("h", 1<<20)), 431, codes.HeaderTooLarge},
+		{"body just over the limit", request("POST", notesPath, strings.Repeat(" ", maxBodyBytes+1)), 413, codes.BodyTooLarge},
+		{"body far over the limit", request("POST", notesPath, strings.Repeat(" ", 100*maxBodyBytes)), 413, codes.BodyTooLarge},
+		{"chunked body just over the limit", chunked(maxBodyBytes + 1), 413, codes.BodyTooLarge},
+		{"chunked body far over the limit", chunked(100 * maxBodyBytes), 413, codes.BodyTooLarge},
+		{"invalid content length", request("POST", notesPath, "", "Content-Length: many"), 400, codes.BadRequest},
+		{"invalid header line", request("POST", notesPath, question, "no colon\x01"), 400, codes.BadRequest},
+		{"not HTTP", "\x16\x03\x01 hello\r\n\r\n", 400, codes.BadRequest},
+		{"unknown method", request("BREW", notesPath, ""), 400, codes.BadRequest},
 	}
 	w := newWorld(t)
 	for _, tt := range tests {
@@ -88,18 +89,21 @@
 	return lines
 }
 
-// chunked returns a request whose body comes in pieces without a length.
+// chunked returns a request whose chunked body, without Content-Length, is at most one chunk longer
+// than size.
 func chunked(size int) string {
-	const piece = 1024
+	const chunkBytes = 1024
 	body := strings.Builder{}
-	for range size / piece {
-		body.WriteString("400\r\n" + strings.Repeat(" ", piece) + "\r\n")
+	for range size / chunkBytes {
+		body.WriteString("400\r\n" + strings.Repeat(" ", chunkBytes) + "\r\n")
 	}
-	body.WriteString("400\r\n" + strings.Repeat(" ", piece) + "\r\n0\r\n\r\n")
+	body.WriteString("400\r\n" + strings.Repeat(" ", chunkBytes) + "\r\n0\r\n\r\n")
 	return request("POST", "/v1/pipelines/notes", "", "Transfer-Encoding: chunked") + body.String()
 }
 
-func TestHeadHasNoBody(t *testing.T) {
+// The answer to a HEAD request has no body: a client would read one as the beginning of the next
+// response on the connection.
+func TestHeadAnswerHasNoBody(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
 	const head = "HEAD /v1/pipelines/notes HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -114,26 +118,26 @@
 	is.True(!strings.Contains(string(text), "unknown-route"))
 }
 
-func TestPriorityCannotRiseAboveTheTeams(t *testing.T) {
-	tests := []struct{ asked, used string }{
+func TestPriorityNeverExceedsTheTeams(t *testing.T) {
+	tests := []struct{ requested, used string }{
 		{"", "normal"}, {"urgent", "normal"}, {"normal", "normal"}, {"batch", "batch"},
 	}
 	for _, tt := range tests {
-		t.Run("asked "+tt.asked, func(t *testing.T) {
+		t.Run("requested "+tt.requested, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(t)
-			more := []string{"Verbena-Priority: " + tt.asked}
-			if tt.asked == "" {
-				more = nil
+			headerLines := []string{"Verbena-Priority: " + tt.requested}
+			if tt.requested == "" {
+				headerLines = nil
 			}
-			a := w.send(t, request("POST", "/v1/pipelines/notes", question, more...))
+			a := w.send(t, request("POST", "/v1/pipelines/notes", question, headerLines...))
 			is.Equal(a.status, http.StatusOK)
 			is.Equal(w.calls()[0].GetPriority(), tt.used)
 		})
 	}
 }
 
-func TestDeadlineCannotBeLengthened(t *testing.T) {
+func TestDeadlineIsNotExtendedByTheCaller(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
 	w.send(t, request("POST", "/v1/pipelines/notes", question, "Verbena-Deadline: 1h"))
@@ -157,18 +161,18 @@
 	is.Equal(w.send(t, strings.Replace(order, "boards\": 2", "boards\": 3", 1)).error.Code, codes.KeyConflict)
 }
 
-// A body that exactly fills the limit is no error.
+// A body of exactly the maximum size is accepted.
 func TestBodyAtTheLimit(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
-	body := question + strings.Repeat(" ", maxBody-len(question))
+	body := question + strings.Repeat(" ", maxBodyBytes-len(question))
 	is.Equal(w.send(t, request("POST", "/v1/pipelines/notes", body)).status, http.StatusOK)
 }
 
-// A caller asks for a stream and stops reading, without closing. The entry
-// must neither keep what piles up nor go on drawing from the engine: it closes
-// the connection, and the work ends in every stage.
-func TestSlowReaderIsCutWithBoundedMemory(t *testing.T) {
+// Guards against unlimited memory use and engine work without end if a caller requests a stream and
+// stops reading without closing the connection. The entry closes the connection, which ends the
+// work of every stage.
+func TestStalledReaderIsDisconnected(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
 	conn, err := net.Dial("tcp", w.server.Address().String())
@@ -177,19 +181,20 @@
 	_, err = io.WriteString(conn, request("POST", "/v1/pipelines/notes", `{"input": "endless"}`, "Accept: text/event-stream"))
 	is.NoErr(err)
 	select {
-	case <-w.ended:
+	case <-w.endlessEnded:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the agent still sends after", w.flooded)
+		t.Fatal("the agent still sends its answer after 30 s; bytes sent:", w.endlessBytes)
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	// 4 MB wait in the entry; the rest is in the sockets' buffers and the stream's window.
-	is.True(w.flooded < 32<<20)
+	// The entry buffers up to 4 MB; the rest is in the socket buffers and the flow-control window
+	// of the stream.
+	is.True(w.endlessBytes < 32<<20)
 }
 
-// Many connections send bodies that are far too long. Each is refused by its
-// announced length, so that the entry's memory does not grow with them.
-func TestLongBodiesDoNotFillTheMemory(t *testing.T) {
+// Guards against memory use that grows with bodies over the limit on many connections. Each body is
+// refused by its Content-Length before it is read.
+func TestLargeBodiesAreNotKeptInMemory(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
 	var before, after runtime.MemStats
@@ -213,17 +218,17 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	// Kept whole, the bodies would take 400 MB.
+	// If the entry kept them in memory, the bodies would take 400 MB.
 	is.True(int64(after.HeapAlloc)-int64(before.HeapAlloc) < 100<<20)
 }
 
-func TestCountsOfResults(t *testing.T) {
+func TestResultCounts(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t)
 	w.send(t, request("GET", "/", ""))
-	w.send(t, request("POST", "/v1/pipelines/notes", strings.Repeat(" ", 2*maxBody)))
+	w.send(t, request("POST", "/v1/pipelines/notes", strings.Repeat(" ", 2*maxBodyBytes)))
 	counts := w.router.GetResults().GetCounts()
 	is.Equal(counts["unknown-route"], uint64(1))
 	is.Equal(counts["body-too-large"], uint64(1))
-	is.Equal(caller.HeaderKey, "Idempotency-Key")
+	is.Equal(caller.HeaderIdempotencyKey, "Idempotency-Key")
 }
--- a/entry/routers/caller/events.go
+++ b/entry/routers/caller/events.go
@@ -7,20 +7,21 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// eventWriter passes server-sent events on to the caller.
+// eventWriter forwards server-sent events to the caller.
 type eventWriter struct {
-	visit *visit
-	// begun is set once the status line is sent.
-	begun bool
+	exchange *exchange
+	// started is set once the status line and headers have been sent.
+	started bool
 }
 
-// Write passes pieces of events on as they come.
+// Write forwards p, which may be any part of one or more events, and flushes it. It returns the
+// error of the request's context if the context has ended.
 func (w *eventWriter) Write(p []byte) (int, error) {
-	w.begin()
-	if err := w.visit.request.Context().Err(); err != nil {
+	w.start()
+	if err := w.exchange.request.Context().Err(); err != nil {
 		return 0, err
 	}
-	n, err := w.visit.writer.Write(p)
+	n, err := w.exchange.writer.Write(p)
 	if err != nil {
 		return n, err
 	}
@@ -28,32 +29,32 @@
 	return n, nil
 }
 
-func (w *eventWriter) begin() {
-	if w.begun {
+func (w *eventWriter) start() {
+	if w.started {
 		return
 	}
-	w.begun = true
-	header := w.visit.writer.Header()
-	header.Set("Content-Type", eventStream)
+	w.started = true
+	header := w.exchange.writer.Header()
+	header.Set("Content-Type", eventStreamType)
 	header.Set("Cache-Control", "no-store")
 	header.Set("Transfer-Encoding", "chunked")
-	w.visit.writer.WriteHeader(http.StatusOK)
+	w.exchange.writer.WriteHeader(http.StatusOK)
 }
 
 func (w *eventWriter) flush() {
-	if flusher, ok := w.visit.writer.(http.Flusher); ok {
+	if flusher, ok := w.exchange.writer.(http.Flusher); ok {
 		flusher.Flush()
 	}
 }
 
-// end writes the end event; a stream without it is incomplete by contract.
+// end writes the end event. The API defines a stream without an end event as incomplete.
 func (w *eventWriter) end(result *codes.Result) {
-	w.begin()
-	body, err := json.Marshal(newErrorBody(w.visit.id, result))
+	w.start()
+	body, err := json.Marshal(newErrorBody(w.exchange.id, result))
 	if err != nil {
 		return
 	}
-	// The blank line ends an event that was cut in the middle.
-	_, _ = w.visit.writer.Write([]byte("\n\nevent: end\ndata: " + string(body) + "\n\n"))
+	// The blank line terminates an event that was cut off in the middle.
+	_, _ = w.exchange.writer.Write([]byte("\n\nevent: end\ndata: " + string(body) + "\n\n"))
 	w.flush()
 }
--- a/entry/routers/caller/results.go
+++ b/entry/routers/caller/results.go
@@ -13,7 +13,8 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// ErrorBody is the one error body of the API.
+// ErrorBody is the body of every answer that reports a failure, and the data of the end event of a
+// stream.
 type ErrorBody struct {
 	Code       codes.Code    `json:"code"`
 	Name       string        `json:"name"`
@@ -37,52 +38,55 @@
 	return body
 }
 
-// writeResult writes a result as the error body, with the header that says when to come back.
-func (r *Router) writeResult(v *visit, result *codes.Result) {
+// writeResult writes a result as an ErrorBody. If the result says how long to wait before a retry, the
+// answer has a Retry-After header.
+func (r *Router) writeResult(x *exchange, result *codes.Result) {
 	if result.RetryAfter > 0 {
 		seconds := int(math.Ceil(result.RetryAfter.Seconds()))
-		v.writer.Header().Set("Retry-After", strconv.Itoa(seconds))
+		x.writer.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
-	_ = v.writeJSON(codes.GetEntry(result.Code).Status, newErrorBody(v.id, result))
+	_ = x.writeJSON(codes.GetEntry(result.Code).Status, newErrorBody(x.id, result))
 }
 
-func (v *visit) writeJSON(status int, body any) *codes.Result {
+// writeJSON writes a body as JSON. If the body cannot be encoded, it writes nothing and returns a
+// result.
+func (x *exchange) writeJSON(status int, body any) *codes.Result {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return codes.NewResult(codes.Internal, err.Error())
 	}
-	v.writer.Header().Set("Content-Type", "application/json")
-	v.writer.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
-	v.writer.WriteHeader(status)
-	if v.request.Method == http.MethodHead {
-		return nil // a body would pass for the next answer of the connection
+	x.writer.Header().Set("Content-Type", "application/json")
+	x.writer.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
+	x.writer.WriteHeader(status)
+	if x.request.Method == http.MethodHead {
+		return nil // the client would read a body as the beginning of the next response
 	}
-	_, _ = v.writer.Write(encoded)
+	_, _ = x.writer.Write(encoded)
 	return nil
 }
 
-// finish writes what is left to write, counts and logs.
-func (r *Router) finish(v *visit, result *codes.Result) {
+// finish writes the result unless it has been written, counts it and logs the request.
+func (r *Router) finish(x *exchange, result *codes.Result) {
 	final := result
 	if final == nil {
 		final = codes.NewResult(codes.OK, "")
 	}
-	if result != nil && result.Detail != sentInEnd {
-		r.writeResult(v, result)
+	if result != nil && result.Detail != sentInEndEvent {
+		r.writeResult(x, result)
 	}
-	took := time.Since(v.started)
+	duration := time.Since(x.started)
 	r.results.add(final)
 	team := ""
-	if v.team != nil {
-		team = v.team.Name
+	if x.team != nil {
+		team = x.team.Name
 	}
 	r.options.Log.Info("request-ended",
-		zap.String("request-id", v.id),
+		zap.String("request-id", x.id),
 		zap.String("team", team),
-		zap.String("path", v.request.URL.Path),
+		zap.String("path", x.request.URL.Path),
 		zap.Uint32("code", uint32(final.Code)),
 		zap.String("outcome", string(final.Outcome)),
-		zap.Duration("took", took),
+		zap.Duration("took", duration),
 		zap.String("detail", final.Detail),
 	)
 }
@@ -90,27 +94,27 @@
 // Results counts requests by result code.
 type Results struct {
 	lock sync.Mutex
-	// codes counts by name.
-	codes map[string]uint64
+	// counts has the names of result codes as keys.
+	counts map[string]uint64
 }
 
-// NewResults returns zero counts.
+// NewResults returns a Results without any counted request.
 func NewResults() *Results {
-	return &Results{codes: map[string]uint64{}}
+	return &Results{counts: map[string]uint64{}}
 }
 
 func (r *Results) add(result *codes.Result) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.codes[result.Code.Name()]++
+	r.counts[result.Code.Name()]++
 }
 
-// GetCounts returns the number of requests by the name of their result code.
+// GetCounts returns the number of requests for each name of a result code.
 func (r *Results) GetCounts() map[string]uint64 {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	out := make(map[string]uint64, len(r.codes))
-	for name, count := range r.codes {
+	out := make(map[string]uint64, len(r.counts))
+	for name, count := range r.counts {
 		out[name] = count
 	}
 	return out
--- a/entry/routers/caller/routes.go
+++ b/entry/routers/caller/routes.go
@@ -12,14 +12,14 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// PipelineRequest is the body of a pipeline's request.
+// PipelineRequest is the JSON body of a request of a pipeline.
 type PipelineRequest struct {
 	Input string `json:"input"`
-	// MaxTokens may lower the generate stage's limit.
+	// MaxTokens lowers the limit of the generate stage; 0: the limit of the stage.
 	MaxTokens int `json:"max-tokens"`
 }
 
-// PipelineAnswer is the JSON answer of a pipeline.
+// PipelineAnswer is the JSON body of the answer to a request of a pipeline.
 type PipelineAnswer struct {
 	RequestID string             `json:"request-id"`
 	Text      string             `json:"text"`
@@ -28,33 +28,35 @@
 	Stages    []walk.StageReport `json:"stages"`
 }
 
-func (r *Router) servePipeline(ctx context.Context, v *visit) *codes.Result {
-	pipeline := v.snapshot.GetPipelineByName(v.request.PathValue("pipeline"))
+// servePipeline runs a pipeline and answers with JSON, or with server-sent events if the caller
+// accepts them.
+func (r *Router) servePipeline(ctx context.Context, x *exchange) *codes.Result {
+	pipeline := x.snapshot.GetPipelineByName(x.request.PathValue("pipeline"))
 	if pipeline == nil {
-		return codes.NewResult(codes.UnknownPipeline, "no pipeline "+v.request.PathValue("pipeline"))
+		return codes.NewResult(codes.UnknownPipeline, "no pipeline "+x.request.PathValue("pipeline"))
 	}
 	body := PipelineRequest{}
-	if err := json.Unmarshal(v.body, &body); err != nil || body.Input == "" || body.MaxTokens < 0 {
+	if err := json.Unmarshal(x.body, &body); err != nil || body.Input == "" || body.MaxTokens < 0 {
 		return codes.NewResult(codes.BadRequest, `want a JSON body such as {"input": "text", "max-tokens": 100}`)
 	}
 	q := &walk.Request{
-		ID:        v.id,
+		ID:        x.id,
 		Pipeline:  pipeline,
-		Team:      v.team,
-		Priority:  v.priority,
-		Deadline:  v.deadlineAt(pipeline.Deadline.Value()),
+		Team:      x.team,
+		Priority:  x.priority,
+		Deadline:  x.deadlineAt(pipeline.Deadline.Value()),
 		Input:     body.Input,
 		MaxTokens: body.MaxTokens,
 	}
-	if v.acceptsEvents() {
-		return r.streamPipeline(ctx, v, q)
+	if x.acceptsEvents() {
+		return r.streamPipeline(ctx, x, q)
 	}
 	answer, result := r.options.Walker.Run(ctx, q)
 	if result != nil {
 		return result
 	}
-	return v.writeJSON(http.StatusOK, PipelineAnswer{
-		RequestID: v.id,
+	return x.writeJSON(http.StatusOK, PipelineAnswer{
+		RequestID: x.id,
 		Text:      answer.Text,
 		Documents: answer.Documents,
 		Tokens:    answer.Tokens,
@@ -62,13 +64,13 @@
 	})
 }
 
-// streamPipeline sends the last stage's events as they come. Once the first
-// has gone out the HTTP status cannot change, so the end event carries the result.
-func (r *Router) streamPipeline(ctx context.Context, v *visit, q *walk.Request) *codes.Result {
-	stream := &eventWriter{visit: v}
+// streamPipeline forwards the events of the last stage as they arrive. The HTTP status cannot change
+// after the first event, so the result is sent in a final end event.
+func (r *Router) streamPipeline(ctx context.Context, x *exchange, q *walk.Request) *codes.Result {
+	stream := &eventWriter{exchange: x}
 	q.Sink = stream
 	_, result := r.options.Walker.Run(ctx, q)
-	if result != nil && !stream.begun {
+	if result != nil && !stream.started {
 		return result
 	}
 	final := result
@@ -76,52 +78,54 @@
 		final = codes.NewResult(codes.OK, "")
 	}
 	stream.end(final)
-	return streamed(result)
+	return markSent(result)
 }
 
-// streamed marks a result that the end event has carried already.
-func streamed(result *codes.Result) *codes.Result {
+// markSent returns a copy of a result that is marked as sent in the end event, or nil for nil.
+func markSent(result *codes.Result) *codes.Result {
 	if result == nil {
 		return nil
 	}
-	return &codes.Result{Code: result.Code, Outcome: result.Outcome, Detail: sentInEnd}
+	return &codes.Result{Code: result.Code, Outcome: result.Outcome, Detail: sentInEndEvent}
 }
 
-const sentInEnd = "sent in the end event"
+// sentInEndEvent is the detail that tells finish not to write the result again.
+const sentInEndEvent = "sent in the end event"
 
-func (r *Router) serveService(ctx context.Context, v *visit) *codes.Result {
-	service := v.snapshot.GetServiceByName(v.request.PathValue("service"))
+// serveService runs one call of a plain service and forwards its answer.
+func (r *Router) serveService(ctx context.Context, x *exchange) *codes.Result {
+	service := x.snapshot.GetServiceByName(x.request.PathValue("service"))
 	if service == nil {
-		return codes.NewResult(codes.UnknownService, "no service "+v.request.PathValue("service"))
+		return codes.NewResult(codes.UnknownService, "no service "+x.request.PathValue("service"))
 	}
-	path := "/" + v.request.PathValue("path")
-	route := direct.FindRoute(service, v.request.Method, path)
+	path := "/" + x.request.PathValue("path")
+	route := direct.FindRoute(service, x.request.Method, path)
 	if route == nil {
-		return codes.NewResult(codes.UnknownRoute, service.Name+" offers no "+v.request.Method+" "+path)
+		return codes.NewResult(codes.UnknownRoute, service.Name+" offers no "+x.request.Method+" "+path)
 	}
-	if query := v.request.URL.RawQuery; query != "" {
+	if query := x.request.URL.RawQuery; query != "" {
 		path += "?" + query
 	}
 	answer, result := r.options.Direct.Run(ctx, &direct.Request{
-		ID:          v.id,
+		ID:          x.id,
 		Service:     service,
 		Route:       route,
-		Team:        v.team,
-		Priority:    v.priority,
-		Deadline:    v.deadlineAt(service.Deadline.Value()),
-		Method:      v.request.Method,
+		Team:        x.team,
+		Priority:    x.priority,
+		Deadline:    x.deadlineAt(service.Deadline.Value()),
+		Method:      x.request.Method,
 		Path:        path,
-		ContentType: v.request.Header.Get("Content-Type"),
-		Body:        v.body,
-		Key:         strings.TrimSpace(v.request.Header.Get(HeaderKey)),
+		ContentType: x.request.Header.Get("Content-Type"),
+		Body:        x.body,
+		Key:         strings.TrimSpace(x.request.Header.Get(HeaderIdempotencyKey)),
 	})
 	if result != nil {
 		return result
 	}
-	v.writer.Header().Set("Content-Type", answer.ContentType)
-	v.writer.WriteHeader(answer.Status)
-	if v.request.Method != http.MethodHead {
-		_, _ = v.writer.Write(answer.Body)
+	x.writer.Header().Set("Content-Type", answer.ContentType)
+	x.writer.WriteHeader(answer.Status)
+	if x.request.Method != http.MethodHead {
+		_, _ = x.writer.Write(answer.Body)
 	}
 	return nil
 }
--- a/entry/routers/caller/world_test.go
+++ b/entry/routers/caller/world_test.go
@@ -33,11 +33,12 @@
 )
 
 const (
-	maxBody   = 64 << 10
-	floodPart = 32 << 10
+	maxBodyBytes      = 64 << 10
+	endlessEventBytes = 32 << 10
 )
 
-// world is an entry's caller API on nbhttp before one agent behind a session.
+// world is the caller API of an entry, served by nbhttp, and one agent that a session connects to the
+// entry.
 type world struct {
 	server  *httpd.Server
 	router  *caller.Router
@@ -45,36 +46,37 @@
 	claims  map[string]claim.Stored
 
 	lock sync.Mutex
-	// got holds the calls that reached the agent.
-	got []*wire.Call
-	// flooded counts the bytes of endless answers; ended is closed when one could not go on.
-	flooded int
-	ended   chan struct{}
+	// received holds the calls that reached the agent.
+	received []*wire.Call
+	// endlessBytes counts the bytes of endless answers that the agent has written. endlessEnded is
+	// closed when a write of an endless answer fails.
+	endlessBytes int
+	endlessEnded chan struct{}
 }
 
 func newWorld(t *testing.T) *world {
 	t.Helper()
-	w := &world{claims: map[string]claim.Stored{}, ended: make(chan struct{})}
-	w.connect(t)
+	w := &world{claims: map[string]claim.Stored{}, endlessEnded: make(chan struct{})}
+	w.connectAgent(t)
 	tracer, err := spans.NewTracer(t.Context(), spans.Options{})
 	must(t, err)
-	budget := policy.NewPolicy(policy.AdmissionDeadline)
-	runner := calls.NewRunner(calls.Options{Fleet: w, Configuration: w, Budget: budget, Tracer: tracer})
+	entryPolicy := policy.NewPolicy(policy.AdmissionDeadline)
+	runner := calls.NewRunner(calls.Options{Fleet: w, Configuration: w, Budget: entryPolicy, Tracer: tracer})
 	w.router = caller.NewRouter(caller.Options{
 		Configuration: w,
-		Walker:        walk.NewWalker(runner, budget, w, w),
+		Walker:        walk.NewWalker(runner, entryPolicy, w, w),
 		Direct: direct.NewCaller(direct.Options{
-			Runner: runner, Policy: budget, Agents: w, Claims: w, Configuration: w, Log: zap.NewNop(),
+			Runner: runner, Policy: entryPolicy, Agents: w, Claims: w, Configuration: w, Log: zap.NewNop(),
 		}),
-		Doorman:      w,
+		Admission:    w,
 		Tracer:       tracer,
 		Log:          zap.NewNop(),
-		MaxBodyBytes: maxBody,
+		MaxBodyBytes: maxBodyBytes,
 	})
 	w.server, err = httpd.NewServer(httpd.Options{
 		Address:      netip.MustParseAddrPort("127.0.0.1:0"),
 		Handler:      w.router.NewHandler(),
-		MaxBodyBytes: maxBody,
+		MaxBodyBytes: maxBodyBytes,
 		Refuse:       w.router.Refuse,
 	})
 	must(t, err)
@@ -89,8 +91,8 @@
 	}
 }
 
-// connect opens a session to the agent.
-func (w *world) connect(t *testing.T) {
+// connectAgent starts the agent and opens a session to it.
+func (w *world) connectAgent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -133,10 +135,10 @@
 	}
 	call := frame.GetCall()
 	w.lock.Lock()
-	w.got = append(w.got, call)
+	w.received = append(w.received, call)
 	w.lock.Unlock()
 	if strings.Contains(string(call.GetBody()), "endless") {
-		w.flood(stream)
+		w.answerEndlessly(stream)
 		return
 	}
 	text := []byte("data: {\"choices\":[{\"text\":\"spruce\"}]}\n\ndata: [DONE]\n\n")
@@ -147,23 +149,24 @@
 	}}})
 }
 
-// flood answers without end until the entry gives the call up.
-func (w *world) flood(stream net.Conn) {
-	defer close(w.ended)
-	go runWatch(stream)
-	piece := []byte("data: {\"choices\":[{\"text\":\"" + strings.Repeat("x", floodPart) + "\"}]}\n\n")
+// answerEndlessly writes answer parts until the entry cancels the call.
+func (w *world) answerEndlessly(stream net.Conn) {
+	defer close(w.endlessEnded)
+	go runAbortWrites(stream)
+	event := []byte("data: {\"choices\":[{\"text\":\"" + strings.Repeat("x", endlessEventBytes) + "\"}]}\n\n")
 	for {
-		if wire.WriteFrame(stream, &wire.Frame{Body: &wire.Frame_Part{Part: &wire.Part{Data: piece}}}) != nil {
+		if wire.WriteFrame(stream, &wire.Frame{Body: &wire.Frame_Part{Part: &wire.Part{Data: event}}}) != nil {
 			return
 		}
 		w.lock.Lock()
-		w.flooded += len(piece)
+		w.endlessBytes += len(event)
 		w.lock.Unlock()
 	}
 }
 
-// runWatch ends the writes of a call whose entry closed its end, as an agent does.
-func runWatch(stream net.Conn) {
+// runAbortWrites makes the writes of a call fail once the entry has closed its end of the stream,
+// as an agent does.
+func runAbortWrites(stream net.Conn) {
 	_, _ = io.Copy(io.Discard, stream)
 	_ = stream.SetWriteDeadline(time.Now())
 }
@@ -171,10 +174,10 @@
 func (w *world) calls() []*wire.Call {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return append([]*wire.Call{}, w.got...)
+	return append([]*wire.Call{}, w.received...)
 }
 
-// ChooseAgent always chooses the one agent.
+// ChooseAgent returns the only agent.
 func (w *world) ChooseAgent(time.Time, fleet.ChooseOptions) (fleet.Attempt, *codes.Result) {
 	return fleet.Attempt{Choice: route.Choice{Name: "agent-1", Incarnation: "i1"}, Session: w.session}, nil
 }
@@ -238,7 +241,7 @@
 	}), nil
 }
 
-// answer is what came back on a connection of its own.
+// answer is the response to a request that was sent on its own connection.
 type answer struct {
 	status int
 	header http.Header
@@ -246,7 +249,8 @@
 	error  caller.ErrorBody
 }
 
-// send writes raw bytes, so that also what no client library would send can be sent.
+// send writes raw bytes on a new connection and reads the response. Raw bytes allow for requests
+// that an HTTP client library would not send.
 func (w *world) send(t *testing.T, raw string) answer {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.server.Address().String())
@@ -255,26 +259,27 @@
 	_ = conn.SetDeadline(time.Now().Add(30 * time.Second))
 	go runWrite(conn, raw)
 	method, _, _ := strings.Cut(raw, " ")
-	got, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: method})
+	response, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: method})
 	must(t, err)
-	text, err := io.ReadAll(got.Body)
+	text, err := io.ReadAll(response.Body)
 	must(t, err)
-	a := answer{status: got.StatusCode, header: got.Header, text: string(text)}
+	a := answer{status: response.StatusCode, header: response.Header, text: string(text)}
 	_ = json.Unmarshal(text, &a.error)
 	return a
 }
 
-// runWrite writes beside the reading: a refusal may come before all is written.
+// runWrite writes raw bytes in its own goroutine, because a refusal may have to be read before all
+// bytes are written.
 func runWrite(conn net.Conn, raw string) {
 	_, _ = io.WriteString(conn, raw)
 }
 
-// request returns the bytes of a request with the team's token; more are further header lines.
-func request(method, path, body string, more ...string) string {
+// request returns the bytes of a request with the team's token and additional header lines.
+func request(method, path, body string, headerLines ...string) string {
 	lines := []string{method + " " + path + " HTTP/1.1", "Host: a", "Authorization: Bearer kranj-token"}
 	if body != "" {
 		lines = append(lines, fmt.Sprintf("Content-Length: %d", len(body)))
 	}
-	lines = append(lines, more...)
+	lines = append(lines, headerLines...)
 	return strings.Join(lines, "\r\n") + "\r\n\r\n" + body
 }
