--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -202,7 +202,7 @@
 	e.admin, group[1] = httpd.NewServer(httpd.Options{
 		Address:      s.Admin.Listen,
 		Handler:      e.newAdmin(),
-		MaxBodyBytes: admin.MaxBody,
+		MaxBodyBytes: admin.MaxBodyBytes,
 		WriteBuffer:  adminWriteBuffer,
 		Refuse:       admin.Refuse,
 		Certificate:  adminCert,
--- a/entry/routers/admin/admin.go
+++ b/entry/routers/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin is the HTTP router of the operators' API.
+// Package admin is the HTTP router of the admin API, which operators use.
 package admin
 
 import (
@@ -13,47 +13,47 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// Changes are the commands on the configuration.
+// Changes changes the configuration.
 type Changes interface {
 	Apply(ctx context.Context, o change.ApplyOptions) head.Answer
 	SetLabels(ctx context.Context, author change.Author, l admapi.LabelChange) head.Answer
 }
 
-// Lookups are the queries of the configuration.
+// Lookups queries the configuration and its history.
 type Lookups interface {
 	FindDocuments(kind config.Kind, name string) (admapi.Config, error)
 	FindMoves(ctx context.Context) ([]config.AcceptedChange, error)
 	GetMoveByChange(ctx context.Context, change string) (*config.AcceptedChange, error)
 }
 
-// Snapshots gives the configuration in force, which holds the operators.
+// Snapshots provides the configuration in force, which includes the operators and their tokens.
 type Snapshots interface {
-	// Snapshot returns nil while there is none.
+	// Snapshot returns nil while this process has no configuration.
 	Snapshot() *config.Snapshot
 }
 
-// Statuses shows the system as this entry sees it.
+// Statuses provides the status of the system as observed by this entry.
 type Statuses interface {
 	GetStatus(ctx context.Context) (admapi.Status, error)
 }
 
-// Drains takes an instance out of every choice, and lets it in again.
+// Drains drains instances, so that no work is routed to them, and undoes drains.
 type Drains interface {
 	SetDrain(ctx context.Context, author change.Author, instance string, c admapi.DrainChange) head.Answer
 }
 
-// Explanations tell why work would go where.
+// Explanations explains how work would be routed.
 type Explanations interface {
 	Explain(ctx context.Context, q explan.Query) (admapi.Explanation, error)
 }
 
-// Claims shows and settles claims of non-idempotent calls.
+// Claims reads and resolves claims of non-idempotent calls.
 type Claims interface {
 	GetClaimByKey(ctx context.Context, team, key string) (admapi.Claim, error)
 	ResolveClaim(ctx context.Context, operator, team, key string, r admapi.ClaimResolution) (admapi.Claim, error)
 }
 
-// Event is one handled request, for the log.
+// Event describes one handled request for the log.
 type Event struct {
 	RequestID string
 	Operator  string
@@ -63,7 +63,8 @@
 	Duration  time.Duration
 }
 
-// Options hold what the router needs.
+// Options are the dependencies and settings of a Router. Statuses, Drains, Explanations and Claims
+// may be nil; the router then refuses the requests that need them.
 type Options struct {
 	Changes      Changes
 	Lookups      Lookups
@@ -72,19 +73,20 @@
 	Drains       Drains
 	Explanations Explanations
 	Claims       Claims
-	// BootstrapSHA256 is the digest of the token that counts while no configuration exists; empty: none.
+	// BootstrapSHA256 is the SHA-256 digest in hex of the bootstrap token, which is valid while no
+	// configuration exists; empty: there is no bootstrap token.
 	BootstrapSHA256 string
-	// Log is called after each request; nil: not at all.
+	// Log is called after each request; nil: requests are not logged.
 	Log func(Event)
 }
 
-// Router serves the admin API.
+// Router authorizes the requests of operators and passes them to the services.
 type Router struct {
 	options Options
 	mux     *http.ServeMux
 }
 
-// NewRouter returns the router; parts left out of the options answer "not found".
+// NewRouter returns a router.
 func NewRouter(o Options) *Router {
 	o.fillStubs()
 	r := &Router{options: o, mux: http.NewServeMux()}
@@ -99,14 +101,15 @@
 	r.mux.ServeHTTP(w, q)
 }
 
-// route is one entry of the table of routes.
+// route is one method and path of the API.
 type route struct {
 	pattern string
-	role    config.Role
-	handle  func(w http.ResponseWriter, c *call)
+	// role is config.RoleChange if only operators with that role may use the route.
+	role   config.Role
+	handle func(w http.ResponseWriter, c *call)
 }
 
-// routes is the one table of the API.
+// routes returns all routes of the API.
 func (r *Router) routes() []route {
 	return []route{
 		{"PUT /admin/v1/changes/{id}", config.RoleChange, r.putChange},
@@ -121,6 +124,6 @@
 		{"POST /admin/v1/drains/{instance}", config.RoleChange, r.postDrain},
 		{"GET /admin/v1/claims/{team}/{key}", config.RoleRead, r.getClaim},
 		{"POST /admin/v1/claims/{team}/{key}", config.RoleChange, r.postClaim},
-		{"/", config.RoleRead, r.getNothing},
+		{"/", config.RoleRead, r.refuseUnknownRoute},
 	}
 }
--- a/entry/routers/admin/admin_test.go
+++ b/entry/routers/admin/admin_test.go
@@ -22,20 +22,21 @@
 	"verbenaroad.example/share/services/store"
 )
 
-// system is the admin API over a key-value service in memory.
+// system is the admin API with a key-value service in memory.
 type system struct {
 	mutex  sync.Mutex
 	index  uint64
 	values map[string]store.Value
-	down   bool
-	// loseAnswers makes swaps take effect and fail, and reads fail.
+	// down makes every operation of the key-value service time out.
+	down bool
+	// loseAnswers makes the next swap of the head take effect and time out. It sets down.
 	loseAnswers bool
 	reader      *store.Reader
 	router      *admin.Router
-	// blind makes the process see no configuration, as one that just started.
-	blind bool
-	// kept is what the process sees in place of the service's configuration, unless nil.
-	kept *config.Loaded
+	// notLoaded means that the process has no configuration, because it has just started.
+	notLoaded bool
+	// stale is the configuration in force in the process; nil: the one in the key-value service.
+	stale *config.Loaded
 }
 
 func newSystem() *system {
@@ -89,10 +90,11 @@
 	return loaded.Snapshot
 }
 
-// GetLoaded loads what the service holds, as if spreading took no time.
+// GetLoaded returns the configuration in force in the process. Unless the process is stale or has just
+// started, that is the one in the key-value service, also while the service is down.
 func (s *system) GetLoaded() *config.Loaded {
-	if s.kept != nil {
-		return s.kept
+	if s.stale != nil {
+		return s.stale
 	}
 	s.mutex.Lock()
 	down := s.down
@@ -104,7 +106,7 @@
 		s.mutex.Unlock()
 	}()
 	answer, err := s.reader.ReadHead(context.Background())
-	if err != nil || answer.Index == 0 || s.blind {
+	if err != nil || answer.Index == 0 || s.notLoaded {
 		return nil
 	}
 	loaded, err := s.reader.Load(context.Background(), nil, answer.Head.Version)
@@ -114,7 +116,7 @@
 	return loaded
 }
 
-const first = `
+const firstTemplate = `
 [[operator]]
 name = "ana"
 token-sha256 = "DIGEST-ANA"
@@ -138,7 +140,7 @@
 		"DIGEST-BOR", config.DigestToken("bor-token"),
 		"DIGEST-KRANJ", config.DigestToken("kranj-token"),
 	)
-	return r.Replace(first)
+	return r.Replace(firstTemplate)
 }
 
 func (s *system) call(t *testing.T, token, method, path, body string) (int, admapi.Error, string) {
@@ -173,13 +175,13 @@
 	}{
 		{"no token", "", http.MethodGet, "/admin/v1/config", 401, codes.BadToken},
 		{"wrong token", "xyz", http.MethodGet, "/admin/v1/config", 401, codes.BadToken},
-		{"bootstrap is over", "bootstrap-token", http.MethodGet, "/admin/v1/config", 401, codes.BadToken},
+		{"bootstrap token after the first change", "bootstrap-token", http.MethodGet, "/admin/v1/config", 401, codes.BadToken},
 		{"a team's token", "kranj-token", http.MethodGet, "/admin/v1/config", 401, codes.BadToken},
 		{"reader reads", "bor-token", http.MethodGet, "/admin/v1/config", 200, codes.OK},
 		{"reader may not change", "bor-token", http.MethodPut, "/admin/v1/changes/x", 403, codes.Forbidden},
 		{"reader may not drain", "bor-token", http.MethodPost, "/admin/v1/drains/x", 403, codes.Forbidden},
-		{"reader may not settle", "bor-token", http.MethodPost, "/admin/v1/claims/a/b", 403, codes.Forbidden},
-		{"not offered", "ana-token", http.MethodGet, "/admin/v1/status", 404, codes.NotFound},
+		{"reader may not resolve claims", "bor-token", http.MethodPost, "/admin/v1/claims/a/b", 403, codes.Forbidden},
+		{"service not in the options", "ana-token", http.MethodGet, "/admin/v1/status", 404, codes.NotFound},
 		{"no such path", "ana-token", http.MethodGet, "/admin/v2", 404, codes.NotFound},
 		{"no such kind", "ana-token", http.MethodGet, "/admin/v1/config/zone", 404, codes.NotFound},
 		{"no such name", "ana-token", http.MethodGet, "/admin/v1/config/team/celje", 404, codes.NotFound},
@@ -201,19 +203,19 @@
 	}
 }
 
-// An entry restarts and has not loaded the configuration yet. Somebody who
-// kept the bootstrap token sends a change there; it must not get through.
-func TestBootstrapTokenEndsWithTheFirstChange(t *testing.T) {
+// The bootstrap token is valid for the first change only. Guards against a second change with it
+// through an entry that has restarted and not loaded the configuration yet.
+func TestBootstrapTokenIsRefusedAfterTheFirstChange(t *testing.T) {
 	is := is.New(t)
 	s := newSystem()
 	s.bootstrap(t)
-	s.blind = true
+	s.notLoaded = true
 	status, e, _ := s.call(t, "bootstrap-token", http.MethodPut, "/admin/v1/changes/second", firstText())
 	is.Equal(status, http.StatusConflict)
 	is.Equal(e.Code, codes.ConfigConflict)
 }
 
-func TestInvalidChangeTellsLines(t *testing.T) {
+func TestInvalidChangeReportsLines(t *testing.T) {
 	is := is.New(t)
 	s := newSystem()
 	s.bootstrap(t)
@@ -228,39 +230,41 @@
 	is.Equal(e.Problems[0].Line, 2)
 }
 
-// The service loses its data. An operator sets a label through an entry that
-// still has revision 1: the team and the operators must still be there.
+// Guards against the loss of all other documents in the first change after the key-value service
+// lost its data. An operator sets a label through an entry that still has revision 1; the team and
+// the operators must be kept.
 func TestLostDataIsRestoredByTheNextChange(t *testing.T) {
 	is := is.New(t)
 	s := newSystem()
 	s.bootstrap(t)
-	s.kept = s.GetLoaded()
+	s.stale = s.GetLoaded()
 	s.values = map[string]store.Value{}
 	status, e, _ := s.call(t, "ana-token", http.MethodPost, "/admin/v1/labels", `{"change-id":"l1","kind":"team","name":"kranj","set":{"tier":"large"}}`)
 	is.Equal(status, http.StatusOK)
-	s.kept = nil
+	s.stale = nil
 	is.True(e.Revision > 1)
 	is.Equal(s.Snapshot().Revision, e.Revision)
 	is.Equal(len(s.Snapshot().Set.Operators), 2)
 	is.Equal(s.Snapshot().GetTeamByName("kranj").Labels["tier"], "large")
 }
 
-// One entry has not heard that an operator was removed and still takes the token.
+// Guards against a change by a removed operator through an entry that has not received the removal
+// yet and still accepts the operator's token.
 func TestRemovedOperatorIsRefusedByAStaleEntry(t *testing.T) {
 	is := is.New(t)
 	s := newSystem()
 	s.bootstrap(t)
-	stale := s.GetLoaded()
+	beforeRemoval := s.GetLoaded()
 	second := strings.Replace(firstText(), config.DigestToken("ana-token"), config.DigestToken("new-token"), 1)
 	status, _, _ := s.call(t, "ana-token", http.MethodPut, "/admin/v1/changes/second", second)
 	is.Equal(status, http.StatusOK)
-	s.kept = stale
+	s.stale = beforeRemoval
 	status, e, _ := s.call(t, "ana-token", http.MethodPut, "/admin/v1/changes/third", firstText())
 	is.Equal(status, http.StatusForbidden)
 	is.Equal(e.Code, codes.Forbidden)
 }
 
-func TestLargeAnswersAreCut(t *testing.T) {
+func TestLargeAnswersAreTruncated(t *testing.T) {
 	is := is.New(t)
 	s := newSystem()
 	s.bootstrap(t)
@@ -300,10 +304,10 @@
 	is.Equal(e.Changes[0].Field, "weight")
 }
 
-// The key-value service takes the change and then goes silent. The operator
-// is told "unknown, ask again"; after the outage the same request under the
-// same change id tells that it was accepted, and so does the query.
-func TestUnknownChangeIsAskedAgain(t *testing.T) {
+// The key-value service stores a change and then stops responding, so the answer is "unknown" with
+// a Retry-After. After the outage, a retry with the same change id and a query both report that the
+// change was accepted.
+func TestUnknownChangeIsReportedAfterTheOutage(t *testing.T) {
 	is := is.New(t)
 	s := newSystem()
 	s.bootstrap(t)
--- a/entry/routers/admin/commands.go
+++ b/entry/routers/admin/commands.go
@@ -17,21 +17,27 @@
 )
 
 const (
-	// MaxBody holds a first configuration of 19,000 teams.
-	MaxBody     = 16 << 20
-	maxSmall    = 64 << 10
+	// MaxBodyBytes is the size limit of a request body. A first configuration of 19,000 teams is
+	// smaller.
+	MaxBodyBytes = 16 << 20
+	// maxJSONBytes is the size limit of a JSON body. Configuration changes, which are TOML,
+	// may be larger.
+	maxJSONBytes = 64 << 10
+	// maxProblems limits the number of problems listed in one answer.
 	maxProblems = 1000
-	comeBack    = time.Second
-	changeIDFit = `^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`
+	// retryAfter is the Retry-After of a change whose verdict is "unavailable" or "unknown".
+	retryAfter      = time.Second
+	changeIDPattern = `^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`
 )
 
+// putChange applies the documents in the body to the configuration, or checks them in a dry run.
 func (r *Router) putChange(w http.ResponseWriter, c *call) {
 	options, err := newApplyOptions(c)
 	if err != nil {
 		c.writeError(w, err)
 		return
 	}
-	options.Text, err = readBody(w, c, MaxBody)
+	options.Text, err = readBody(w, c, MaxBodyBytes)
 	if err != nil {
 		c.writeError(w, err)
 		return
@@ -67,18 +73,18 @@
 }
 
 func checkChangeID(id string) error {
-	fits, err := regexp.MatchString(changeIDFit, id)
-	if err != nil || !fits {
+	matches, err := regexp.MatchString(changeIDPattern, id)
+	if err != nil || !matches {
 		return codes.NewResult(codes.BadRequest, "change-id: want 1 to 100 letters, digits, dots, hyphens or underscores")
 	}
 	return nil
 }
 
-func readBody(w http.ResponseWriter, c *call, most int64) ([]byte, error) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, c.request.Body, most))
+func readBody(w http.ResponseWriter, c *call, limit int64) ([]byte, error) {
+	text, err := io.ReadAll(http.MaxBytesReader(w, c.request.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, codes.NewResult(codes.BodyTooLarge, "the body is over "+strconv.FormatInt(most, 10)+" bytes")
+		return nil, codes.NewResult(codes.BodyTooLarge, "the body is over "+strconv.FormatInt(limit, 10)+" bytes")
 	}
 	if err != nil {
 		return nil, codes.NewResult(codes.BadRequest, "the body could not be read")
@@ -86,8 +92,9 @@
 	return text, nil
 }
 
+// readJSON decodes the body. It refuses bodies with unknown fields.
 func readJSON(w http.ResponseWriter, c *call, into any) error {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, c.request.Body, maxSmall))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, c.request.Body, maxJSONBytes))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(into)
 	if err != nil {
@@ -96,7 +103,7 @@
 	return nil
 }
 
-// writeAnswer turns a verdict into its HTTP answer.
+// writeAnswer writes the answer to a submitted change.
 func (c *call) writeAnswer(w http.ResponseWriter, changeID string, a head.Answer) {
 	changes, omitted := admapi.TruncateChanges(a.Changes)
 	body := admapi.Error{
@@ -125,10 +132,10 @@
 		body.Code = codes.Forbidden
 	case head.VerdictUnavailable:
 		body.Code = codes.StoreUnavailable
-		body.RetryAfter = config.Duration(comeBack)
+		body.RetryAfter = config.Duration(retryAfter)
 	default:
 		body.Code = codes.ChangeUnknown
-		body.RetryAfter = config.Duration(comeBack)
+		body.RetryAfter = config.Duration(retryAfter)
 	}
 	entry := codes.GetEntry(body.Code)
 	body.Outcome = entry.Outcome
@@ -154,6 +161,7 @@
 	c.writeAnswer(w, labels.ChangeID, r.options.Changes.SetLabels(c.request.Context(), c.author(), labels))
 }
 
+// refuseBootstrap refuses a request that was authorized by the bootstrap token.
 func refuseBootstrap(c *call) error {
 	if c.bootstrap {
 		return codes.NewResult(codes.Forbidden, "the bootstrap token allows the first change only")
@@ -161,6 +169,7 @@
 	return nil
 }
 
+// postDrain drains an instance or undoes its drain.
 func (r *Router) postDrain(w http.ResponseWriter, c *call) {
 	var drain admapi.DrainChange
 	err := readJSON(w, c, &drain)
@@ -178,6 +187,7 @@
 	c.writeAnswer(w, drain.ChangeID, answer)
 }
 
+// postClaim sets the outcome of a claim whose outcome is unknown.
 func (r *Router) postClaim(w http.ResponseWriter, c *call) {
 	var resolution admapi.ClaimResolution
 	err := readJSON(w, c, &resolution)
@@ -193,7 +203,7 @@
 	c.write(w, claim, err)
 }
 
-// write answers with a body or with the error.
+// write writes the error if there is one, else the body.
 func (c *call) write(w http.ResponseWriter, body any, err error) {
 	if err != nil {
 		c.writeError(w, err)
--- a/entry/routers/admin/drain_test.go
+++ b/entry/routers/admin/drain_test.go
@@ -15,12 +15,12 @@
 	"verbenaroad.example/share/services/store"
 )
 
-// agents is the list of instances that an entry knows.
-type agents []member.Instance
+// instances are the instances that an entry knows.
+type instances []member.Instance
 
-func (a agents) FindInstances() []member.Instance { return a }
+func (i instances) FindInstances() []member.Instance { return i }
 
-func newDrainSystem(t *testing.T, known agents) *system {
+func newDrainSystem(t *testing.T, known instances) *system {
 	t.Helper()
 	s := newSystem()
 	changes := change.NewService(store.NewWriter(s, s.reader), s)
@@ -34,25 +34,25 @@
 	return s
 }
 
-func twoAgents() agents {
-	return agents{
+func twoAgentsAndOneEntry() instances {
+	return instances{
 		{Name: "llm-1", Role: member.RoleAgent, Service: "llm"},
 		{Name: "llm-2", Role: member.RoleAgent, Service: "llm"},
 		{Name: "entry-1", Role: member.RoleEntry},
 	}
 }
 
-// An operator drains an engine before its host is replaced. Every process that
-// restarts meanwhile must still keep work from it, until the drain is undone.
+// Guards against a drain that ends when a process restarts. An operator drains an engine before its
+// host is replaced, and no process may send work to the engine until the drain is undone.
 func TestDrainIsADocumentOfTheConfiguration(t *testing.T) {
 	is := is.New(t)
-	s := newDrainSystem(t, twoAgents())
+	s := newDrainSystem(t, twoAgentsAndOneEntry())
 	status, _, text := s.call(t, "ana-token", http.MethodPost, "/admin/v1/drains/llm-1", `{"change-id":"d1"}`)
 	is.Equal(status, http.StatusOK)
 	is.True(strings.Contains(text, `"verdict":"accepted"`))
 	is.True(change.IsDrained(s.Snapshot(), "llm-1"))
 	status, e, _ := s.call(t, "ana-token", http.MethodPost, "/admin/v1/drains/llm-1", `{"change-id":"d1"}`)
-	is.Equal(status, http.StatusOK) // asked again under the same id
+	is.Equal(status, http.StatusOK) // a retry with the same change id
 	is.Equal(e.Revision, uint64(2))
 	status, _, _ = s.call(t, "ana-token", http.MethodPost, "/admin/v1/drains/llm-1", `{"change-id":"d2","undo":true}`)
 	is.Equal(status, http.StatusOK)
@@ -62,16 +62,16 @@
 func TestDrainRefusals(t *testing.T) {
 	tests := []struct {
 		name, instance, body string
-		known                agents
+		known                instances
 		code                 codes.Code
 	}{
-		{"unknown name", "llm-7", `{"change-id":"d"}`, twoAgents(), codes.ConfigInvalid},
-		{"an entry", "entry-1", `{"change-id":"d"}`, twoAgents(), codes.ConfigInvalid},
-		{"last of its service", "llm-1", `{"change-id":"d"}`, twoAgents()[:1], codes.ConfigInvalid},
-		{"last by force", "llm-1", `{"change-id":"d","force":true}`, twoAgents()[:1], codes.OK},
-		{"no change id", "llm-1", `{}`, twoAgents(), codes.BadRequest},
-		{"unknown field", "llm-1", `{"change-id":"d","when":"now"}`, twoAgents(), codes.BadRequest},
-		{"undo of none", "llm-1", `{"change-id":"d","undo":true}`, twoAgents(), codes.ConfigInvalid},
+		{"unknown name", "llm-7", `{"change-id":"d"}`, twoAgentsAndOneEntry(), codes.ConfigInvalid},
+		{"an entry", "entry-1", `{"change-id":"d"}`, twoAgentsAndOneEntry(), codes.ConfigInvalid},
+		{"last of its service", "llm-1", `{"change-id":"d"}`, twoAgentsAndOneEntry()[:1], codes.ConfigInvalid},
+		{"last of its service with force", "llm-1", `{"change-id":"d","force":true}`, twoAgentsAndOneEntry()[:1], codes.OK},
+		{"no change id", "llm-1", `{}`, twoAgentsAndOneEntry(), codes.BadRequest},
+		{"unknown field", "llm-1", `{"change-id":"d","when":"now"}`, twoAgentsAndOneEntry(), codes.BadRequest},
+		{"undo without a drain", "llm-1", `{"change-id":"d","undo":true}`, twoAgentsAndOneEntry(), codes.ConfigInvalid},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -83,9 +83,9 @@
 	}
 }
 
-func TestDrainOfBothIsRefused(t *testing.T) {
+func TestDrainOfTheLastAgentIsRefused(t *testing.T) {
 	is := is.New(t)
-	s := newDrainSystem(t, twoAgents())
+	s := newDrainSystem(t, twoAgentsAndOneEntry())
 	status, _, _ := s.call(t, "ana-token", http.MethodPost, "/admin/v1/drains/llm-1", `{"change-id":"d1"}`)
 	is.Equal(status, http.StatusOK)
 	_, e, _ := s.call(t, "ana-token", http.MethodPost, "/admin/v1/drains/llm-2", `{"change-id":"d2"}`)
--- a/entry/routers/admin/guard.go
+++ b/entry/routers/admin/guard.go
@@ -18,18 +18,20 @@
 
 const (
 	headerRequestID = "X-Request-Id"
-	bootstrapName   = "bootstrap"
-	maxRequestID    = 64
+	// bootstrapOperator is the operator name of requests that the bootstrap token authorized.
+	bootstrapOperator = "bootstrap"
+	maxRequestIDBytes = 64
 )
 
-// call is one request of a known operator.
+// call is one request with the operator who sent it.
 type call struct {
 	request   *http.Request
 	requestID string
 	operator  config.Operator
-	// bootstrap is set where the operator came by the bootstrap token.
+	// bootstrap is set if the bootstrap token authorized the request.
 	bootstrap bool
-	status    int
+	// status is the HTTP status of the answer.
+	status int
 }
 
 func (c *call) author() change.Author {
@@ -40,7 +42,8 @@
 	}
 }
 
-// guard finds the operator and checks the role before a route is handled.
+// guard returns the HTTP handler of a route. It authorizes the operator before the route handles the
+// request, and logs the request afterwards.
 func (r *Router) guard(t route) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		started := time.Now()
@@ -70,19 +73,22 @@
 	})
 }
 
-// requestID keeps a caller's id when it is fit for a log line.
+// requestID returns the X-Request-Id header of a request, or a random id if the header is empty,
+// too long or would break the format of a log line.
 func requestID(q *http.Request) string {
 	id := q.Header.Get(headerRequestID)
-	fit := len(id) > 0 && len(id) <= maxRequestID
+	valid := len(id) > 0 && len(id) <= maxRequestIDBytes
 	for _, b := range []byte(id) {
-		fit = fit && b > ' ' && b < 0x7f && b != '"' && b != '='
+		valid = valid && b > ' ' && b < 0x7f && b != '"' && b != '='
 	}
-	if fit {
+	if valid {
 		return id
 	}
 	return rand.Text()
 }
 
+// authorize sets the operator of a call. It returns an error if the token is not valid or the operator
+// lacks the role.
 func (r *Router) authorize(c *call, role config.Role) error {
 	token, found := strings.CutPrefix(c.request.Header.Get("Authorization"), "Bearer ")
 	if !found || token == "" {
@@ -103,18 +109,19 @@
 	return nil
 }
 
-// authorizeBootstrap lets the first change in. A process may see no
-// configuration only because it has not loaded it yet, so that the change
-// itself is bound to be the first one by the compare-and-swap.
+// authorizeBootstrap authorizes a request by the bootstrap token, which is valid only for the first
+// change. A configuration may exist that this process has not loaded yet, so the change is marked
+// as the first one, and its compare-and-swap in the key-value service is refused if a configuration
+// exists.
 func (r *Router) authorizeBootstrap(c *call, token string) error {
-	want := r.options.BootstrapSHA256
-	if want == "" {
+	digest := r.options.BootstrapSHA256
+	if digest == "" {
 		return codes.NewResult(codes.NotReady, "the instance has no configuration yet")
 	}
-	if subtle.ConstantTimeCompare([]byte(config.DigestToken(token)), []byte(want)) != 1 {
+	if subtle.ConstantTimeCompare([]byte(config.DigestToken(token)), []byte(digest)) != 1 {
 		return codes.NewResult(codes.BadToken, "no configuration exists and this is not the bootstrap token")
 	}
-	c.operator = config.Operator{Name: bootstrapName, Role: config.RoleChange}
+	c.operator = config.Operator{Name: bootstrapOperator, Role: config.RoleChange}
 	c.bootstrap = true
 	return nil
 }
@@ -123,7 +130,7 @@
 	c.status = status
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone; there is nobody left to tell.
+	// The error is dropped: it means that the client has disconnected and cannot receive an answer.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
@@ -147,6 +154,7 @@
 	c.writeJSON(w, codes.GetEntry(body.Code).Status, body)
 }
 
+// asResult returns the result that err wraps, else an internal error.
 func asResult(err error) *codes.Result {
 	var result *codes.Result
 	if errors.As(err, &result) {
--- a/entry/routers/admin/queries.go
+++ b/entry/routers/admin/queries.go
@@ -21,8 +21,8 @@
 		c.writeError(w, codes.NewResult(codes.NotFound, "there is no such kind of document"))
 		return
 	}
-	found, err := r.options.Lookups.FindDocuments(kind, c.request.PathValue("name"))
-	c.write(w, found, err)
+	documents, err := r.options.Lookups.FindDocuments(kind, c.request.PathValue("name"))
+	c.write(w, documents, err)
 }
 
 func (r *Router) getHistory(w http.ResponseWriter, c *call) {
@@ -37,18 +37,18 @@
 
 func (r *Router) getExplanation(w http.ResponseWriter, c *call) {
 	query := c.request.URL.Query()
-	asked := explan.Query{
+	work := explan.Query{
 		Team:     query.Get("team"),
 		Pipeline: query.Get("pipeline"),
 		Service:  query.Get("service"),
 		Stage:    query.Get("stage"),
 	}
-	one := (asked.Pipeline == "") != (asked.Service == "")
-	if asked.Team == "" || !one {
+	exactlyOne := (work.Pipeline == "") != (work.Service == "")
+	if work.Team == "" || !exactlyOne {
 		c.writeError(w, codes.NewResult(codes.BadRequest, "want team, and either pipeline or service"))
 		return
 	}
-	explanation, err := r.options.Explanations.Explain(c.request.Context(), asked)
+	explanation, err := r.options.Explanations.Explain(c.request.Context(), work)
 	c.write(w, explanation, err)
 }
 
@@ -57,6 +57,7 @@
 	c.write(w, claim, err)
 }
 
-func (r *Router) getNothing(w http.ResponseWriter, c *call) {
+// refuseUnknownRoute refuses a request whose method or path is not part of the API.
+func (r *Router) refuseUnknownRoute(w http.ResponseWriter, c *call) {
 	c.writeError(w, codes.NewResult(codes.NotFound, "the admin API has no such method and path"))
 }
--- a/entry/routers/admin/refuse.go
+++ b/entry/routers/admin/refuse.go
@@ -9,7 +9,7 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// Refuse answers what the server could not hand to the router.
+// Refuse returns the answer to a request that the HTTP server refused before it reached the router.
 func Refuse(reason httpd.Reason, detail string) (status int, body []byte) {
 	code := httpd.CodeOf(reason)
 	body, err := json.Marshal(admapi.Error{
--- a/entry/routers/admin/stub.go
+++ b/entry/routers/admin/stub.go
@@ -10,7 +10,7 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// stub stands in for a part that a program doesn't offer.
+// stub replaces the services that are nil in the options and refuses all requests.
 type stub struct{}
 
 func (o *Options) fillStubs() {
@@ -28,31 +28,31 @@
 	}
 }
 
-func newErrNotOffered() error {
+func newNotOfferedError() error {
 	return codes.NewResult(codes.NotFound, "this instance does not offer that")
 }
 
-// GetStatus answers not found.
+// GetStatus returns a "not found" error.
 func (stub) GetStatus(context.Context) (admapi.Status, error) {
-	return admapi.Status{}, newErrNotOffered()
+	return admapi.Status{}, newNotOfferedError()
 }
 
-// SetDrain refuses.
+// SetDrain returns the verdict "unavailable".
 func (stub) SetDrain(context.Context, change.Author, string, admapi.DrainChange) head.Answer {
 	return head.Answer{Verdict: head.VerdictUnavailable, Detail: "this instance does not offer that"}
 }
 
-// Explain answers not found.
+// Explain returns a "not found" error.
 func (stub) Explain(context.Context, explan.Query) (admapi.Explanation, error) {
-	return admapi.Explanation{}, newErrNotOffered()
+	return admapi.Explanation{}, newNotOfferedError()
 }
 
-// GetClaimByKey answers not found.
+// GetClaimByKey returns a "not found" error.
 func (stub) GetClaimByKey(context.Context, string, string) (admapi.Claim, error) {
-	return admapi.Claim{}, newErrNotOffered()
+	return admapi.Claim{}, newNotOfferedError()
 }
 
-// ResolveClaim answers not found.
+// ResolveClaim returns a "not found" error.
 func (stub) ResolveClaim(context.Context, string, string, string, admapi.ClaimResolution) (admapi.Claim, error) {
-	return admapi.Claim{}, newErrNotOffered()
+	return admapi.Claim{}, newNotOfferedError()
 }
