--- a/entry/cmds/admission.go
+++ b/entry/cmds/admission.go
@@ -10,13 +10,13 @@
 
 // Admission is the table [admission].
 type Admission struct {
-	// Mode is deadline, or off as a baseline for experiments.
+	// Mode is "deadline", or "off" as a baseline for experiments.
 	Mode string
 }
 
 // Register declares the keys of the section.
 func (a *Admission) Register(fs *flag.FlagSet) {
-	fs.StringVar(&a.Mode, "admission.mode", string(policy.AdmissionDeadline), "`mode`: deadline, or off as a baseline: every request begins")
+	fs.StringVar(&a.Mode, "admission.mode", string(policy.AdmissionDeadline), "`mode`: deadline, or off as a baseline that admits every request")
 }
 
 // Check returns the faults of the section.
--- a/entry/cmds/adopter.go
+++ b/entry/cmds/adopter.go
@@ -8,14 +8,15 @@
 	"verbenaroad.example/share/services/store"
 )
 
-// adopter puts a change that was accepted here in force here at once.
-type adopter struct {
+// adoptingWriter is a writer that puts an accepted change in force in this process at once.
+type adoptingWriter struct {
 	*store.Writer
 	follower *follow.Follower
 }
 
-// Submit carries one change to its verdict.
-func (a *adopter) Submit(ctx context.Context, s head.Submission) head.Answer {
+// Submit submits one change. If the change is known to be accepted, Submit puts the configuration that
+// results from it in force.
+func (a *adoptingWriter) Submit(ctx context.Context, s head.Submission) head.Answer {
 	answer := a.Writer.Submit(ctx, s)
 	if answer.Loaded != nil {
 		a.follower.Adopt(answer.Loaded)
--- a/entry/cmds/operators.go
+++ b/entry/cmds/operators.go
@@ -12,24 +12,24 @@
 	"verbenaroad.example/share/services/store"
 )
 
-func (e *Entry) newAdmin() *admin.Router {
+func (e *Entry) newAdminRouter() *admin.Router {
 	reader := store.NewReader(e.port, store.DefaultPrefix)
 	writer := store.NewWriter(e.port, reader)
-	changes := change.NewService(&adopter{Writer: writer, follower: e.follower}, e.follower)
+	changes := change.NewService(&adoptingWriter{Writer: writer, follower: e.follower}, e.follower)
 	return admin.NewRouter(admin.Options{
 		Changes:         changes,
 		Lookups:         lookup.NewService(reader, e.follower),
 		Snapshots:       e.follower,
-		Statuses:        e.newStatus(),
+		Statuses:        e.newStatusService(),
 		Drains:          change.NewDrainService(changes, e.board),
 		Explanations:    explan.NewService(e.follower, e.fleet, e.board),
 		Claims:          settle.NewService(e.port, e.fleet, e.log),
 		BootstrapSHA256: e.settings.Admin.BootstrapSHA256,
-		Log:             e.logAdmin,
+		Log:             e.logAdminRequest,
 	})
 }
 
-func (e *Entry) newStatus() *status.Service {
+func (e *Entry) newStatusService() *status.Service {
 	return status.NewService(status.Options{
 		Self:          e.settings.Instance.Name,
 		Board:         e.board,
@@ -37,11 +37,11 @@
 		Accounts:      e.policy,
 		Ready:         e.checkReady,
 		Calls:         e.runner.GetCounts().GetReport,
-		Results:       e.router.GetResults().GetCounts,
+		Results:       e.callerRouter.GetResults().GetCounts,
 	})
 }
 
-func (e *Entry) logAdmin(event admin.Event) {
+func (e *Entry) logAdminRequest(event admin.Event) {
 	e.log.Info("admin-request",
 		zap.String("request-id", event.RequestID),
 		zap.String("operator", event.Operator),
--- a/entry/cmds/report.go
+++ b/entry/cmds/report.go
@@ -6,12 +6,12 @@
 	"verbenaroad.example/share/services/procs"
 )
 
-// report is the process's expvar.
+// report returns the figures that the process publishes under /debug/vars.
 func (e *Entry) report() any {
 	calls := e.runner.GetCounts().GetReport()
 	costs := make(map[string]float64, len(calls.Stages))
-	for name, use := range calls.Stages {
-		costs[name] = use.Cost
+	for name, usage := range calls.Stages {
+		costs[name] = usage.Cost
 	}
 	return map[string]any{
 		"role":               "entry",
@@ -20,7 +20,7 @@
 		"sent":               calls.Sent,
 		"retries":            calls.Retries,
 		"resends":            calls.Resends,
-		"results":            e.router.GetResults().GetCounts(),
+		"results":            e.callerRouter.GetResults().GetCounts(),
 		"calls":              calls,
 		"fleet":              e.fleet.GetReport(),
 		"pools":              e.policy.FindReports(time.Now()),
--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -38,35 +38,38 @@
 )
 
 const (
-	// silentBeats is how many heartbeats may be missing before a session counts as silent.
-	silentBeats  = 3.5
+	// silenceFactor is the number of heartbeat intervals for which a session may be silent before it
+	// is closed.
+	silenceFactor = 3.5
+	// closeTimeout limits the time to close the servers and the tracer after the drain.
 	closeTimeout = 2 * time.Second
-	// entriesEvery is how often limits are divided anew among the live entries.
-	entriesEvery = time.Second
-	// adminWriteBuffer holds the documents of 19,000 teams.
+	// entryCountInterval is the interval at which the limits are divided among the live entries.
+	entryCountInterval = time.Second
+	// adminWriteBuffer is the size limit in bytes of the data that waits for one client of the admin
+	// API. The documents of 19,000 teams fit into it.
 	adminWriteBuffer = 32 << 20
 )
 
 // Entry is the assembled process.
 type Entry struct {
-	settings *Settings
-	log      *zap.Logger
-	tracer   *spans.Tracer
-	store    *kvapi.Client
-	port     *kvport.Port
-	follower *follow.Follower
-	board    *status.Board
-	fleet    *fleet.Fleet
-	policy   *policy.Policy
-	runner   *calls.Runner
-	stopper  *stops.Stopper
-	router   *caller.Router
-	callers  *httpd.Server
-	admin    *httpd.Server
-	metrics  *stats.Server
+	settings      *Settings
+	log           *zap.Logger
+	tracer        *spans.Tracer
+	store         *kvapi.Client
+	port          *kvport.Port
+	follower      *follow.Follower
+	board         *status.Board
+	fleet         *fleet.Fleet
+	policy        *policy.Policy
+	runner        *calls.Runner
+	stopper       *stops.Stopper
+	callerRouter  *caller.Router
+	callerServer  *httpd.Server
+	adminServer   *httpd.Server
+	metricsServer *stats.Server
 }
 
-// Serve runs the entry until a signal has stopped it.
+// Serve runs the entry until a signal stops it and the drain has ended.
 func Serve(ctx context.Context, settings *Settings, output io.Writer) error {
 	log, err := logs.NewLogger(output, settings.Log.Level)
 	if err != nil {
@@ -92,10 +95,11 @@
 	return e.serve(ctx)
 }
 
-// build wires the services; none of them does I/O yet.
+// build creates the services and connects them to each other. It does no I/O except reading the TLS
+// files.
 func (e *Entry) build() error {
 	s := e.settings
-	security, err := s.Secure.BuildConfig()
+	sessionTLS, err := s.Secure.BuildConfig()
 	if err != nil {
 		return err
 	}
@@ -114,10 +118,10 @@
 		Log:       e.log,
 		Link: link.Options{
 			Hello:       e.newHello(),
-			TLS:         security,
-			BeatEvery:   s.Routing.BeatEvery,
-			SilentAfter: time.Duration(silentBeats * float64(s.Routing.BeatEvery)),
-			Beat:        e.newBeat,
+			TLS:         sessionTLS,
+			BeatEvery:   s.Routing.HeartbeatInterval,
+			SilentAfter: time.Duration(silenceFactor * float64(s.Routing.HeartbeatInterval)),
+			Beat:        e.newHeartbeat,
 		},
 	})
 	e.runner = calls.NewRunner(calls.Options{
@@ -146,10 +150,11 @@
 	}
 }
 
-func (e *Entry) newBeat() *wire.Beat {
+func (e *Entry) newHeartbeat() *wire.Beat {
 	return e.follower.NewHeartbeat(e.stopper.IsLeaving())
 }
 
+// routeSettings returns the routing settings for one service.
 func (e *Entry) routeSettings(service string) route.Settings {
 	r := route.DefaultSettings()
 	r.Name = e.settings.Instance.Name
@@ -165,7 +170,7 @@
 	return r
 }
 
-// FetchChunks asks an agent for configuration.
+// FetchChunks fetches chunks of the configuration from a peer.
 func (e *Entry) FetchChunks(ctx context.Context, peer string, fetch *wire.Fetch) (*wire.Chunks, error) {
 	return e.fleet.FetchChunks(ctx, peer, fetch)
 }
@@ -174,52 +179,53 @@
 	return procs.CheckReady(e.follower, e.stopper)
 }
 
+// listen starts the servers and publishes their addresses and the figures of the process.
 func (e *Entry) listen() error {
 	s := e.settings
-	e.router = caller.NewRouter(caller.Options{
+	e.callerRouter = caller.NewRouter(caller.Options{
 		Configuration: e.follower,
 		Walker:        walk.NewWalker(e.runner, e.policy, e.fleet, e.follower),
-		Direct:        e.newDirect(),
+		Direct:        e.newDirectCaller(),
 		Admission:     e.stopper,
 		Tracer:        e.tracer,
 		Log:           e.log,
 		MaxBodyBytes:  s.Callers.MaxBodyBytes,
 	})
-	var group [5]error
+	var failures [5]error
 	var callerCert, adminCert *httpd.Certificate
-	callerCert, group[3] = httpd.LoadCertificate(s.Callers.Server.Cert, s.Callers.Server.Key)
-	adminCert, group[4] = httpd.LoadCertificate(s.Admin.Server.Cert, s.Admin.Server.Key)
-	if err := errors.Join(group[:]...); err != nil {
+	callerCert, failures[3] = httpd.LoadCertificate(s.Callers.Server.Cert, s.Callers.Server.Key)
+	adminCert, failures[4] = httpd.LoadCertificate(s.Admin.Server.Cert, s.Admin.Server.Key)
+	if err := errors.Join(failures[:]...); err != nil {
 		return err
 	}
-	e.callers, group[0] = httpd.NewServer(httpd.Options{
+	e.callerServer, failures[0] = httpd.NewServer(httpd.Options{
 		Address:      s.Callers.Listen,
-		Handler:      e.router.NewHandler(),
+		Handler:      e.callerRouter.NewHandler(),
 		MaxBodyBytes: s.Callers.MaxBodyBytes,
-		Refuse:       e.router.Refuse,
+		Refuse:       e.callerRouter.Refuse,
 		Certificate:  callerCert,
 	})
-	e.admin, group[1] = httpd.NewServer(httpd.Options{
+	e.adminServer, failures[1] = httpd.NewServer(httpd.Options{
 		Address:      s.Admin.Listen,
-		Handler:      e.newAdmin(),
+		Handler:      e.newAdminRouter(),
 		MaxBodyBytes: admin.MaxBodyBytes,
 		WriteBuffer:  adminWriteBuffer,
 		Refuse:       admin.Refuse,
 		Certificate:  adminCert,
 	})
-	e.metrics, group[2] = stats.NewServer(s.Metrics.Listen, e.checkReady)
-	if err := errors.Join(group[:]...); err != nil {
+	e.metricsServer, failures[2] = stats.NewServer(s.Metrics.Listen, e.checkReady)
+	if err := errors.Join(failures[:]...); err != nil {
 		return err
 	}
 	expvar.Publish("verbena", expvar.Func(e.report))
 	return s.Metrics.WriteAddresses(map[string]netip.AddrPort{
-		"callers": e.callers.Address(),
-		"admin":   e.admin.Address(),
-		"metrics": e.metrics.Address(),
+		"callers": e.callerServer.Address(),
+		"admin":   e.adminServer.Address(),
+		"metrics": e.metricsServer.Address(),
 	})
 }
 
-func (e *Entry) newDirect() *direct.Caller {
+func (e *Entry) newDirectCaller() *direct.Caller {
 	return direct.NewCaller(direct.Options{
 		Runner:        e.runner,
 		Policy:        e.policy,
@@ -230,7 +236,7 @@
 	})
 }
 
-// serve runs until the drain is over.
+// serve starts the services, waits until the process may exit, and closes the servers and the tracer.
 func (e *Entry) serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -246,24 +252,24 @@
 		Log:       e.log,
 	}).Start(ctx)
 	e.log.Info("started",
-		zap.Stringer("callers", e.callers.Address()),
-		zap.Stringer("admin", e.admin.Address()),
-		zap.Stringer("metrics", e.metrics.Address()),
+		zap.Stringer("callers", e.callerServer.Address()),
+		zap.Stringer("admin", e.adminServer.Address()),
+		zap.Stringer("metrics", e.metricsServer.Address()),
 	)
 	stops.Wait(ctx, e.stopper, e.log)
-	closing, done := context.WithTimeout(context.Background(), closeTimeout)
-	defer done()
+	closeCtx, cancelClose := context.WithTimeout(context.Background(), closeTimeout)
+	defer cancelClose()
 	return errors.Join(
-		e.callers.Shutdown(closing),
-		e.admin.Shutdown(closing),
-		e.metrics.Close(closing),
-		e.tracer.Close(closing),
+		e.callerServer.Shutdown(closeCtx),
+		e.adminServer.Shutdown(closeCtx),
+		e.metricsServer.Close(closeCtx),
+		e.tracer.Close(closeCtx),
 	)
 }
 
-// loopEntries divides limits and committed amounts among the live entries.
+// loopEntries divides limits and committed amounts among the live entries at regular intervals.
 func (e *Entry) loopEntries(ctx context.Context) {
-	ticker := time.NewTicker(entriesEvery)
+	ticker := time.NewTicker(entryCountInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/entry/cmds/settings.go
+++ b/entry/cmds/settings.go
@@ -1,4 +1,4 @@
-// Package cmds assembles the entry from its settings.
+// Package cmds assembles the entry from its settings and runs it.
 package cmds
 
 import (
@@ -12,14 +12,15 @@
 	"verbenaroad.example/share/modules/setup"
 )
 
-const defaultMaxBody = 1 << 20
+const defaultMaxBodyBytes = 1 << 20
 
 // Callers is the table [callers]: the caller API.
 type Callers struct {
 	Listen netip.AddrPort
-	// MaxBodyBytes bounds a request body.
+	// MaxBodyBytes is the size limit of a request body.
 	MaxBodyBytes int
-	// Server is the certificate; the platform's balancer may hold it in place of the entry.
+	// Server is the TLS certificate of the API. It is not set if the platform's load balancer
+	// terminates TLS.
 	Server setup.ServerCert
 }
 
@@ -27,7 +28,7 @@
 func (c *Callers) Register(fs *flag.FlagSet) {
 	fs.TextVar(&c.Listen, "callers.listen", netip.AddrPort{}, "`ip:port` of the caller API")
 	c.Server.Register(fs, "callers")
-	fs.IntVar(&c.MaxBodyBytes, "callers.max-body-bytes", defaultMaxBody, "longest request body in `bytes`")
+	fs.IntVar(&c.MaxBodyBytes, "callers.max-body-bytes", defaultMaxBodyBytes, "longest request body in `bytes`")
 }
 
 // Check returns the faults of the section.
@@ -42,20 +43,22 @@
 	return append(faults, c.Server.Check("callers")...)
 }
 
-// Admin is the table [admin]: the operators' API.
+// Admin is the table [admin]: the API for operators.
 type Admin struct {
 	Listen netip.AddrPort
-	// BootstrapSHA256 is the digest of a token that counts while no configuration exists.
+	// BootstrapSHA256 is the SHA-256 digest in hex of the bootstrap token, which is valid while no
+	// configuration exists; empty: there is no bootstrap token.
 	BootstrapSHA256 string
-	// Linger is the shortest time between announcing a stop and stopping.
+	// Linger is the shortest time from the announcement of a stop to the stop.
 	Linger time.Duration
+	// Server is the TLS certificate of the API. It is required unless Listen is a loopback address.
 	Server setup.ServerCert
 }
 
 // Register declares the keys of the section.
 func (a *Admin) Register(fs *flag.FlagSet) {
 	fs.TextVar(&a.Listen, "admin.listen", netip.AddrPort{}, "`ip:port` of the operators' API")
-	fs.StringVar(&a.BootstrapSHA256, "admin.bootstrap-sha256", "", "SHA-256 `digest` in hex of the token that counts while no configuration exists; empty: none")
+	fs.StringVar(&a.BootstrapSHA256, "admin.bootstrap-sha256", "", "SHA-256 `digest` in hex of the bootstrap token, which is valid while no configuration exists; empty: there is no bootstrap token")
 	a.Server.Register(fs, "admin")
 	fs.DurationVar(&a.Linger, "admin.linger", time.Second, "shortest `time` from announcing a stop to stopping")
 }
@@ -66,24 +69,25 @@
 	if !a.Listen.IsValid() {
 		faults = append(faults, errs.New("admin.listen: must be set to ip:port"))
 	}
-	// Operators' tokens must not cross a network in the clear.
+	// The tokens of operators must not be sent over a network without encryption.
 	if a.Server.Cert == "" && a.Listen.IsValid() && !a.Listen.Addr().IsLoopback() {
 		faults = append(faults, errs.New("admin.listen: %s needs admin.cert; plain is for loopback only", a.Listen))
 	}
 	return faults
 }
 
-// Routing is the table [routing].
+// Routing is the table [routing]: the choice of agents and the sessions to them.
 type Routing struct {
-	// Policy is deadline, or one of the baselines for experiments.
+	// Policy is "deadline", or one of the baselines for experiments.
 	Policy string
-	// SubsetSize is the number of agents of a service that the entry keeps sessions to.
+	// SubsetSize is the number of agents of a service that the entry keeps sessions to. The subset may
+	// widen to SubsetMax while its agents are busy.
 	SubsetSize int
 	SubsetMax  int
 	// RegionRoundTrip is added to the predicted time of a call to another region.
 	RegionRoundTrip time.Duration
-	// BeatEvery is the time between two heartbeats to an agent.
-	BeatEvery time.Duration
+	// HeartbeatInterval is the time between two heartbeats to an agent.
+	HeartbeatInterval time.Duration
 }
 
 // Register declares the keys of the section.
@@ -91,9 +95,9 @@
 	defaults := route.DefaultSettings()
 	fs.StringVar(&r.Policy, "routing.policy", string(defaults.Policy), "`policy`: deadline, or a baseline: random, round-robin, least-outstanding, two-choices")
 	fs.IntVar(&r.SubsetSize, "routing.subset-size", defaults.SubsetSize, "`number` of agents of a service to keep sessions to")
-	fs.IntVar(&r.SubsetMax, "routing.subset-max", defaults.SubsetMax, "`number` of them when they are busy")
-	fs.DurationVar(&r.RegionRoundTrip, "routing.region-round-trip", defaults.RegionRoundTrip, "`time` that a call to another region takes more")
-	fs.DurationVar(&r.BeatEvery, "routing.beat-every", time.Second, "`time` between two heartbeats to an agent")
+	fs.IntVar(&r.SubsetMax, "routing.subset-max", defaults.SubsetMax, "largest `number` of agents of a service to keep sessions to while those agents are busy")
+	fs.DurationVar(&r.RegionRoundTrip, "routing.region-round-trip", defaults.RegionRoundTrip, "additional `time` of a call to another region")
+	fs.DurationVar(&r.HeartbeatInterval, "routing.beat-every", time.Second, "`time` between two heartbeats to an agent")
 }
 
 // Check returns the faults of the section.
@@ -109,13 +113,13 @@
 	if r.SubsetSize < 1 || r.SubsetMax < r.SubsetSize {
 		faults = append(faults, errs.New("routing.subset-size: want 1 to subset-max"))
 	}
-	if r.BeatEvery <= 0 {
+	if r.HeartbeatInterval <= 0 {
 		faults = append(faults, errs.New("routing.beat-every: must be above 0"))
 	}
 	return faults
 }
 
-// Settings are all tables of the entry's settings.
+// Settings holds all tables of the entry's settings.
 type Settings struct {
 	Log      setup.Log
 	Trace    setup.Trace
@@ -131,7 +135,7 @@
 	Admission Admission
 }
 
-// Sections lists the tables for loading and for checks of example files.
+// Sections returns all tables, for loading them and for tests of example files.
 func (s *Settings) Sections() []setup.Section {
 	return []setup.Section{
 		&s.Log, &s.Trace, &s.Instance, &s.Platform, &s.Stop,
--- a/entry/cmds/settings_test.go
+++ b/entry/cmds/settings_test.go
@@ -18,17 +18,17 @@
 
 const example = "../example.toml"
 
-func load(path string, more ...string) (setup.Result, error) {
+func load(path string, flags ...string) (setup.Result, error) {
 	settings := &cmds.Settings{}
 	return setup.Load(settings.Sections(), setup.Options{
 		Program: "entry",
-		Args:    append([]string{"--config", path}, more...),
+		Args:    append([]string{"--config", path}, flags...),
 		Output:  io.Discard,
 	})
 }
 
-// TestExampleHoldsEveryKey fails where a flag is not in the example, the
-// example has another value than the default, or a key that is none.
+// TestExampleHoldsEveryKey fails if a flag is missing from the example, if the example has another
+// value than the default of a flag, or if it has an unknown key.
 func TestExampleHoldsEveryKey(t *testing.T) {
 	is := is.New(t)
 	result, err := load(example, "--check-config")
@@ -50,24 +50,26 @@
 		if f.DefValue == "" || f.DefValue == "invalid AddrPort" {
 			return // the example shows a value that must be set
 		}
-		given := *f
-		is.NoErr(given.Value.Set(toText(value)))
-		is.Equal(f.Name+"="+given.Value.String(), f.Name+"="+f.DefValue)
+		parsed := *f
+		is.NoErr(parsed.Value.Set(toText(value)))
+		is.Equal(f.Name+"="+parsed.Value.String(), f.Name+"="+f.DefValue)
 	})
 }
 
+// toText returns a value as in a TOML file, without quotes.
 func toText(value any) string {
 	text, _ := toml.Marshal(map[string]any{"v": value})
 	return strings.Trim(strings.TrimPrefix(strings.TrimSpace(string(text)), "v = "), "'\"")
 }
 
-// An operator starts a process with a settings file that has several faults.
-// All of them are told at once, one a line, each with file, line and key.
-func TestEveryFaultIsToldAtOnce(t *testing.T) {
+// Guards against settings that an operator has to fix one fault at a time. If a settings file has
+// several faults, all are reported at once, one per line, each with the key, and with file and line
+// if the file sets the key.
+func TestAllFaultsAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile(example)
 	is.NoErr(err)
-	broken := strings.NewReplacer(
+	faulty := strings.NewReplacer(
 		`store = "127.0.0.1:8500"`, `store = "kv.local:8500"`,
 		`list-every = "5s"`, `list-every = "2"`,
 		`grace = "30s"`, `grace = "-1s"`,
@@ -75,27 +77,27 @@
 		`region = "osrednja"`, `zone = "osrednja"`,
 		`share = 1.0`, `share = 7.5`,
 	).Replace(string(text))
-	path := filepath.Join(t.TempDir(), "broken.toml")
-	is.NoErr(os.WriteFile(path, []byte(broken), 0o600))
+	path := filepath.Join(t.TempDir(), "faulty.toml")
+	is.NoErr(os.WriteFile(path, []byte(faulty), 0o600))
 	_, err = load(path)
 	is.True(err != nil)
-	lines := strings.Split(broken, "\n")
-	at := func(text string) string {
+	lines := strings.Split(faulty, "\n")
+	position := func(prefix string) string {
 		for i, line := range lines {
-			if strings.HasPrefix(line, text) {
+			if strings.HasPrefix(line, prefix) {
 				return path + ":" + strconv.Itoa(i+1) + ": "
 			}
 		}
-		return "no line " + text
+		return "no line with the prefix " + prefix
 	}
 	want := []string{
-		at("zone") + "instance.zone: unknown key",
-		at("store = ") + `platform.store: "kv.local:8500": want ip:port with an IP number; host names are refused`,
-		at("list-every") + `platform.list-every: "2": want a duration with its unit, such as 250ms or 2s`,
-		at("level") + `log.level: "loud" is none of debug, info, warn, error`,
-		at("share") + "trace.share: 7.5 is not from 0 to 1",
+		position("zone") + "instance.zone: unknown key",
+		position("store = ") + `platform.store: "kv.local:8500": want ip:port with an IP number; host names are refused`,
+		position("list-every") + `platform.list-every: "2": want a duration with its unit, such as 250ms or 2s`,
+		position("level") + `log.level: "loud" is none of debug, info, warn, error`,
+		position("share") + "trace.share: 7.5 is not from 0 to 1",
 		"instance.region: must be set",
-		at("grace") + "stop.grace: must not be negative",
+		position("grace") + "stop.grace: must not be negative",
 	}
 	is.Equal(err.Error(), strings.Join(want, "\n"))
 }
@@ -110,7 +112,7 @@
 	is.True(strings.HasSuffix(err.Error(), "callers.cert: goes together with callers.key"))
 }
 
-// TestDeployments checks the settings that stand as examples in deploy/.
+// TestDeployments checks the settings of entries in the example deployments under deploy/.
 func TestDeployments(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("../../deploy/*/settings/entry*.toml")
--- a/entry/main.go
+++ b/entry/main.go
@@ -1,4 +1,5 @@
-// Command entry takes the requests of callers and walks them through their pipelines.
+// Command entry receives the requests of callers, runs them through the stages of their pipelines, and
+// forwards calls of plain services. It also serves the admin API.
 package main
 
 import (
