--- a/entry/routers/caller/caller.go
+++ b/entry/routers/caller/caller.go
@@ -120,8 +120,8 @@
 	body     []byte
 }
 
-// handler serves one request. It returns nil if it has written the answer, else the result that is
-// still to be written.
+// handler serves one request. It returns nil if it has written the answer, else the result with which
+// the request ends. finish writes that result unless its detail is sentInEndEvent.
 type handler func(ctx context.Context, x *exchange) *codes.Result
 
 // serveUnknownRoute answers a request whose method or path is not part of the API.
