--- a/entry/cmds/operators.go
+++ b/entry/cmds/operators.go
@@ -32,7 +32,7 @@
 func (e *Entry) newStatus() *status.Service {
 	return status.NewService(status.Options{
 		Self:          e.settings.Instance.Name,
-		Board:         e.board,
+		View:          e.board,
 		Configuration: e.follower,
 		Accounts:      e.policy,
 		Ready:         e.checkReady,
--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -55,7 +55,7 @@
 	store    *kvapi.Client
 	port     *kvport.Port
 	follower *follow.Follower
-	board    *status.Board
+	board    *status.InstanceView
 	fleet    *fleet.Fleet
 	policy   *policy.Policy
 	runner   *calls.Runner
@@ -104,7 +104,7 @@
 	e.stopper = stops.NewStopper(drain.Settings{Grace: s.Stop.Grace, Linger: min(s.Admin.Linger, s.Stop.Grace)})
 	e.policy = policy.NewPolicy(policy.Admission(s.Admission.Mode))
 	e.follower = procs.NewFollower(s.Instance.Name, s.Instance.Domain, e.port, e, e.log)
-	e.board = status.NewBoard(e.follower)
+	e.board = status.NewInstanceView(e.follower)
 	e.fleet = fleet.NewFleet(fleet.Options{
 		Self:      e.describeSelf(),
 		ListEvery: s.Platform.ListEvery,
--- a/entry/services/status/status.go
+++ b/entry/services/status/status.go
@@ -14,43 +14,45 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// Configuration is the one in force in this process.
+// Configuration returns the configuration in force in this process.
 type Configuration interface {
-	// Snapshot returns nil while there is none.
+	// Snapshot returns nil if the process has no configuration yet.
 	Snapshot() *config.Snapshot
+	// GetRevision returns the revision in force and the age of its confirmation.
 	GetRevision(now time.Time) (uint64, time.Duration)
 }
 
-// Accounts are the pools' accounts.
+// Accounts returns the spend accounts of the pools.
 type Accounts interface {
 	FindReports(now time.Time) []spend.Report
 }
 
-// Options are the parts of a Service.
+// Options are the dependencies of a Service.
 type Options struct {
-	// Self names this entry; its row takes its figures from the process itself.
+	// Self is this entry's name. Its own row takes the revision from this process, not from a
+	// heartbeat.
 	Self          string
-	Board         *Board
+	View          *InstanceView
 	Configuration Configuration
 	Accounts      Accounts
-	// Ready says why the entry takes no work; nil: it takes work.
+	// Ready returns nil if the entry accepts requests, or an error with the reason why not.
 	Ready func() error
-	// Calls and Results give the entry's own counts since its start.
+	// Calls and Results return the entry's own counters since the process started.
 	Calls   func() calls.Report
 	Results func() map[string]uint64
 }
 
-// Service answers the query for the status.
+// Service answers status queries.
 type Service struct {
 	options Options
 }
 
-// NewService returns a service over its parts.
+// NewService returns a service with the given dependencies.
 func NewService(options Options) *Service {
 	return &Service{options: options}
 }
 
-// GetStatus returns what the entry sees now.
+// GetStatus returns the entry's current view of the system.
 func (s *Service) GetStatus(context.Context) (admapi.Status, error) {
 	now := time.Now()
 	revision, age := s.options.Configuration.GetRevision(now)
@@ -64,15 +66,15 @@
 		status.Use = err.Error()
 	}
 	snapshot := s.options.Configuration.Snapshot()
-	for _, instance := range s.options.Board.FindInstances() {
-		status.Instances = append(status.Instances, s.describe(&instance, snapshot, revision))
+	for _, instance := range s.options.View.FindInstances() {
+		status.Instances = append(status.Instances, s.instanceStatus(&instance, snapshot, revision))
 	}
 	s.addPools(&status, now)
 	s.addStages(&status)
 	return status, nil
 }
 
-func (s *Service) describe(i *member.Instance, snapshot *config.Snapshot, own uint64) admapi.InstanceStatus {
+func (s *Service) instanceStatus(i *member.Instance, snapshot *config.Snapshot, own uint64) admapi.InstanceStatus {
 	out := admapi.InstanceStatus{
 		Name:    i.Name,
 		Role:    string(i.Role),
@@ -85,11 +87,11 @@
 		out.State = admapi.StateConnected
 		out.Revision = own
 	}
-	beat := s.options.Board.getBeat(i.Name)
-	if beat != nil {
-		load := beat.GetLoad()
+	heartbeat := s.options.View.getHeartbeat(i.Name)
+	if heartbeat != nil {
+		load := heartbeat.GetLoad()
 		out.State = admapi.StateConnected
-		out.Revision = beat.GetRevision()
+		out.Revision = heartbeat.GetRevision()
 		out.Running = int(load.GetRunning())
 		out.Queued = int(load.GetQueued())
 		out.Slots = int(load.GetSlots())
@@ -98,7 +100,7 @@
 	if snapshot != nil && i.Role == member.RoleAgent && change.IsDrained(snapshot, i.Name) {
 		out.State = admapi.StateDrained
 	}
-	if i.Leaving || beat.GetLeaving() {
+	if i.Leaving || heartbeat.GetLeaving() {
 		out.State = admapi.StateLeaving
 	}
 	return out
--- a/entry/services/status/status_test.go
+++ b/entry/services/status/status_test.go
@@ -17,15 +17,15 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// entry stands for the parts that the status is taken from.
+// entry is a fake of the entry's parts that the status is read from.
 type entry struct {
-	snapshot *config.Snapshot
-	beats    int
-	gone     int
-	lists    int
+	snapshot   *config.Snapshot
+	heartbeats int
+	gone       int
+	lists      int
 }
 
-func (e *entry) OnPeerBeat(string, *wire.Beat, time.Time) { e.beats++ }
+func (e *entry) OnPeerBeat(string, *wire.Beat, time.Time) { e.heartbeats++ }
 func (e *entry) OnPeerGone(string)                        { e.gone++ }
 func (e *entry) OnInstances([]member.Instance)            { e.lists++ }
 func (e *entry) AnswerFetch(*wire.Fetch) *wire.Chunks     { return &wire.Chunks{Revision: 3} }
@@ -40,10 +40,10 @@
 	}}
 }
 
-func newStatus(e *entry, board *status.Board) *status.Service {
+func newStatus(e *entry, view *status.InstanceView) *status.Service {
 	return status.NewService(status.Options{
 		Self:          "entry-1",
-		Board:         board,
+		View:          view,
 		Configuration: e,
 		Accounts:      e,
 		Ready:         func() error { return errors.New("leaving") },
@@ -57,8 +57,8 @@
 func TestStatusOfInstances(t *testing.T) {
 	is := is.New(t)
 	e := &entry{snapshot: config.NewSnapshot(3, config.Set{Rules: []config.Rule{change.DrainRule("llm-3")}})}
-	board := status.NewBoard(e)
-	board.OnInstances([]member.Instance{
+	view := status.NewInstanceView(e)
+	view.OnInstances([]member.Instance{
 		{Name: "llm-1", Role: member.RoleAgent},
 		{Name: "llm-2", Role: member.RoleAgent},
 		{Name: "llm-3", Role: member.RoleAgent},
@@ -68,14 +68,14 @@
 		{Name: "entry-1", Role: member.RoleEntry},
 	})
 	load := &wire.Load{Running: 3, Queued: 1, Slots: 8, WaitNanos: 2000}
-	board.OnPeerBeat("llm-1", &wire.Beat{Revision: 3, Load: load}, time.Time{})
-	board.OnPeerBeat("llm-2", &wire.Beat{Revision: 2, Leaving: true}, time.Time{})
-	board.OnPeerBeat("llm-3", &wire.Beat{Revision: 3, Load: load}, time.Time{})
-	board.OnPeerBeat("llm-6", &wire.Beat{Revision: 3}, time.Time{})
-	board.OnPeerGone("llm-6")
-	is.Equal([]int{e.beats, e.gone, e.lists}, []int{4, 1, 1}) // the board passes everything on
-	is.Equal(board.AnswerFetch(nil).GetRevision(), uint64(3))
-	got, err := newStatus(e, board).GetStatus(t.Context())
+	view.OnPeerBeat("llm-1", &wire.Beat{Revision: 3, Load: load}, time.Time{})
+	view.OnPeerBeat("llm-2", &wire.Beat{Revision: 2, Leaving: true}, time.Time{})
+	view.OnPeerBeat("llm-3", &wire.Beat{Revision: 3, Load: load}, time.Time{})
+	view.OnPeerBeat("llm-6", &wire.Beat{Revision: 3}, time.Time{})
+	view.OnPeerGone("llm-6")
+	is.Equal([]int{e.heartbeats, e.gone, e.lists}, []int{4, 1, 1}) // the view passes everything on
+	is.Equal(view.AnswerFetch(nil).GetRevision(), uint64(3))
+	got, err := newStatus(e, view).GetStatus(t.Context())
 	is.NoErr(err)
 	is.Equal(got.Use, "leaving")
 	want := []struct {
@@ -104,7 +104,7 @@
 func TestStatusOfSpendAndCounts(t *testing.T) {
 	is := is.New(t)
 	e := &entry{}
-	got, err := newStatus(e, status.NewBoard(e)).GetStatus(t.Context())
+	got, err := newStatus(e, status.NewInstanceView(e)).GetStatus(t.Context())
 	is.NoErr(err)
 	is.Equal(got.Pools[0].Idle, 40.0)
 	is.Equal(got.Teams[0], admapi.TeamUse{Pool: "gpu", Stage: "notes/generate", Team: "kranj", Used: 20, Beyond: 1})
