--- a/entry/services/explan/explan.go
+++ b/entry/services/explan/explan.go
@@ -1,5 +1,5 @@
-// Package explan tells operators why work would go where: rule by rule, then
-// by the routing policy's own terms. It decides nothing itself.
+// Package explan explains to operators which agent a call would be sent to and why: by the verdict
+// of each rule, and by the parts of the routing score. It makes no decision itself.
 package explan
 
 import (
@@ -17,9 +17,9 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// Configuration is the one in force in this process.
+// Configuration returns the configuration in force in this process.
 type Configuration interface {
-	// Snapshot returns nil while there is none.
+	// Snapshot returns nil if the process has no configuration yet.
 	Snapshot() *config.Snapshot
 }
 
@@ -28,18 +28,18 @@
 	Explain(now time.Time, options fleet.ChooseOptions) ([]route.Explanation, error)
 }
 
-// Instances are those that the entry knows.
+// Instances returns the instances that the entry knows.
 type Instances interface {
 	FindInstances() []member.Instance
 }
 
-// Query names the work to be explained.
+// Query selects the calls to explain.
 type Query struct {
 	Team string
-	// Pipeline, or Service for direct calls.
+	// Pipeline is the pipeline's name. For direct calls Service is set instead and takes precedence.
 	Pipeline string
 	Service  string
-	// Stage is empty for all stages of the pipeline.
+	// Stage limits the explanation to one stage of the pipeline; empty means all stages.
 	Stage string
 }
 
@@ -50,19 +50,20 @@
 	instances     Instances
 }
 
-// NewService returns a service over its parts.
+// NewService returns a service that uses the given configuration, fleet and instances.
 func NewService(configuration Configuration, agents Fleet, instances Instances) *Service {
 	return &Service{configuration: configuration, fleet: agents, instances: instances}
 }
 
-// work is one stage's work of a team.
-type work struct {
+// stageQuery holds the routing inputs of one team's calls of one stage.
+type stageQuery struct {
 	caller config.Labels
 	stage  config.Labels
 	budget time.Duration
 }
 
-// Explain tells for each stage where the team's work would go now.
+// Explain returns for each selected stage which agents the team's calls would be sent to now, and
+// why.
 func (s *Service) Explain(_ context.Context, q Query) (admapi.Explanation, error) {
 	snapshot := s.configuration.Snapshot()
 	if snapshot == nil {
@@ -87,7 +88,7 @@
 	if service == nil {
 		return nil, codes.NewResult(codes.NotFound, "no service has this name")
 	}
-	servers, err := s.explainServers(snapshot, name, work{
+	servers, err := s.explainServers(snapshot, name, stageQuery{
 		caller: match.CallerLabels(team),
 		stage:  config.Labels{"service": name, "kind": string(service.Kind)},
 		budget: service.Deadline.Value(),
@@ -106,7 +107,7 @@
 		if q.Stage != "" && q.Stage != stage.Name {
 			continue
 		}
-		servers, err := s.explainServers(snapshot, stage.Service, work{
+		servers, err := s.explainServers(snapshot, stage.Service, stageQuery{
 			caller: match.CallerLabels(team),
 			stage:  match.StageLabels(pipeline.Name, stage),
 			budget: pipeline.Deadline.Value(),
@@ -127,31 +128,31 @@
 	return stages, nil
 }
 
-func (s *Service) explainServers(snapshot *config.Snapshot, service string, w work) ([]admapi.ServerExplanation, error) {
-	terms, err := s.fleet.Explain(time.Now(), fleet.ChooseOptions{
+func (s *Service) explainServers(snapshot *config.Snapshot, service string, q stageQuery) ([]admapi.ServerExplanation, error) {
+	explanations, err := s.fleet.Explain(time.Now(), fleet.ChooseOptions{
 		Service:  service,
 		Snapshot: snapshot,
-		Caller:   w.caller,
-		Stage:    w.stage,
-		Budget:   w.budget,
+		Caller:   q.caller,
+		Stage:    q.stage,
+		Budget:   q.budget,
 	})
 	if err != nil {
 		return nil, err
 	}
-	verdicts, err := s.judge(snapshot, service, w)
+	verdicts, err := s.ruleVerdicts(snapshot, service, q)
 	if err != nil {
 		return nil, err
 	}
-	servers := make([]admapi.ServerExplanation, 0, len(terms))
-	for i := range terms {
-		servers = append(servers, newServer(&terms[i], verdicts[terms[i].Name]))
+	servers := make([]admapi.ServerExplanation, 0, len(explanations))
+	for i := range explanations {
+		servers = append(servers, newServer(&explanations[i], verdicts[explanations[i].Name]))
 	}
 	rank(servers)
 	return servers, nil
 }
 
-// judge applies the rules to each known agent of the service.
-func (s *Service) judge(snapshot *config.Snapshot, service string, w work) (map[string][]admapi.RuleVerdict, error) {
+// ruleVerdicts returns the verdict of each rule that applies, for each known agent of the service.
+func (s *Service) ruleVerdicts(snapshot *config.Snapshot, service string, q stageQuery) (map[string][]admapi.RuleVerdict, error) {
 	rules, err := match.Compile(snapshot.Set.Rules)
 	if err != nil {
 		return nil, err
@@ -163,26 +164,26 @@
 		}
 	}
 	verdicts := make(map[string][]admapi.RuleVerdict, len(servers))
-	for _, candidate := range rules.Rank(w.caller, w.stage, servers) {
-		for _, t := range candidate.RuleVerdicts {
-			verdict := admapi.RuleVerdict{Rule: t.Rule, Effect: t.Effect, Matched: t.Matched, Drops: t.Drops, Weight: t.Weight}
+	for _, candidate := range rules.Rank(q.caller, q.stage, servers) {
+		for _, v := range candidate.RuleVerdicts {
+			verdict := admapi.RuleVerdict{Rule: v.Rule, Effect: v.Effect, Matched: v.Matched, Drops: v.Drops, Weight: v.Weight}
 			verdicts[candidate.Server] = append(verdicts[candidate.Server], verdict)
 		}
 	}
 	return verdicts, nil
 }
 
-func newServer(t *route.Explanation, rules []admapi.RuleVerdict) admapi.ServerExplanation {
+func newServer(e *route.Explanation, rules []admapi.RuleVerdict) admapi.ServerExplanation {
 	return admapi.ServerExplanation{
-		Instance:   t.Name,
-		Region:     t.Region,
-		Chosen:     t.Reason == route.ReasonNone,
-		Reason:     string(t.Reason),
-		Score:      round(t.Score),
-		Wait:       round(t.Wait),
-		Slow:       round(t.SlowStartPenalty),
-		Affinity:   round(t.Affinity),
-		Preference: round(t.Preference),
+		Instance:   e.Name,
+		Region:     e.Region,
+		Chosen:     e.Reason == route.ReasonNone,
+		Reason:     string(e.Reason),
+		Score:      round(e.Score),
+		Wait:       round(e.Wait),
+		Slow:       round(e.SlowStartPenalty),
+		Affinity:   round(e.Affinity),
+		Preference: round(e.Preference),
 		Rules:      rules,
 	}
 }
@@ -191,7 +192,8 @@
 	return config.Duration(d.Round(time.Microsecond))
 }
 
-// rank puts those that may be taken first, the least score before the others.
+// rank sorts the servers that could be chosen first, by ascending score, and numbers them; the others
+// follow by name.
 func rank(servers []admapi.ServerExplanation) {
 	slices.SortFunc(servers, func(a, b admapi.ServerExplanation) int {
 		if a.Chosen != b.Chosen {
--- a/entry/services/explan/explan_test.go
+++ b/entry/services/explan/explan_test.go
@@ -16,7 +16,7 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// world is an entry that knows three agents of one service.
+// world is a fake entry that knows three agents of one service.
 type world struct {
 	snapshot  *config.Snapshot
 	instances []member.Instance
@@ -28,7 +28,7 @@
 
 func (w *world) FindInstances() []member.Instance { return w.instances }
 
-// Explain is the fleet's, over a router of the real policy.
+// Explain implements the fleet's Explain with a real router.
 func (w *world) Explain(_ time.Time, o fleet.ChooseOptions) ([]route.Explanation, error) {
 	rules, err := match.Compile(o.Snapshot.Set.Rules)
 	if err != nil {
@@ -52,9 +52,9 @@
 	settings := route.DefaultSettings()
 	settings.Name, settings.Service, settings.Region = "entry-1", "llm", "osrednja"
 	w.router = route.New(settings)
-	for _, place := range [][3]string{{"llm-1", "stajerska", "reserved"}, {"llm-2", "osrednja", "reserved"}, {"llm-3", "osrednja", "spare"}} {
+	for _, agent := range [][3]string{{"llm-1", "stajerska", "reserved"}, {"llm-2", "osrednja", "reserved"}, {"llm-3", "osrednja", "spare"}} {
 		w.instances = append(w.instances, member.Instance{
-			Name: place[0], Role: member.RoleAgent, Service: "llm", Region: place[1], Domain: place[1] + "-1", Labels: config.Labels{"tier": place[2]},
+			Name: agent[0], Role: member.RoleAgent, Service: "llm", Region: agent[1], Domain: agent[1] + "-1", Labels: config.Labels{"tier": agent[2]},
 		})
 	}
 	w.router.OnMembers(w.now, w.instances)
@@ -64,7 +64,7 @@
 	return w
 }
 
-func TestExplainTellsRuleByRule(t *testing.T) {
+func TestExplainListsRuleVerdicts(t *testing.T) {
 	is := is.New(t)
 	w := newWorld()
 	s := explan.NewService(w, w, w)
