--- a/entry/routers/admin/admin.go
+++ b/entry/routers/admin/admin.go
@@ -22,8 +22,8 @@
 // Lookups are the queries of the configuration.
 type Lookups interface {
 	FindDocuments(kind config.Kind, name string) (admapi.Config, error)
-	FindMoves(ctx context.Context) ([]config.AcceptedChange, error)
-	GetMoveByChange(ctx context.Context, change string) (*config.AcceptedChange, error)
+	FindAcceptedChanges(ctx context.Context) ([]config.AcceptedChange, error)
+	GetAcceptedChange(ctx context.Context, change string) (*config.AcceptedChange, error)
 }
 
 // Snapshots gives the configuration in force, which holds the operators.
--- a/entry/routers/admin/queries.go
+++ b/entry/routers/admin/queries.go
@@ -11,7 +11,7 @@
 )
 
 func (r *Router) getChange(w http.ResponseWriter, c *call) {
-	move, err := r.options.Lookups.GetMoveByChange(c.request.Context(), c.request.PathValue("id"))
+	move, err := r.options.Lookups.GetAcceptedChange(c.request.Context(), c.request.PathValue("id"))
 	c.write(w, move, err)
 }
 
@@ -26,7 +26,7 @@
 }
 
 func (r *Router) getHistory(w http.ResponseWriter, c *call) {
-	moves, err := r.options.Lookups.FindMoves(c.request.Context())
+	moves, err := r.options.Lookups.FindAcceptedChanges(c.request.Context())
 	c.write(w, admapi.History{Moves: moves}, err)
 }
 
--- a/entry/services/lookup/lookup.go
+++ b/entry/services/lookup/lookup.go
@@ -1,4 +1,4 @@
-// Package lookup holds the admin API's queries of the configuration.
+// Package lookup implements the admin API's queries of the configuration.
 package lookup
 
 import (
@@ -10,14 +10,14 @@
 	"verbenaroad.example/share/services/store"
 )
 
-// Heads reads the head as the key-value service holds it.
+// Heads reads the configuration's head from the key-value service.
 type Heads interface {
 	ReadHead(ctx context.Context) (store.HeadAnswer, error)
 }
 
-// Snapshots gives the configuration in force in this process.
+// Snapshots returns the configuration in force in this process.
 type Snapshots interface {
-	// Snapshot returns nil while there is none.
+	// Snapshot returns nil if the process has no configuration yet.
 	Snapshot() *config.Snapshot
 }
 
@@ -27,12 +27,13 @@
 	snapshots Snapshots
 }
 
-// NewService returns a service over a reader and the process's own snapshot.
+// NewService returns a service that reads the head from heads and the documents from snapshots.
 func NewService(heads Heads, snapshots Snapshots) *Service {
 	return &Service{heads: heads, snapshots: snapshots}
 }
 
-// FindDocuments returns the documents in force of a kind and name; an empty one stands for all.
+// FindDocuments returns the documents in force of the given kind and name. An empty kind selects all
+// documents, an empty name all of the kind.
 func (s *Service) FindDocuments(kind config.Kind, name string) (admapi.Config, error) {
 	snapshot := s.snapshots.Snapshot()
 	if snapshot == nil {
@@ -49,8 +50,8 @@
 	return found, nil
 }
 
-// FindMoves returns the last moves of the head, newest first.
-func (s *Service) FindMoves(ctx context.Context) ([]config.AcceptedChange, error) {
+// FindAcceptedChanges returns the head's history of accepted changes, newest first.
+func (s *Service) FindAcceptedChanges(ctx context.Context) ([]config.AcceptedChange, error) {
 	answer, err := s.heads.ReadHead(ctx)
 	if err != nil {
 		return nil, codes.NewResult(codes.StoreUnavailable, "the history could not be read")
@@ -58,15 +59,16 @@
 	return answer.Head.History, nil
 }
 
-// GetMoveByChange returns the move of a change, as the key-value service itself holds it.
-func (s *Service) GetMoveByChange(ctx context.Context, change string) (*config.AcceptedChange, error) {
+// GetAcceptedChange returns the accepted change with this change id from the head's history in the
+// key-value service.
+func (s *Service) GetAcceptedChange(ctx context.Context, change string) (*config.AcceptedChange, error) {
 	answer, err := s.heads.ReadHead(ctx)
 	if err != nil {
 		return nil, codes.NewResult(codes.ChangeUnknown, "the history could not be read; ask again with this change id")
 	}
-	move := answer.Head.FindChange(change)
-	if move == nil {
+	accepted := answer.Head.FindChange(change)
+	if accepted == nil {
 		return nil, codes.NewResult(codes.NotFound, "no accepted change among those remembered has this id")
 	}
-	return move, nil
+	return accepted, nil
 }
