--- a/entry/routers/admin/guard.go
+++ b/entry/routers/admin/guard.go
@@ -36,7 +36,7 @@
 	return change.Author{
 		Operator:    c.operator.Name,
 		TokenSHA256: c.operator.TokenSHA256,
-		First:       c.bootstrap,
+		Bootstrap:   c.bootstrap,
 	}
 }
 
--- a/entry/services/change/change.go
+++ b/entry/services/change/change.go
@@ -1,4 +1,4 @@
-// Package change holds the admin API's commands on the configuration.
+// Package change implements the admin API's commands that change the configuration.
 package change
 
 import (
@@ -13,54 +13,56 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// defaultTimeout bounds one change with all its reads and writes.
+// defaultTimeout is the time limit of one change with all its reads and writes.
 const defaultTimeout = 30 * time.Second
 
-// Writer carries changes to the key-value service.
+// Writer writes changes to the key-value service.
 type Writer interface {
 	Submit(ctx context.Context, s head.Submission) head.Answer
-	// LoadHead returns nil when no configuration exists.
+	// LoadHead returns nil if no configuration exists.
 	LoadHead(ctx context.Context) (*config.Loaded, error)
 }
 
-// InForce gives the configuration in force in this process.
+// InForce returns the configuration in force in this process.
 type InForce interface {
-	// GetLoaded returns nil while there is none.
+	// GetLoaded returns nil if the process has no configuration yet.
 	GetLoaded() *config.Loaded
 }
 
-// Service carries out changes.
+// Service checks changes and submits them.
 type Service struct {
 	writer  Writer
 	inForce InForce
 }
 
-// NewService returns a service over a writer and the process's own configuration.
+// NewService returns a service that submits changes to the writer. inForce returns the process's own
+// configuration.
 func NewService(writer Writer, inForce InForce) *Service {
 	return &Service{writer: writer, inForce: inForce}
 }
 
-// Author is who makes a change, as the process that checked the token knows it.
+// Author identifies who makes a change, as authenticated by this process from the operator's token.
 type Author struct {
 	Operator string
-	// TokenSHA256 is checked again on the configuration that the change is made on; empty: bootstrap.
+	// TokenSHA256 is checked again against the configuration that the change is based on. It is empty
+	// for the bootstrap token.
 	TokenSHA256 string
-	// First allows the change only while no configuration exists.
-	First bool
+	// Bootstrap, if set, permits the change only while no configuration exists.
+	Bootstrap bool
 }
 
 // ApplyOptions describe one change.
 type ApplyOptions struct {
 	ChangeID string
 	Author   Author
-	// Base is the revision the change was made for; 0: the one found.
+	// Base is the revision that the change is based on; 0 means the current one.
 	Base   uint64
 	DryRun bool
-	// Text holds the documents as TOML.
+	// Text is the documents as TOML.
 	Text []byte
 }
 
-// Apply reads, checks and submits documents.
+// Apply parses, checks and submits documents.
 func (s *Service) Apply(ctx context.Context, o ApplyOptions) head.Answer {
 	patch, problems := config.ParsePatch(admapi.BodyName, o.Text)
 	if len(problems) > 0 {
@@ -82,25 +84,25 @@
 	return answer
 }
 
-// submit goes on when the operator's connection breaks: a change that stopped
-// between the swap and the reading back would leave its verdict untold to the
-// one who asks again.
+// submit submits a change, and continues if the operator's connection breaks: a change that stopped
+// between the swap and the read of its result would have no verdict to return when the operator asks
+// again.
 func (s *Service) submit(ctx context.Context, author Author, submission head.Submission) head.Answer {
 	submission.Operator = author.Operator
 	submission.TokenSHA256 = author.TokenSHA256
-	submission.Bootstrap = author.First
+	submission.Bootstrap = author.Bootstrap
 	submission.InForce = s.inForce.GetLoaded()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), defaultTimeout)
 	defer cancel()
 	return s.writer.Submit(ctx, submission)
 }
 
-// SetLabels changes the labels of a team or a stage, on top of the documents
-// that the key-value service holds now.
+// SetLabels changes the labels of a team or a stage, based on the documents that the key-value
+// service holds now.
 func (s *Service) SetLabels(ctx context.Context, author Author, l admapi.LabelChange) head.Answer {
 	loaded, err := s.writer.LoadHead(ctx)
-	if inForce := s.inForce.GetLoaded(); err == nil && isBelow(loaded, inForce) {
-		loaded = inForce // as the writer itself does where the service lost its data
+	if inForce := s.inForce.GetLoaded(); err == nil && isOlder(loaded, inForce) {
+		loaded = inForce // the key-value service lost data; the writer does the same
 	}
 	if err != nil || loaded == nil {
 		return head.Answer{Verdict: head.VerdictUnavailable, Detail: "there is no configuration to be read"}
@@ -117,20 +119,21 @@
 		ChangeID: l.ChangeID,
 		Patch:    patch,
 		Base:     base,
-		Digest:   digestLabels(l),
+		Digest:   digestRequest(l),
 	})
 }
 
-func isBelow(l, other *config.Loaded) bool {
+// isOlder reports whether l has a lower revision than other, or is nil while other is not.
+func isOlder(l, other *config.Loaded) bool {
 	if other == nil {
 		return false
 	}
 	return l == nil || l.Version.Revision < other.Version.Revision
 }
 
-// digestLabels is that of what was asked and not of the documents it leads
-// to: those differ when another change came between two submissions of it.
-func digestLabels(l admapi.LabelChange) config.Hash {
+// digestRequest returns the hash of the requested change and not of the resulting documents: these
+// differ if another change was accepted between two submissions of the same request.
+func digestRequest(l admapi.LabelChange) config.Hash {
 	l.Base = 0
 	text, err := json.Marshal(l)
 	if err != nil {
--- a/entry/services/change/drain.go
+++ b/entry/services/change/drain.go
@@ -13,9 +13,9 @@
 // drainPrefix begins the names of the rules that drain an instance.
 const drainPrefix = "drain-"
 
-// DrainRule returns the rule that drains an instance. As a document of the
-// configuration it takes hold everywhere with its revision, lasts over
-// restarts of every process, stands in the history and is undone by removal.
+// DrainRule returns the rule that drains an instance. As a document of the configuration it takes
+// effect everywhere with its revision, survives restarts of every process, appears in the history
+// and is undone by removing it.
 func DrainRule(instance string) config.Rule {
 	return config.Rule{
 		Name:   drainPrefix + instance,
@@ -24,7 +24,7 @@
 	}
 }
 
-// IsDrained tells whether the snapshot drains the instance.
+// IsDrained reports whether the snapshot contains the rule that drains the instance.
 func IsDrained(snapshot *config.Snapshot, instance string) bool {
 	rule := DrainRule(instance)
 	for i := range snapshot.Set.Rules {
@@ -35,7 +35,7 @@
 	return false
 }
 
-// Instances are those that the entry knows.
+// Instances returns the instances that the entry knows.
 type Instances interface {
 	FindInstances() []member.Instance
 }
@@ -46,12 +46,12 @@
 	instances Instances
 }
 
-// NewDrainService returns a service that carries out drains as changes.
+// NewDrainService returns a service that submits drains as changes of the configuration.
 func NewDrainService(changes *Service, instances Instances) *DrainService {
 	return &DrainService{changes: changes, instances: instances}
 }
 
-// SetDrain drains an agent or lets it in again.
+// SetDrain drains an agent, or undoes its drain if c.Undo is set.
 func (d *DrainService) SetDrain(ctx context.Context, author Author, instance string, c admapi.DrainChange) head.Answer {
 	rule := DrainRule(instance)
 	submission := head.Submission{ChangeID: c.ChangeID}
@@ -67,9 +67,9 @@
 	return d.changes.submit(ctx, author, submission)
 }
 
-// refuse guards against a mistyped name, which would take effect on nothing
-// and show as a drain that never ends, and against a service left without
-// backend servers, which would show as no-backend to every caller of it.
+// refuse returns the reason to refuse a drain, or "". It guards against a mistyped name, whose
+// drain would affect no instance and seem never to end, and, unless force is set, against a service
+// without any agent left, whose callers would all get no-backend.
 func (d *DrainService) refuse(instance string, force bool) string {
 	all := d.instances.FindInstances()
 	service, found := "", false
@@ -87,6 +87,7 @@
 	return ""
 }
 
+// countOthers returns the number of other agents of the service that are neither leaving nor drained.
 func (d *DrainService) countOthers(all []member.Instance, service, instance string) int {
 	loaded := d.changes.inForce.GetLoaded()
 	others := 0
