--- a/entry/services/calls/attempt.go
+++ b/entry/services/calls/attempt.go
@@ -14,7 +14,7 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// attempt sends one attempt and takes its answer.
+// attempt chooses an agent unless the call names one, sends one attempt and returns its answer.
 func (r *Runner) attempt(ctx context.Context, s *stageRun) (*Answer, *codes.Result) {
 	snapshot, refusal := r.config.GetUsable(ctx)
 	if refusal != nil {
@@ -22,7 +22,7 @@
 	}
 	chosen := s.call.Chosen
 	if chosen == nil {
-		picked, refusal := r.fleet.ChooseAgent(time.Now(), fleet.ChooseOptions{
+		choice, refusal := r.fleet.ChooseAgent(time.Now(), fleet.ChooseOptions{
 			Service:  s.call.Service,
 			Snapshot: snapshot,
 			Caller:   s.call.CallerLabels,
@@ -34,24 +34,24 @@
 		if refusal != nil {
 			return nil, refusal.WithRetryAfter(retryHint)
 		}
-		chosen = &picked
+		chosen = &choice
 	}
 	s.sent++
 	if s.sent == 1 {
-		r.budget.DepositFirst(snapshot.GetServiceByName(s.call.Service))
+		r.budget.OnFirstAttempt(snapshot.GetServiceByName(s.call.Service))
 	}
 	r.counts.sent.Add(1)
 	e := &exchange{runner: r, run: s, chosen: chosen, revision: snapshot.Revision}
 	got, result := e.do(ctx)
-	r.fleet.EndAttempt(time.Now(), s.call.Service, e.ended(result))
+	r.fleet.EndAttempt(time.Now(), s.call.Service, e.callResult(result))
 	if result != nil {
 		s.excluded = append(s.excluded, chosen.Choice.Name)
-		r.catchUp(ctx, chosen.Choice.Name, result, e.end)
+		r.awaitRevision(ctx, chosen.Choice.Name, result, e.end)
 	}
 	return got, result
 }
 
-// budget is the predicted time that a choice should keep within.
+// budget returns the time within which the chosen agent should be able to answer.
 func (c *Call) budget() time.Duration {
 	if c.Budget > 0 {
 		return c.Budget
@@ -59,8 +59,9 @@
 	return time.Until(c.Deadline)
 }
 
-// catchUp waits for the configuration that the agent decided under, so that the next attempt is decided under it too.
-func (r *Runner) catchUp(ctx context.Context, agent string, result *codes.Result, end *wire.End) {
+// awaitRevision waits for the configuration revision that the agent used, if the agent refused the
+// attempt because that revision is newer, so that the next attempt is sent under it too.
+func (r *Runner) awaitRevision(ctx context.Context, agent string, result *codes.Result, end *wire.End) {
 	if result.Code != codes.NewerRevision || end == nil {
 		return
 	}
@@ -79,7 +80,7 @@
 	id       answer.ID
 	body     bytes.Buffer
 	tail     tail
-	// bytes counts what was received, end is set once the end record came.
+	// bytes counts the answer's bytes received so far; end is set once the end record has arrived.
 	bytes uint64
 	end   *wire.End
 }
@@ -98,9 +99,9 @@
 		return nil, codes.NewResult(codes.NoBackend, err.Error())
 	}
 	stop := link.CloseOnDone(ctx, stream)
-	got, result := e.converse(ctx, stream)
-	untouched := stop()
-	if untouched && e.end != nil {
+	got, result := e.roundTrip(ctx, stream)
+	open := stop()
+	if open && e.end != nil {
 		e.chosen.Session.PutStream(stream)
 	} else {
 		_ = stream.Close()
@@ -108,9 +109,9 @@
 	return got, result
 }
 
-func (e *exchange) converse(ctx context.Context, stream *link.Stream) (*Answer, *codes.Result) {
+func (e *exchange) roundTrip(ctx context.Context, stream *link.Stream) (*Answer, *codes.Result) {
 	if err := wire.WriteFrame(stream, e.newCall(ctx)); err != nil {
-		return nil, e.describe(ctx, err)
+		return nil, e.streamFailure(ctx, err)
 	}
 	return e.read(ctx, stream.Reader)
 }
@@ -151,30 +152,30 @@
 		frame, err := reader.Next()
 		if err != nil {
 			e.run.stage.Step(answer.StreamClosed{ID: e.id})
-			return nil, e.describe(ctx, err)
+			return nil, e.streamFailure(ctx, err)
 		}
 		if part := frame.GetPart(); part != nil {
-			if result := e.takePart(part); result != nil {
+			if result := e.onPart(part); result != nil {
 				return nil, result
 			}
 			continue
 		}
 		if end := frame.GetEnd(); end != nil {
-			return e.takeEnd(ctx, end)
+			return e.onEnd(ctx, end)
 		}
 	}
 }
 
-func (e *exchange) takePart(part *wire.Part) *codes.Result {
+func (e *exchange) onPart(part *wire.Part) *codes.Result {
 	e.bytes += uint64(len(part.GetData()))
 	if e.run.call.Stream && len(e.run.call.Prefixes) > 0 {
 		e.tail.add(part.GetData())
 	}
-	if e.run.piece.IsZero() {
-		e.run.piece = time.Now()
+	if e.run.firstPart.IsZero() {
+		e.run.firstPart = time.Now()
 	}
 	for _, action := range e.run.stage.Step(answer.PartReceived{ID: e.id, Bytes: uint64(len(part.GetData()))}) {
-		if _, take := action.(answer.AcceptPart); !take {
+		if _, accepted := action.(answer.AcceptPart); !accepted {
 			continue
 		}
 		if e.run.call.Sink == nil {
@@ -188,7 +189,7 @@
 	return nil
 }
 
-func (e *exchange) takeEnd(ctx context.Context, end *wire.End) (*Answer, *codes.Result) {
+func (e *exchange) onEnd(ctx context.Context, end *wire.End) (*Answer, *codes.Result) {
 	e.end = end
 	id := answer.ID{
 		Request:     end.GetRequestId(),
@@ -197,14 +198,15 @@
 		Incarnation: end.GetIncarnation(),
 	}
 	if codes.Code(end.GetCode()) == codes.OtherIncarnation {
-		id.Incarnation = e.id.Incarnation // the refusal comes from the new incarnation
+		// The end record names the restarted agent's incarnation but answers this attempt.
+		id.Incarnation = e.id.Incarnation
 	}
 	for _, action := range e.run.stage.Step(answer.EndReceived{ID: id, Result: *resultOf(end), Bytes: end.GetBytes()}) {
 		switch a := action.(type) {
 		case answer.AcceptAnswer:
 			return e.newAnswer(), nil
 		case answer.FailAttempt:
-			return nil, lateOr(ctx, withoutBackend(&a.Result))
+			return nil, asDeadlineExceeded(ctx, asBackendLost(&a.Result))
 		case answer.Drop:
 			e.runner.counts.dropped.Add(1)
 		}
@@ -220,13 +222,13 @@
 		End:         e.end,
 		Attempts:    int(e.run.sent),
 		CrossRegion: e.chosen.Choice.CrossRegion,
-		FirstPiece:  e.run.piece,
+		FirstPart:   e.run.firstPart,
 	}
 }
 
-// describe says what a broken stream lets the entry know. A call that was
-// written may have run, whoever closed the stream.
-func (e *exchange) describe(ctx context.Context, err error) *codes.Result {
+// streamFailure returns the result of an attempt whose stream failed. The call may have run once it
+// was written, no matter which side closed the stream.
+func (e *exchange) streamFailure(ctx context.Context, err error) *codes.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return codes.NewResult(codes.DeadlineExceeded, "the deadline passed").WithRetryAfter(retryHint)
 	}
@@ -236,26 +238,27 @@
 	return codes.NewResult(codes.BackendLost, err.Error()).WithRetryAfter(retryHint)
 }
 
-// lateOr names the passed deadline as the cause of an agent's "canceled": the
-// agent saw this entry close the stream, and its end crossed with that. The
-// caller still waits, and did not go away.
-func lateOr(ctx context.Context, result *codes.Result) *codes.Result {
+// asDeadlineExceeded replaces an agent's "canceled" by "deadline exceeded" once the deadline has
+// passed. At the deadline this entry closes the stream, and the agent's end record may still
+// arrive: it says "canceled" although the caller did not cancel and is still waiting.
+func asDeadlineExceeded(ctx context.Context, result *codes.Result) *codes.Result {
 	if result.Code != codes.Canceled || !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return result
 	}
-	late := codes.NewResult(codes.DeadlineExceeded, "the deadline passed: "+result.Detail)
-	return late.WithOutcome(result.Outcome).WithRetryAfter(retryHint)
+	exceeded := codes.NewResult(codes.DeadlineExceeded, "the deadline passed: "+result.Detail)
+	return exceeded.WithOutcome(result.Outcome).WithRetryAfter(retryHint)
 }
 
-// withoutBackend lets a call that found an agent without its backend server go
-// to another agent; NoBackend alone means that none is left.
-func withoutBackend(result *codes.Result) *codes.Result {
+// asBackendLost replaces an agent's NoBackend, which concerns that agent's backend server only, by
+// BackendLost, so that the call is sent to another agent. NoBackend from here means that no agent is
+// available.
+func asBackendLost(result *codes.Result) *codes.Result {
 	if result.Code != codes.NoBackend {
 		return result
 	}
-	lost := *result
-	lost.Code = codes.BackendLost
-	return &lost
+	unavailable := *result
+	unavailable.Code = codes.BackendLost
+	return &unavailable
 }
 
 func resultOf(end *wire.End) *codes.Result {
@@ -267,9 +270,9 @@
 	}
 }
 
-// ended tells the router how the attempt went.
-func (e *exchange) ended(result *codes.Result) route.CallResult {
-	ended := route.CallResult{
+// callResult returns the result of the attempt for the router, and counts it.
+func (e *exchange) callResult(result *codes.Result) route.CallResult {
+	out := route.CallResult{
 		Name:           e.chosen.Choice.Name,
 		Code:           codes.OK,
 		Prefixes:       e.run.call.Prefixes,
@@ -277,15 +280,15 @@
 		CachedTokens:   e.tail.cachedTokens(),
 	}
 	if result != nil {
-		ended.Code = result.Code
+		out.Code = result.Code
 		if codes.Code(e.end.GetCode()) == codes.NoBackend {
-			ended.Code = codes.NoBackend
+			out.Code = codes.NoBackend
 		}
-		ended.NoResponse = e.end == nil && e.bytes == 0 && result.Code == codes.DeadlineExceeded
+		out.NoResponse = e.end == nil && e.bytes == 0 && result.Code == codes.DeadlineExceeded
 	}
 	if e.end != nil {
-		ended.Report = fleet.LoadOf(e.end.GetLoad())
+		out.Report = fleet.LoadOf(e.end.GetLoad())
 	}
 	e.runner.counts.record(e.run.call, e.chosen, e.end, e.bytes)
-	return ended
+	return out
 }
--- a/entry/services/calls/cached.go
+++ b/entry/services/calls/cached.go
@@ -5,10 +5,11 @@
 	"encoding/json"
 )
 
-// usageTail is enough for the last event of a completion and its end mark.
+// usageTail is the number of bytes kept of a stream's end. It has room for a completion's last
+// event and the [DONE] event.
 const usageTail = 1024
 
-// usageEvent is the part of a completion's last event that counts the prompt.
+// usageEvent holds the number of cached prompt tokens from a completion's last event.
 type usageEvent struct {
 	Usage *struct {
 		PromptDetails *struct {
@@ -17,19 +18,20 @@
 	} `json:"usage"`
 }
 
-// tail keeps the end of a stream.
+// tail keeps the last usageTail bytes of a stream.
 type tail struct {
 	data []byte
 }
 
-func (t *tail) add(piece []byte) {
-	t.data = append(t.data, piece...)
+func (t *tail) add(part []byte) {
+	t.data = append(t.data, part...)
 	if len(t.data) > usageTail {
 		t.data = append(t.data[:0], t.data[len(t.data)-usageTail:]...)
 	}
 }
 
-// cachedTokens returns what the engine's usage says of the prompt, -1 where it says nothing.
+// cachedTokens returns how many of the prompt's tokens the engine reports as cached, or -1 if it
+// doesn't report that.
 func (t *tail) cachedTokens() int {
 	lines := bytes.Split(t.data, []byte("\n"))
 	for n := len(lines) - 1; n >= 0; n-- {
--- a/entry/services/calls/calls.go
+++ b/entry/services/calls/calls.go
@@ -1,6 +1,6 @@
-// Package calls runs one stage: it chooses an agent, sends an attempt, matches
-// what comes back and tries again where that is allowed. In: a stage's call.
-// Out: its whole answer, or the result that says why there is none.
+// Package calls runs one stage: it chooses an agent, sends an attempt, matches the parts and end
+// records that come back to the attempt, and retries if that is allowed. Its input is a stage's
+// call, its output the complete answer or the result that explains why there is none.
 package calls
 
 import (
@@ -23,54 +23,57 @@
 )
 
 const (
-	// maxSends bounds the attempts of one stage, refusals included.
+	// maxSends is the maximum number of attempts of one stage, including refused ones and waits for
+	// an agent.
 	maxSends = 6
-	// noBackendPause is the wait for a session to come up before the next choice.
-	noBackendPause = 50 * time.Millisecond
-	// retryHint is when to come back where nothing better is known.
+	// noBackendBackoff is the wait for an agent to become available before the next choice.
+	noBackendBackoff = 50 * time.Millisecond
+	// retryHint is the Retry-After of results for which no better estimate exists. It also limits the
+	// wait for a newer configuration.
 	retryHint = time.Second
 )
 
-// Fleet chooses agents; *fleet.Fleet is one.
+// Fleet chooses agents; *fleet.Fleet implements it.
 type Fleet interface {
 	ChooseAgent(now time.Time, options fleet.ChooseOptions) (fleet.Attempt, *codes.Result)
-	EndAttempt(now time.Time, service string, ended route.CallResult)
+	EndAttempt(now time.Time, service string, result route.CallResult)
 }
 
-// Configuration gives the snapshot to decide under; *follow.Follower is one.
+// Configuration returns the configuration snapshot that decisions use; *follow.Follower implements
+// it.
 type Configuration interface {
 	GetUsable(ctx context.Context) (*config.Snapshot, *codes.Result)
 	WaitRevision(ctx context.Context, revision uint64) error
 	// GetRevision returns the revision in force and the age of its confirmation.
 	GetRevision(now time.Time) (uint64, time.Duration)
-	// OnPeerRevision takes the revision that an agent decided under.
+	// OnPeerRevision records the configuration revision that an agent used.
 	OnPeerRevision(peer string, revision uint64)
 }
 
-// Budget decides on retries by service; *policy.Policy is one.
+// Budget decides on retries by service; *policy.Policy implements it.
 type Budget interface {
-	// DepositFirst counts a first attempt.
-	DepositFirst(service *config.Service)
-	// DecideRetry says what follows an attempt that brought no answer.
+	// OnFirstAttempt counts a first attempt towards the service's retry budget.
+	OnFirstAttempt(service *config.Service)
+	// DecideRetry decides what follows an attempt that produced no answer.
 	DecideRetry(service *config.Service, attempt retry.Attempt, random float64) retry.Decision
 }
 
-// Call is one stage's work.
+// Call is the call of one stage.
 type Call struct {
 	RequestID string
-	// Stage names the step; it is the service's name for direct calls.
+	// Stage is the name of the stage, or of the service for direct calls.
 	Stage    string
 	Service  string
 	Team     *config.Team
 	Priority config.Priority
-	// CallerLabels and StageLabels are what rules match.
+	// CallerLabels and StageLabels are matched by the configuration's rules.
 	CallerLabels config.Labels
 	StageLabels  config.Labels
-	// Deadline is when the stage's answer must be there.
+	// Deadline is the time by which the answer must be complete.
 	Deadline time.Time
-	// Budget is the part of the time left that this stage should take; 0: all of it.
+	// Budget is the part of the remaining time that this stage should take; 0 means all of it.
 	Budget time.Duration
-	// Cost is the estimate in cost units.
+	// Cost is the estimated cost in cost units.
 	Cost     float64
 	Method   string
 	Path     string
@@ -78,31 +81,32 @@
 	Body     []byte
 	Stream   bool
 	Prefixes []route.Prefix
-	// Idempotent calls may be sent again; others are sent once, to Chosen.
+	// Idempotent calls may be retried; others are sent once, to Chosen.
 	Idempotent bool
-	// Claim fields are set for non-idempotent calls.
+	// The fields ClaimKey to Chosen are set for non-idempotent calls.
 	ClaimKey     string
 	ClaimAttempt string
 	BodyDigest   string
 	Chosen       *fleet.Attempt
-	// Sink, where set, gets the pieces as they come, so that no other attempt may follow the first piece.
+	// Sink, if set, receives the parts of the answer as they arrive. No other attempt may follow once
+	// the first part is written.
 	Sink io.Writer
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status      int
 	ContentType string
-	// Body is empty where a Sink took the pieces.
+	// Body is empty if the parts went to a Sink.
 	Body []byte
-	// End is the winning attempt's end record.
+	// End is the end record of the attempt whose answer was accepted.
 	End *wire.End
-	// Attempts is how many were sent.
+	// Attempts is the number of attempts, including refused ones and waits for an agent.
 	Attempts int
 	// CrossRegion is set when the answer came from another region.
 	CrossRegion bool
-	// FirstPiece is when the first piece came; zero for an empty answer.
-	FirstPiece time.Time
+	// FirstPart is when the first part arrived; zero for an empty answer.
+	FirstPart time.Time
 }
 
 // Runner runs calls.
@@ -114,7 +118,7 @@
 	counts *Counts
 }
 
-// Options are the parts of a Runner.
+// Options are the dependencies of a Runner.
 type Options struct {
 	Fleet         Fleet
 	Configuration Configuration
@@ -133,23 +137,24 @@
 	}
 }
 
-// GetCounts returns the runner's figures.
+// GetCounts returns the runner's counters.
 func (r *Runner) GetCounts() *Counts { return r.counts }
 
 // stageRun is the state of one call while its attempts run.
 type stageRun struct {
 	call  *Call
 	stage *answer.Stage
-	// sent counts attempts; the next one's number.
+	// sent counts the attempts and numbers them, from 1. A wait for an agent counts as an attempt.
 	sent     uint32
 	retries  int
 	resends  int
 	excluded []string
 	last     *codes.Result
-	piece    time.Time
+	// firstPart is when the first part of any attempt's answer arrived.
+	firstPart time.Time
 }
 
-// Run returns the call's whole answer, or the final result at once when it is given up on.
+// Run returns the call's complete answer, or the final result as soon as no other attempt may follow.
 func (r *Runner) Run(ctx context.Context, call *Call) (*Answer, *codes.Result) {
 	ctx, span := r.tracer.Start(ctx, "entry.stage", attribute.String("stage", call.Stage))
 	defer span.End()
@@ -165,7 +170,7 @@
 		if result == nil {
 			return got, nil
 		}
-		s.last = worse(s.last, result)
+		s.last = mergeResults(s.last, result)
 		if !r.prepareNext(ctx, s, result) {
 			span.SetAttributes(attribute.Int("code", int(s.last.Code)))
 			return nil, s.last
@@ -173,8 +178,9 @@
 	}
 }
 
-// worse keeps what is known of earlier attempts: once one may have run, a later "not run" is not the whole truth.
-func worse(old, latest *codes.Result) *codes.Result {
+// mergeResults returns the latest result, with the outcome of the earlier attempts if the latest
+// attempt did not run: once an attempt may have run, "not run" would be wrong for the call.
+func mergeResults(old, latest *codes.Result) *codes.Result {
 	if old == nil || old.Outcome == codes.OutcomeNotRun {
 		return latest
 	}
@@ -184,16 +190,17 @@
 	return latest
 }
 
-// prepareNext decides whether another attempt follows, and waits for its time.
+// prepareNext decides whether another attempt follows, and waits for the backoff before it.
 func (r *Runner) prepareNext(ctx context.Context, s *stageRun, result *codes.Result) bool {
 	if ctx.Err() != nil || s.sent >= maxSends {
 		return false
 	}
 	if result.Code == codes.NoBackend && s.call.Idempotent && s.stage.Retryable() {
-		// Sessions may just be coming up; the wait counts as an attempt, so it is bounded too.
+		// A session may be about to open. The wait counts as an attempt, so that maxSends limits it
+		// too.
 		s.sent++
 		s.excluded = nil
-		return pauses.Wait(ctx, noBackendPause)
+		return pauses.Wait(ctx, noBackendBackoff)
 	}
 	decision := r.budget.DecideRetry(r.serviceOf(ctx, s.call.Service), retry.Attempt{
 		Retries:    s.retries,
@@ -226,7 +233,7 @@
 	return snapshot.GetServiceByName(name)
 }
 
-// Release gives back an agent that was chosen and not used.
+// Release ends a chosen attempt that was not sent.
 func (r *Runner) Release(service string, chosen *fleet.Attempt) {
 	r.fleet.EndAttempt(time.Now(), service, route.CallResult{Name: chosen.Choice.Name, Code: codes.Canceled, CachedTokens: -1})
 }
--- a/entry/services/calls/calls_test.go
+++ b/entry/services/calls/calls_test.go
@@ -23,7 +23,8 @@
 
 const incarnation = "one"
 
-// agent answers each call with what reply returns; nil leaves it unanswered.
+// agent is a test agent that ends each call with the record that reply returns; nil leaves the call
+// unanswered.
 type agent struct {
 	listener net.Listener
 	reply    func(attempt uint32) *wire.End
@@ -55,7 +56,7 @@
 	}
 }
 
-// runStream answers one call after the other, as agents do.
+// runStream answers the calls of one stream one after another, as agents do.
 func (a *agent) runStream(stream net.Conn) {
 	defer func() { _ = stream.Close() }()
 	reader := wire.NewReader(stream)
@@ -82,25 +83,25 @@
 	_ = wire.WriteFrame(stream, &wire.Frame{Body: &wire.Frame_End{End: end}})
 }
 
-// oneAgent is a fleet of one agent that notes how attempts ended.
-type oneAgent struct {
+// singleAgent is a fleet of one agent that records the results of attempts.
+type singleAgent struct {
 	session *link.Session
 
-	lock  sync.Mutex
-	ended []route.CallResult
+	lock    sync.Mutex
+	results []route.CallResult
 }
 
-func (f *oneAgent) ChooseAgent(time.Time, fleet.ChooseOptions) (fleet.Attempt, *codes.Result) {
+func (f *singleAgent) ChooseAgent(time.Time, fleet.ChooseOptions) (fleet.Attempt, *codes.Result) {
 	return fleet.Attempt{Choice: route.Choice{Name: "llm-1", Incarnation: incarnation}, Session: f.session}, nil
 }
 
-func (f *oneAgent) EndAttempt(_ time.Time, _ string, ended route.CallResult) {
+func (f *singleAgent) EndAttempt(_ time.Time, _ string, result route.CallResult) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.ended = append(f.ended, ended)
+	f.results = append(f.results, result)
 }
 
-// configuration is a fixed snapshot.
+// configuration is a configuration that never changes.
 type configuration struct{ snapshot *config.Snapshot }
 
 func (c configuration) GetUsable(context.Context) (*config.Snapshot, *codes.Result) {
@@ -113,7 +114,7 @@
 
 func (c configuration) GetRevision(time.Time) (uint64, time.Duration) { return 1, 0 }
 
-func newRunner(t *testing.T, a *agent) (*calls.Runner, *oneAgent) {
+func newRunner(t *testing.T, a *agent) (*calls.Runner, *singleAgent) {
 	t.Helper()
 	is := is.New(t)
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -126,7 +127,7 @@
 	tracer, err := spans.NewTracer(t.Context(), spans.Options{Program: "entry"})
 	is.NoErr(err)
 	set := config.Set{Services: []config.Service{{Name: "llm", RetryShare: 1}}}
-	f := &oneAgent{session: session}
+	f := &singleAgent{session: session}
 	return calls.NewRunner(calls.Options{
 		Fleet:         f,
 		Configuration: configuration{config.NewSnapshot(1, set)},
@@ -158,9 +159,9 @@
 		data   string
 		cached int
 	}{
-		{"told in the last event", "data: {\"choices\":[{\"text\":\"a\"}]}\n\n" + usage, 7},
-		{"behind a long answer", "data: " + string(make([]byte, 8192)) + "\n\n" + usage, 7},
-		{"not told", "data: {\"choices\":[{\"text\":\"a\"}]}\n\ndata: [DONE]\n\n", -1},
+		{"reported in the last event", "data: {\"choices\":[{\"text\":\"a\"}]}\n\n" + usage, 7},
+		{"after a long answer", "data: " + string(make([]byte, 8192)) + "\n\n" + usage, 7},
+		{"not reported", "data: {\"choices\":[{\"text\":\"a\"}]}\n\ndata: [DONE]\n\n", -1},
 		{"usage without details", "data: {\"usage\":{\"prompt_tokens\":9}}\n\n", -1},
 	}
 	for _, tc := range cases {
@@ -170,13 +171,13 @@
 			got, result := runner.Run(t.Context(), newCall())
 			is.Equal(result, nil)
 			is.Equal(string(got.Body), tc.data)
-			is.Equal(f.ended[0].CachedTokens, tc.cached)
+			is.Equal(f.results[0].CachedTokens, tc.cached)
 		})
 	}
 }
 
-// All callers fail for as long as one backend server is gone: its agent refuses
-// at once, so it has no calls outstanding and looks like the best choice.
+// Guards against calls that keep failing while one backend server is down: its agent refuses at once,
+// so it has no calls outstanding and would be chosen first each time.
 func TestRunCountsAgentWithoutBackendAsFaulty(t *testing.T) {
 	is := is.New(t)
 	runner, f := newRunner(t, &agent{data: []byte("whole"), reply: func(attempt uint32) *wire.End {
@@ -188,12 +189,12 @@
 	got, result := runner.Run(t.Context(), newCall())
 	is.Equal(result, nil)
 	is.Equal(got.Attempts, 2)
-	is.Equal(f.ended[0].Code, codes.NoBackend) // which takes the agent out at once
+	is.Equal(f.results[0].Code, codes.NoBackend) // the router ejects the agent at once
 }
 
-// A batch caller gets an error for work that was accepted: its run gave way to
-// urgent work. It is sent again, and its answer is whole.
-func TestRunSendsPreemptedCallAgain(t *testing.T) {
+// Guards against a batch call that fails although it was accepted, because urgent work preempted it.
+// The call is retried, and its answer is complete.
+func TestRunRetriesPreemptedCall(t *testing.T) {
 	is := is.New(t)
 	runner, _ := newRunner(t, &agent{data: []byte("whole"), reply: func(attempt uint32) *wire.End {
 		if attempt == 1 {
--- a/entry/services/calls/counts.go
+++ b/entry/services/calls/counts.go
@@ -9,31 +9,33 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// Counts are the figures of all calls since the start.
+// Counts are the counters of all calls since the process started.
 type Counts struct {
 	sent    atomic.Uint64
 	retries atomic.Uint64
 	resends atomic.Uint64
 	dropped atomic.Uint64
-	// crossBytes counts bodies and answers that left the entry's region or came from another.
+	// crossBytes counts the bytes of calls' bodies sent to other regions and of answers received from
+	// there.
 	crossBytes atomic.Uint64
 
 	lock sync.Mutex
-	// stages holds the use of each stage of each service, by "service/stage".
+	// stages holds the use of each stage of each service, by "service/stage", guarded by lock.
 	stages map[string]*StageUse
 }
 
-// StageUse is what one stage used.
+// StageUse is the resource use of one stage.
 type StageUse struct {
 	Runs   uint64  `json:"runs"`
 	Cost   float64 `json:"cost"`
 	Tokens uint64  `json:"tokens"`
-	// BusySeconds is the time that backend servers ran; QueueSeconds the time in agents' queues.
+	// BusySeconds is the time that calls took at backend servers, QueueSeconds their time in agents'
+	// queues.
 	BusySeconds  float64 `json:"busy-seconds"`
 	QueueSeconds float64 `json:"queue-seconds"`
 }
 
-// Report is a copy of the figures.
+// Report is a copy of the counters.
 type Report struct {
 	Sent       uint64              `json:"sent"`
 	Retries    uint64              `json:"retries"`
@@ -43,12 +45,12 @@
 	Stages     map[string]StageUse `json:"stages"`
 }
 
-// NewCounts returns zero figures.
+// NewCounts returns counters at zero.
 func NewCounts() *Counts {
 	return &Counts{stages: map[string]*StageUse{}}
 }
 
-// GetReport returns a copy of the figures.
+// GetReport returns a copy of the counters.
 func (c *Counts) GetReport() Report {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/entry/services/policy/policy.go
+++ b/entry/services/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy holds an entry's admission, retry budgets and spend accounts
-// and guards them with locks, so that traffic may ask from many goroutines.
+// Package policy holds an entry's admission control, retry budgets and spend accounts, and guards
+// them with locks, so that many goroutines can use them.
 package policy
 
 import (
@@ -13,21 +13,21 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// defaultRetryShare applies where a service's document names none.
+// defaultRetryShare is the retry share of a service whose configuration sets none.
 const defaultRetryShare = 0.1
 
-// Admission says what may begin.
+// Admission is the mode of admission control.
 type Admission string
 
 // The modes of admission.
 const (
-	// AdmissionDeadline admits what is within its limits and can be done in time.
+	// AdmissionDeadline admits requests that are within their limits and can be done in time.
 	AdmissionDeadline Admission = "deadline"
-	// AdmissionOff is the baseline for experiments: everything begins.
+	// AdmissionOff admits every request. It is the baseline for experiments.
 	AdmissionOff Admission = "off"
 )
 
-// Policy is one entry's.
+// Policy is the policy of one entry. It is safe for concurrent use.
 type Policy struct {
 	admission Admission
 
@@ -40,12 +40,12 @@
 	budgets map[string]*retry.Budget
 
 	spendLock sync.Mutex
-	// ledger is guarded by spendLock; revision is the configuration of its pools.
+	// ledger is guarded by spendLock, and so is revision, the configuration revision of its pools.
 	ledger   *spend.Ledger
 	revision uint64
 }
 
-// NewPolicy returns a policy without history.
+// NewPolicy returns a policy with empty accounts and new budgets.
 func NewPolicy(admission Admission) *Policy {
 	return &Policy{
 		admission: admission,
@@ -75,15 +75,16 @@
 	return p.admitter.Decide(now, request)
 }
 
-// SplitDeadline divides what is left among the stages still to run, so that what one saved flows on.
+// SplitDeadline divides the remaining time among the stages still to run, so that time saved by
+// earlier stages goes to the later ones.
 func (p *Policy) SplitDeadline(now time.Time, remaining time.Duration, stages []admit.Stage) []time.Duration {
 	p.admitLock.Lock()
 	defer p.admitLock.Unlock()
 	return p.admitter.Split(now, remaining, stages)
 }
 
-// AddStageTime takes a stage's measured time without its queue delay.
-func (p *Policy) AddStageTime(now time.Time, key string, took time.Duration) {
+// ObserveStageTime records a stage's measured time, excluding its queue delay.
+func (p *Policy) ObserveStageTime(now time.Time, key string, took time.Duration) {
 	p.admitLock.Lock()
 	defer p.admitLock.Unlock()
 	p.admitter.OnStageTime(now, key, took)
@@ -96,20 +97,21 @@
 	return p.admitter.CountTeams()
 }
 
-// DepositFirst counts a first attempt towards the service's retry budget.
-func (p *Policy) DepositFirst(service *config.Service) {
+// OnFirstAttempt counts a first attempt towards the service's retry budget.
+func (p *Policy) OnFirstAttempt(service *config.Service) {
 	p.budgetLock.Lock()
 	defer p.budgetLock.Unlock()
 	p.budget(service).OnFirstAttempt()
 }
 
-// DecideRetry says what follows an attempt that brought no answer.
+// DecideRetry decides what follows an attempt that produced no answer.
 func (p *Policy) DecideRetry(service *config.Service, attempt retry.Attempt, random float64) retry.Decision {
 	p.budgetLock.Lock()
 	defer p.budgetLock.Unlock()
 	return p.budget(service).Decide(attempt, random)
 }
 
+// budget returns the retry budget of a service; nil selects the one for an unknown service.
 func (p *Policy) budget(service *config.Service) *retry.Budget {
 	name, share := "", defaultRetryShare
 	if service != nil {
@@ -126,8 +128,8 @@
 	return b
 }
 
-// CheckSpend refuses work that would go beyond the committed amount of the
-// service's pool without the priority for it.
+// CheckSpend refuses a call that would exceed the committed amount of the service's pool, unless its
+// priority permits that.
 func (p *Policy) CheckSpend(now time.Time, snapshot *config.Snapshot, service string, priority config.Priority, cost float64) *codes.Result {
 	pool := poolOf(snapshot, service)
 	if pool == "" || p.admission == AdmissionOff {
@@ -135,7 +137,7 @@
 	}
 	p.spendLock.Lock()
 	defer p.spendLock.Unlock()
-	p.adoptPools(now, snapshot)
+	p.updatePools(now, snapshot)
 	decision := p.ledger.Decide(now, pool, priority, cost)
 	if decision.Verdict != spend.VerdictRefused {
 		return nil
@@ -144,7 +146,7 @@
 	return codes.NewResult(codes.Overloaded, detail).WithRetryAfter(decision.RetryAfter)
 }
 
-// AddUse accounts for work that was done.
+// AddUse adds the cost of a call that ran, or may have run, to the account of the service's pool.
 func (p *Policy) AddUse(now time.Time, snapshot *config.Snapshot, service string, use spend.Use) {
 	use.Pool = poolOf(snapshot, service)
 	if use.Pool == "" {
@@ -152,7 +154,7 @@
 	}
 	p.spendLock.Lock()
 	defer p.spendLock.Unlock()
-	p.adoptPools(now, snapshot)
+	p.updatePools(now, snapshot)
 	p.ledger.Add(now, use)
 }
 
@@ -163,7 +165,8 @@
 	return p.ledger.Reports(now)
 }
 
-func (p *Policy) adoptPools(now time.Time, snapshot *config.Snapshot) {
+// updatePools passes the pools of a newer snapshot to the ledger.
+func (p *Policy) updatePools(now time.Time, snapshot *config.Snapshot) {
 	if p.revision >= snapshot.Revision {
 		return
 	}
--- a/entry/services/stages/answers.go
+++ b/entry/services/stages/answers.go
@@ -32,25 +32,26 @@
 	} `json:"choices"`
 }
 
+// doneData is the data of the event that ends a completion's stream.
 const doneData = "[DONE]"
 
-// TakeAnswer adds a stage's whole answer to the state.
-func TakeAnswer(kind config.StageKind, body []byte, state *State) error {
+// ApplyAnswer adds a stage's complete answer to the state.
+func ApplyAnswer(kind config.StageKind, body []byte, state *State) error {
 	switch kind {
 	case config.StageEncode:
-		return takeEmbedding(body, state)
+		return applyEmbedding(body, state)
 	case config.StageRetrieve:
-		return takeDocuments(body, state)
+		return applyDocuments(body, state)
 	case config.StageRerank:
-		return takeOrder(body, state)
+		return applyOrder(body, state)
 	case config.StageGenerate:
-		return takeText(body, state)
+		return applyText(body, state)
 	default:
 		return ErrStage.New("unknown kind %q", kind)
 	}
 }
 
-func takeEmbedding(body []byte, state *State) error {
+func applyEmbedding(body []byte, state *State) error {
 	answer := embeddingAnswer{}
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return ErrStage.Wrap(err)
@@ -62,7 +63,7 @@
 	return nil
 }
 
-func takeDocuments(body []byte, state *State) error {
+func applyDocuments(body []byte, state *State) error {
 	answer := searchAnswer{}
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return ErrStage.Wrap(err)
@@ -71,8 +72,9 @@
 	return nil
 }
 
-// takeOrder keeps the documents that the rerank answer names, in its order, each once.
-func takeOrder(body []byte, state *State) error {
+// applyOrder keeps the documents that the rerank answer names, in its order. An index that is out
+// of range or occurs twice is an error.
+func applyOrder(body []byte, state *State) error {
 	answer := rerankAnswer{}
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return ErrStage.Wrap(err)
@@ -90,7 +92,7 @@
 	return nil
 }
 
-func takeText(body []byte, state *State) error {
+func applyText(body []byte, state *State) error {
 	text := strings.Builder{}
 	for event, err := range sse.Read(bytes.NewReader(body), nil) {
 		if err != nil {
@@ -99,11 +101,11 @@
 		if event.Data == doneData {
 			break
 		}
-		piece := completionEvent{}
-		if err := json.Unmarshal([]byte(event.Data), &piece); err != nil {
+		completion := completionEvent{}
+		if err := json.Unmarshal([]byte(event.Data), &completion); err != nil {
 			return ErrStage.Wrap(err)
 		}
-		for _, choice := range piece.Choices {
+		for _, choice := range completion.Choices {
 			text.WriteString(choice.Text)
 		}
 	}
--- a/entry/services/stages/stages.go
+++ b/entry/services/stages/stages.go
@@ -1,6 +1,6 @@
-// Package stages makes the call of each stage kind from what the pipeline
-// knows so far, and takes what the stage adds from its answer. Shapes: the
-// OpenAI-style embeddings, rerank and completions calls, and a vector search.
+// Package stages builds the call of each kind of stage from the pipeline's state and adds the stage's
+// answer to that state. The calls are OpenAI-style embeddings, rerank and completions, and a vector
+// search.
 package stages
 
 import (
@@ -16,6 +16,7 @@
 // ErrStage is the class of errors of this package.
 var ErrStage = errs.Class("stage") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
+// defaultLimit applies to a stage without a limit of documents or tokens.
 const defaultLimit = 8
 
 // Document is a text that retrieval found.
@@ -24,7 +25,7 @@
 	Text string `json:"text"`
 }
 
-// State is what a pipeline knows between two stages.
+// State holds the request and the results of the stages that have run.
 type State struct {
 	Input     string
 	Vector    []float64
@@ -38,9 +39,9 @@
 	Method string
 	Path   string
 	Body   []byte
-	// Stream is set where the answer is server-sent events.
+	// Stream is set if the answer consists of server-sent events.
 	Stream bool
-	// Prompt is what a prefix cache sees; empty for other kinds.
+	// Prompt is the prompt of a generate stage, which prefix caches match; empty for other kinds.
 	Prompt string
 }
 
@@ -69,7 +70,7 @@
 	Priority  int    `json:"priority"`
 }
 
-// BuildCall returns the call of a stage for what is known so far.
+// BuildCall returns the call of a stage for the current state.
 func BuildCall(stage config.Stage, state *State, priority config.Priority) (Call, error) {
 	switch stage.Kind {
 	case config.StageEncode:
@@ -108,7 +109,8 @@
 	return call, err
 }
 
-// PromptOf puts the documents before the question, so that requests over the same documents share a prefix.
+// PromptOf returns the documents followed by the input, so that requests with the same documents
+// share a prefix.
 func PromptOf(state *State) string {
 	parts := append(textsOf(state.Documents), state.Input)
 	return strings.Join(parts, "\n")
--- a/entry/services/walk/walk.go
+++ b/entry/services/walk/walk.go
@@ -1,6 +1,6 @@
-// Package walk takes a request through the stages of its pipeline under one
-// deadline. In: a pipeline and its input. Out: the last stage's answer, whole,
-// or the final result.
+// Package walk runs a request through the stages of its pipeline under one deadline. Its input is a
+// pipeline and the request's input, its output the complete answer of the last stage or the final
+// result.
 package walk
 
 import (
@@ -23,17 +23,18 @@
 )
 
 const (
-	// bytesPerToken and unitTokens turn a prompt and a token limit into cost units.
+	// bytesPerToken and unitTokens convert a prompt and a token limit to cost units.
 	bytesPerToken = 4
 	unitTokens    = 256
 	baseCost      = 0.1
-	// prefixBytes are the lengths of a prompt by which a shared prefix is recognised.
+	// longPrefix and shortPrefix are the lengths, in bytes, of the prompt prefixes that are hashed to
+	// find agents that have served the same prefix.
 	longPrefix  = 2048
 	shortPrefix = 512
 )
 
-// Waits predicts queue delays; *fleet.Fleet is one.
-type Waits interface {
+// WaitPredictor predicts queue delays; *fleet.Fleet implements it.
+type WaitPredictor interface {
 	PredictWait(now time.Time, options fleet.ChooseOptions) (wait, run time.Duration, refusal *codes.Result)
 }
 
@@ -46,23 +47,24 @@
 	Deadline  time.Time
 	Input     string
 	MaxTokens int
-	// Sink gets the last stage's stream as it comes; nil keeps it for the answer.
+	// Sink receives the last stage's stream as it arrives. If it is nil, the stream is collected in
+	// the Answer.
 	Sink io.Writer
 }
 
-// holdsBack is set where the answer goes to the caller when it is whole. Batch
-// runs give way to higher classes while they run; a run whose pieces had gone
-// out already could not be sent again, and its request would end incomplete.
-func (q *Request) holdsBack() bool { return q.Priority == config.PriorityBatch }
+// buffersAnswer reports whether the answer is written to the caller only once it is complete. This
+// is so for batch requests: higher classes may preempt them while they run, and a call whose first
+// parts were already written could not be retried, so its answer would stay incomplete.
+func (q *Request) buffersAnswer() bool { return q.Priority == config.PriorityBatch }
 
-// StageReport says what one stage took.
+// StageReport holds the time and the number of attempts of one stage.
 type StageReport struct {
 	Stage    string  `json:"stage"`
 	Millis   float64 `json:"millis"`
 	Attempts int     `json:"attempts"`
 }
 
-// Answer is the whole answer of a pipeline.
+// Answer is the complete answer of a pipeline.
 type Answer struct {
 	Text      string
 	Documents []stages.Document
@@ -72,18 +74,19 @@
 
 // Walker runs pipelines.
 type Walker struct {
-	runner *calls.Runner
-	policy *policy.Policy
-	waits  Waits
-	config calls.Configuration
+	runner    *calls.Runner
+	policy    *policy.Policy
+	predictor WaitPredictor
+	config    calls.Configuration
 }
 
 // NewWalker returns a walker.
-func NewWalker(runner *calls.Runner, p *policy.Policy, waits Waits, configuration calls.Configuration) *Walker {
-	return &Walker{runner: runner, policy: p, waits: waits, config: configuration}
+func NewWalker(runner *calls.Runner, p *policy.Policy, predictor WaitPredictor, configuration calls.Configuration) *Walker {
+	return &Walker{runner: runner, policy: p, predictor: predictor, config: configuration}
 }
 
-// Run takes the request through every stage, or returns the final result at once when it is given up on.
+// Run runs the request through every stage. As soon as a stage fails for good it returns the final
+// result instead.
 func (w *Walker) Run(ctx context.Context, q *Request) (*Answer, *codes.Result) {
 	ctx, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
@@ -96,7 +99,7 @@
 	for n := range q.Pipeline.Stages {
 		got, result := w.runStage(ctx, q, plan, n, state)
 		if result != nil {
-			return nil, afterStages(n, result)
+			return nil, asPartlyRun(n, result)
 		}
 		answer.Tokens += got.End.GetTokens()
 		answer.Stages = append(answer.Stages, newReport(q.Pipeline.Stages[n].Name, got))
@@ -106,8 +109,9 @@
 	return answer, nil
 }
 
-// afterStages corrects a refusal that comes after other stages ran: the request as a whole ran in part.
-func afterStages(done int, result *codes.Result) *codes.Result {
+// asPartlyRun sets the outcome of a stage's "not run" result to "ran" if earlier stages are done,
+// since the request as a whole did run in part.
+func asPartlyRun(done int, result *codes.Result) *codes.Result {
 	if done > 0 && result.Outcome == codes.OutcomeNotRun {
 		return result.WithOutcome(codes.OutcomeRan)
 	}
@@ -119,13 +123,13 @@
 	return StageReport{Stage: name, Millis: float64(took) / float64(time.Millisecond), Attempts: got.Attempts}
 }
 
-// plan is what admission worked out for each stage.
+// plan holds the predicted times and the cost of each stage, as computed at admission.
 type plan struct {
 	stages []admit.Stage
 	costs  []float64
 }
 
-// admit refuses at once, as not run, what cannot be done in time or goes over a limit.
+// admit refuses a request, as not run, if it cannot be done in time or exceeds a limit.
 func (w *Walker) admit(ctx context.Context, q *Request) (*plan, *codes.Result) {
 	snapshot, refusal := w.config.GetUsable(ctx)
 	if refusal != nil {
@@ -140,7 +144,7 @@
 		if refusal := w.policy.CheckSpend(now, snapshot, stage.Service, q.Priority, cost); refusal != nil {
 			return nil, refusal
 		}
-		wait, run, refusal := w.waits.PredictWait(now, w.chooseOptions(snapshot, q, stage))
+		wait, run, refusal := w.predictor.PredictWait(now, w.chooseOptions(snapshot, q, stage))
 		if refusal != nil && refusal.Code != codes.NoBackend {
 			return nil, refusal
 		}
@@ -169,7 +173,8 @@
 	}
 }
 
-// estimateCost counts tokens in and out of a generate stage; other kinds cost one unit part.
+// estimateCost returns a stage's cost in cost units: baseCost, and for a generate stage one unit more
+// for every unitTokens tokens of input and permitted output.
 func estimateCost(stage *config.Stage, q *Request) float64 {
 	if stage.Kind != config.StageGenerate {
 		return baseCost
@@ -208,12 +213,12 @@
 		Prefixes:     prefixesOf(built.Prompt),
 		Idempotent:   true,
 	}
-	if forwards && !q.holdsBack() {
+	if forwards && !q.buffersAnswer() {
 		call.Sink = q.Sink
 	}
 	got, result := w.runner.Run(ctx, call)
-	w.learn(p, n, started, got, result)
-	w.account(ctx, q, p, n, result)
+	w.observeStageTime(p, n, started, got, result)
+	w.addUse(ctx, q, p, n, result)
 	if result != nil {
 		return nil, result
 	}
@@ -224,47 +229,48 @@
 		return got, nil
 	}
 	if forwards {
-		return got, hand(q.Sink, got.Body)
+		return got, writeAnswer(q.Sink, got.Body)
 	}
-	if err := stages.TakeAnswer(stage.Kind, got.Body, state); err != nil {
+	if err := stages.ApplyAnswer(stage.Kind, got.Body, state); err != nil {
 		return nil, codes.NewResult(codes.BackendFailed, stage.Name+": "+err.Error())
 	}
 	return got, nil
 }
 
-// stageBudget is a stage's part of the time that is left; what earlier stages
-// saved flows on. It steers the choice of an agent; the deadline itself stays
-// the request's, since a late stage may still be made up for by the others.
+// stageBudget returns a stage's part of the time left; time that earlier stages saved is divided
+// among the remaining ones. It only guides the choice of an agent. The stage's deadline remains
+// that of the request, since later stages may make up for a late one.
 func (w *Walker) stageBudget(q *Request, p *plan, n int) time.Duration {
 	now := time.Now()
 	shares := w.policy.SplitDeadline(now, q.Deadline.Sub(now), p.stages[n:])
 	return shares[0]
 }
 
-// hand gives a whole answer to the caller's stream.
-func hand(sink io.Writer, body []byte) *codes.Result {
+// writeAnswer writes a complete answer to the caller's stream.
+func writeAnswer(sink io.Writer, body []byte) *codes.Result {
 	if _, err := sink.Write(body); err != nil {
 		return codes.NewResult(codes.Canceled, "the caller went away")
 	}
 	return nil
 }
 
-// learn takes the stage's times. One that was given up on at the deadline
-// counts with the time until then: left out, the slow ones would not show.
-func (w *Walker) learn(p *plan, n int, started time.Time, got *calls.Answer, result *codes.Result) {
+// observeStageTime records the stage's service time. A stage that timed out at the deadline counts
+// with the time until then less the predicted queue delay; without it the slowest calls would be
+// missing from the estimate.
+func (w *Walker) observeStageTime(p *plan, n int, started time.Time, got *calls.Answer, result *codes.Result) {
 	now := time.Now()
 	key := p.stages[n].Key
 	if result == nil {
-		w.policy.AddStageTime(now, key, time.Duration(got.End.GetServiceNanos()))
+		w.policy.ObserveStageTime(now, key, time.Duration(got.End.GetServiceNanos()))
 		return
 	}
 	if result.Code == codes.DeadlineExceeded && result.Outcome != codes.OutcomeNotRun {
 		took := now.Sub(started)
-		w.policy.AddStageTime(now, key, max(took-p.stages[n].Wait, 0))
+		w.policy.ObserveStageTime(now, key, max(took-p.stages[n].Wait, 0))
 	}
 }
 
-func (w *Walker) account(ctx context.Context, q *Request, p *plan, n int, result *codes.Result) {
+func (w *Walker) addUse(ctx context.Context, q *Request, p *plan, n int, result *codes.Result) {
 	now := time.Now()
 	if result != nil && result.Outcome == codes.OutcomeNotRun {
 		return
@@ -282,7 +288,7 @@
 	})
 }
 
-// prefixesOf names the start of a prompt by two digests, longest first.
+// prefixesOf returns digests of the long and the short prefix of a prompt, longest first.
 func prefixesOf(prompt string) []route.Prefix {
 	prefixes := []route.Prefix{}
 	for _, length := range []int{longPrefix, shortPrefix} {
