--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -106,12 +106,12 @@
 	e.follower = procs.NewFollower(s.Instance.Name, s.Instance.Domain, e.port, e, e.log)
 	e.board = status.NewInstanceView(e.follower)
 	e.fleet = fleet.NewFleet(fleet.Options{
-		Self:      e.describeSelf(),
-		ListEvery: s.Platform.ListEvery,
-		Route:     e.routeSettings,
-		List:      roster.NewClient(roster.Options{Address: s.Platform.List, CallTimeout: s.Platform.StoreTimeout}),
-		Watcher:   e.board,
-		Log:       e.log,
+		Self:         e.describeSelf(),
+		ListInterval: s.Platform.ListEvery,
+		Route:        e.routeSettings,
+		List:         roster.NewClient(roster.Options{Address: s.Platform.List, CallTimeout: s.Platform.StoreTimeout}),
+		Watcher:      e.board,
+		Log:          e.log,
 		Link: link.Options{
 			Hello:       e.newHello(),
 			TLS:         security,
@@ -240,8 +240,8 @@
 	sweep.NewSweeper(sweep.Options{
 		Claims:    e.port,
 		Snapshots: e.follower,
-		Turn:      e.fleet,
-		Every:     sweep.DefaultEvery,
+		Election:  e.fleet,
+		Interval:  sweep.DefaultInterval,
 		Pause:     sweep.DefaultPause,
 		Log:       e.log,
 	}).Start(ctx)
--- a/entry/routers/caller/world_test.go
+++ b/entry/routers/caller/world_test.go
@@ -185,7 +185,7 @@
 	return 0, time.Millisecond, nil
 }
 
-func (w *world) AskAgent(context.Context, string, *wire.Ask) (*wire.Told, error) {
+func (w *world) RequestTombstone(context.Context, string, *wire.Ask) (*wire.Told, error) {
 	return &wire.Told{State: string(claim.ReportedTombstoned)}, nil
 }
 
--- a/entry/services/direct/claimed.go
+++ b/entry/services/direct/claimed.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// askTime bounds asking an agent what became of an attempt.
-	askTime = 300 * time.Millisecond
-	// retryHint is what a caller is told to wait where it may ask again.
+	// tombstoneTimeout is the time limit of a tombstone request to an agent.
+	tombstoneTimeout = 300 * time.Millisecond
+	// retryHint is the Retry-After of results after which the caller may retry.
 	retryHint = time.Second
-	// releaseTime bounds freeing a key after its caller was answered.
-	releaseTime = 5 * time.Second
+	// releaseTimeout is the time limit for releasing a key after the caller got its answer.
+	releaseTimeout = 5 * time.Second
 )
 
 // submission carries out one claim.Submission.
@@ -32,20 +32,20 @@
 	chosen  *fleet.Attempt
 	// agent is the name of the chosen agent.
 	agent string
-	// attempt is the id named in the claim; new for every submission.
+	// attempt is the attempt id in the claim; each submission has a new one.
 	attempt string
-	// replied holds the answer once the submission is settled.
-	replied *claim.Reply
-	// release frees the key after an attempt that did not run; nil where there is nothing to free.
+	// reply is set once the submission is settled.
+	reply *claim.Reply
+	// release is set after an attempt that did not run, if its key must be released.
 	release *claim.Release
 }
 
 // runClaimed claims the key, runs the call and settles the claim.
 //
-// Guards against a refusal that only concerns one agent, since it is stopping
-// or knows a newer configuration: the caller would have to send the order
-// again itself, at every planned stop and change. The attempt did not run; its
-// claim is freed first, so that it never can, and a new submission follows.
+// An agent that is stopping, or has a newer configuration, refuses the attempt although another agent
+// could run it. Without a resubmission the caller would have to retry its call at every planned stop
+// and every configuration change. The attempt did not run; its claim is released first, so that it
+// never can, and a new submission follows.
 func (c *Caller) runClaimed(ctx context.Context, snapshot *config.Snapshot, q *Request) (*Answer, *codes.Result) {
 	excluded := []string{}
 	for resends := 0; ; resends++ {
@@ -55,8 +55,8 @@
 		}
 		s.run(ctx)
 		answer, result := s.answer()
-		if s.release == nil || !c.mayResubmit(q, resends, result) || !s.free(ctx) {
-			s.freeLater(ctx)
+		if s.release == nil || !c.mayResubmit(q, resends, result) || !s.releaseClaim(ctx) {
+			s.releaseInBackground(ctx)
 			return answer, result
 		}
 		if result.Code != codes.NewerRevision {
@@ -70,7 +70,8 @@
 	}
 }
 
-// newSubmission chooses an agent; a refusal of a later submission says as truly "not run" as the first one's.
+// newSubmission chooses an agent. A refusal of a later submission is "not run" as well, since each
+// earlier attempt did not run and its claim was released.
 func (c *Caller) newSubmission(snapshot *config.Snapshot, q *Request, resends int, excluded []string) (*submission, *codes.Result) {
 	call := c.newCall(q)
 	chosen, refusal := c.options.Agents.ChooseAgent(time.Now(), fleet.ChooseOptions{
@@ -99,8 +100,8 @@
 	return s, nil
 }
 
-// attemptID differs between the submissions of one request, since an agent
-// never starts an attempt that it has refused.
+// attemptID returns a different id for each submission of one request, since an agent never starts an
+// attempt that it has refused.
 func attemptID(q *Request, resends int) string {
 	if resends == 0 {
 		return q.ID
@@ -122,7 +123,7 @@
 	return decision.Action == retry.ActionResend
 }
 
-// run steps the submission until the caller has its answer.
+// run steps the submission, carrying out its actions, until no action is left.
 func (s *submission) run(ctx context.Context) {
 	actions := s.claim.Step(time.Now(), claim.Started{})
 	for len(actions) > 0 {
@@ -149,11 +150,11 @@
 	case claim.CompareAndSwap:
 		return s.swap(ctx, a)
 	case claim.RequestTombstone:
-		return s.ask(ctx, a)
+		return s.requestTombstone(ctx, a)
 	case claim.Dispatch:
 		return s.dispatch(ctx)
 	case claim.Reply:
-		s.replied = &a
+		s.reply = &a
 	case claim.Release:
 		s.release = &a
 	}
@@ -181,11 +182,12 @@
 	return claim.SwapResult{Outcome: claim.SwapDone}
 }
 
-func (s *submission) ask(ctx context.Context, a claim.RequestTombstone) claim.Event {
-	// The caller's deadline may have passed; asking has a short time of its own.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTime)
+func (s *submission) requestTombstone(ctx context.Context, a claim.RequestTombstone) claim.Event {
+	// The caller's deadline may have passed already, so the request has a short time limit of its
+	// own.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tombstoneTimeout)
 	defer cancel()
-	told, err := s.caller.options.Agents.AskAgent(ctx, a.Agent, &wire.Ask{
+	report, err := s.caller.options.Agents.RequestTombstone(ctx, a.Agent, &wire.Ask{
 		ClaimKey:    a.Key,
 		Attempt:     a.Attempt,
 		Incarnation: a.Incarnation,
@@ -194,15 +196,15 @@
 		s.log("claim-ask-failed", err)
 		return claim.AttemptReport{Attempt: a.Attempt, State: claim.ReportedUnreachable}
 	}
-	return decodeTold(a.Attempt, told)
+	return decodeReport(a.Attempt, report)
 }
 
-func decodeTold(attempt string, told *wire.Told) claim.Event {
-	out := claim.AttemptReport{Attempt: attempt, State: claim.ReportedState(told.GetState())}
-	if len(told.GetAnswer()) == 0 {
+func decodeReport(attempt string, report *wire.Told) claim.Event {
+	out := claim.AttemptReport{Attempt: attempt, State: claim.ReportedState(report.GetState())}
+	if len(report.GetAnswer()) == 0 {
 		return out
 	}
-	answer, err := claim.DecodeAnswer(told.GetAnswer())
+	answer, err := claim.DecodeAnswer(report.GetAnswer())
 	if err == nil {
 		out.Answer = &answer
 	}
@@ -228,34 +230,35 @@
 	return claim.DispatchEnded{Attempt: s.attempt, Result: *ok, Answer: &answer}
 }
 
-// dispatched tells whether the chosen agent was used up by a dispatch.
+// dispatched reports whether the attempt was dispatched to the chosen agent.
 func (s *submission) dispatched() bool {
 	return s.chosen == nil
 }
 
-// freeLater frees the key so that a caller's retry need not ask the agent.
-// Nothing depends on its success.
-func (s *submission) freeLater(ctx context.Context) {
+// releaseInBackground releases the key, so that a caller's retry need not send a tombstone request
+// to the agent. Nothing depends on its success.
+func (s *submission) releaseInBackground(ctx context.Context) {
 	if s.release != nil {
 		go s.runRelease(context.WithoutCancel(ctx))
 	}
 }
 
 func (s *submission) runRelease(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, releaseTime)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	s.free(ctx)
+	s.releaseClaim(ctx)
 }
 
-// free takes back this submission's claim, if the key still holds it, and tells whether it did.
-func (s *submission) free(ctx context.Context) bool {
+// releaseClaim releases this submission's claim if the key still holds it, and reports whether it
+// did.
+func (s *submission) releaseClaim(ctx context.Context) bool {
 	a := s.release
 	stored, err := s.caller.options.Claims.GetClaim(ctx, a.Key)
 	if err != nil || stored == nil {
 		return false
 	}
-	own := stored.Record.Attempt == s.attempt && stored.Record.State == claim.StateClaimed
-	if !own {
+	held := stored.Record.Attempt == s.attempt && stored.Record.State == claim.StateClaimed
+	if !held {
 		return false
 	}
 	swapped, err := s.caller.options.Claims.SwapClaim(ctx, a.Key, a.Stored.Record, stored.Index)
@@ -266,13 +269,13 @@
 }
 
 func (s *submission) answer() (*Answer, *codes.Result) {
-	if s.replied == nil {
+	if s.reply == nil {
 		return nil, codes.NewResult(codes.Internal, "the claim ended without a reply")
 	}
-	if s.replied.Answer == nil || s.replied.Answer.Code != codes.OK {
-		return nil, &s.replied.Result
+	if s.reply.Answer == nil || s.reply.Answer.Code != codes.OK {
+		return nil, &s.reply.Result
 	}
-	answer := s.replied.Answer
+	answer := s.reply.Answer
 	return &Answer{Status: statusOf(answer), ContentType: answer.ContentType, Body: answer.Body}, nil
 }
 
--- a/entry/services/direct/direct.go
+++ b/entry/services/direct/direct.go
@@ -1,5 +1,5 @@
-// Package direct runs calls of plain services. An idempotent call is one
-// stage; a non-idempotent one is claimed by its key first and runs at most once.
+// Package direct runs calls of plain services. An idempotent call runs like a pipeline of one
+// stage. A non-idempotent call first claims its idempotency key and runs at most once.
 package direct
 
 import (
@@ -24,6 +24,7 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
+// callCost is the cost of one call in cost units.
 const callCost = 0.1
 
 // Request is one call of a plain service.
@@ -38,21 +39,23 @@
 	Path        string
 	ContentType string
 	Body        []byte
-	// Key is the caller's Idempotency-Key; it must be set for non-idempotent calls.
+	// Key is the caller's Idempotency-Key. It is required for non-idempotent calls.
 	Key string
 }
 
-// Answer is what the service answered.
+// Answer is the service's answer.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Asker asks an agent what became of an attempt; *fleet.Fleet is one.
-type Asker interface {
+// Agents chooses agents and sends them tombstone requests; *fleet.Fleet implements it.
+type Agents interface {
 	ChooseAgent(now time.Time, options fleet.ChooseOptions) (fleet.Attempt, *codes.Result)
-	AskAgent(ctx context.Context, name string, ask *wire.Ask) (*wire.Told, error)
+	// RequestTombstone asks an agent to tombstone an attempt unless it has started, and for its
+	// state.
+	RequestTombstone(ctx context.Context, name string, ask *wire.Ask) (*wire.Told, error)
 }
 
 // Claims reads and writes claim records.
@@ -61,11 +64,11 @@
 	SwapClaim(ctx context.Context, key string, record claim.Record, index uint64) (bool, error)
 }
 
-// Options are the parts of a Caller.
+// Options are the dependencies of a Caller.
 type Options struct {
 	Runner        *calls.Runner
 	Policy        *policy.Policy
-	Agents        Asker
+	Agents        Agents
 	Claims        Claims
 	Configuration calls.Configuration
 	Log           *zap.Logger
@@ -81,20 +84,21 @@
 	return &Caller{options: options}
 }
 
-// FindRoute returns the route that a method and path belong to, or nil.
+// FindRoute returns the first route that matches the method and path, or nil. A route whose path ends
+// in a slash also matches all paths that begin with it.
 func FindRoute(service *config.Service, method, path string) *config.ServiceRoute {
 	for n := range service.Routes {
 		route := &service.Routes[n]
-		whole := route.Path == path
-		below := strings.HasSuffix(route.Path, "/") && strings.HasPrefix(path, route.Path)
-		if route.Method == method && (whole || below) {
+		exact := route.Path == path
+		underPrefix := strings.HasSuffix(route.Path, "/") && strings.HasPrefix(path, route.Path)
+		if route.Method == method && (exact || underPrefix) {
 			return route
 		}
 	}
 	return nil
 }
 
-// Run returns the service's answer, or the final result at once when the call is given up on.
+// Run returns the service's answer, or the final result if the call fails.
 func (c *Caller) Run(ctx context.Context, q *Request) (*Answer, *codes.Result) {
 	if !q.Route.Idempotent && q.Key == "" {
 		return nil, codes.NewResult(codes.KeyRequired, "send an Idempotency-Key header with this call")
@@ -107,7 +111,7 @@
 		return nil, refusal
 	}
 	if q.Route.Idempotent {
-		return c.runOnce(ctx, q, c.newCall(q))
+		return c.runIdempotent(ctx, q, c.newCall(q))
 	}
 	return c.runClaimed(ctx, snapshot, q)
 }
@@ -153,12 +157,12 @@
 	}
 }
 
-// stageLabels lets rules tell direct calls apart as they do stages.
+// stageLabels returns the labels by which rules match direct calls, in place of those of a stage.
 func stageLabels(q *Request) config.Labels {
 	return config.Labels{"service": q.Service.Name, "kind": string(q.Service.Kind)}
 }
 
-func (c *Caller) runOnce(ctx context.Context, q *Request, call *calls.Call) (*Answer, *codes.Result) {
+func (c *Caller) runIdempotent(ctx context.Context, q *Request, call *calls.Call) (*Answer, *codes.Result) {
 	got, result := c.options.Runner.Run(ctx, call)
 	if result == nil || result.Outcome != codes.OutcomeNotRun {
 		c.addUse(ctx, q)
@@ -178,7 +182,8 @@
 	c.options.Policy.AddUse(time.Now(), snapshot, q.Service.Name, use)
 }
 
-// digestOf binds a key to the whole call, so that the same key with another body is a conflict.
+// digestOf hashes the service, method, path, content type and body, so that the same key with any
+// other call is a conflict.
 func digestOf(q *Request) string {
 	sum := sha256.New()
 	for _, part := range []string{q.Service.Name, q.Method, q.Path, q.ContentType} {
@@ -189,7 +194,7 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// statusOf is the status of an answer kept in a claim.
+// statusOf returns the HTTP status of an answer stored in a claim; a missing one means 200.
 func statusOf(answer *claim.Answer) int {
 	if answer.Status == 0 {
 		return http.StatusOK
--- a/entry/services/fleet/fleet.go
+++ b/entry/services/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet knows the agents: it keeps the sessions to the agents that
-// the routers want and gives traffic the agent and session for each attempt.
-// In: the instance list, heartbeats, ends of calls. Out: choices and sessions.
+// Package fleet keeps sessions to the agents that the routers want, and chooses the agent and
+// session for each attempt. Its input is the instance list, heartbeats and results of attempts.
 package fleet
 
 import (
@@ -25,20 +24,23 @@
 var ErrFleet = errs.Class("fleet") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
 const (
+	// matchCacheSize is the number of label combinations for which matched rules are cached per
+	// service.
 	matchCacheSize = 4096
 )
 
-// List is the platform's lagging list of instances.
+// List is the platform's list of instances. It may be out of date.
 type List interface {
 	FindInstances(ctx context.Context, role member.Role) ([]member.Instance, error)
 }
 
-// Watcher is told what heartbeats and the list say of the configuration.
+// Watcher is notified of heartbeats, ended sessions and updates of the instance list, for the
+// distribution of the configuration.
 type Watcher interface {
-	OnPeerBeat(peer string, beat *wire.Beat, notBefore time.Time)
+	OnPeerBeat(peer string, heartbeat *wire.Beat, notBefore time.Time)
 	OnPeerGone(peer string)
 	OnInstances(instances []member.Instance)
-	// AnswerFetch serves an agent that asks for configuration.
+	// AnswerFetch answers an agent's request for configuration.
 	AnswerFetch(fetch *wire.Fetch) *wire.Chunks
 }
 
@@ -46,10 +48,10 @@
 type Options struct {
 	// Self is this entry.
 	Self member.Instance
-	// Link is the template of the sessions' settings.
+	// Link holds the settings of all sessions; the fleet adds its own callbacks.
 	Link link.Options
-	// ListEvery is the time between two reads of the list.
-	ListEvery time.Duration
+	// ListInterval is the interval at which the list is read.
+	ListInterval time.Duration
 	// Route returns a router's settings for a service.
 	Route   func(service string) route.Settings
 	List    List
@@ -60,20 +62,20 @@
 // Fleet owns the sessions to agents and one router for each service.
 type Fleet struct {
 	options Options
-	// wake asks the control loop to look at the wanted sessions again.
+	// wake makes the control loop reconcile the sessions again.
 	wake chan struct{}
 
 	lock sync.Mutex
-	// services holds one router for each service that the list or a request named.
+	// services holds one router for each service that occurs in the list or in a request.
 	services map[string]*service
-	// peers holds the agents of the list, by name.
+	// peers holds the listed agents by name, and unlisted ones while their session is open.
 	peers map[string]*peer
-	// entries is the number of live entries, itself included; at least 1.
+	// entries is the number of listed entries, this one included; at least 1.
 	entries int
-	// entryNames are those on the list.
+	// entryNames are the names of the listed entries.
 	entryNames []string
-	// retired counts the bytes of sessions that have ended, by region.
-	crossRetired uint64
+	// closedCrossBytes counts the bytes of ended sessions to other regions.
+	closedCrossBytes uint64
 }
 
 // service is the routing state of one service.
@@ -82,7 +84,7 @@
 	// router and matches are guarded by lock.
 	router  *route.Router
 	matches *match.Cache
-	// revision is the configuration that matches was compiled for.
+	// revision is the configuration revision whose rules matches was compiled from.
 	revision uint64
 	random   *rand.Rand
 }
@@ -98,37 +100,38 @@
 	}
 }
 
-// Start keeps the fleet until the context ends.
+// Start starts the control loop, which runs until the context ends and then closes all sessions.
 func (f *Fleet) Start(ctx context.Context) {
 	go f.loop(ctx)
 }
 
-// ChooseOptions say what a choice depends on.
+// ChooseOptions are the inputs of a choice.
 type ChooseOptions struct {
 	Service string
-	// Snapshot holds the rules.
+	// Snapshot is the configuration whose rules apply.
 	Snapshot *config.Snapshot
 	Caller   config.Labels
 	Stage    config.Labels
 	Budget   time.Duration
-	// Priority is the call's class; agents let higher classes pass.
+	// Priority is the call's class. Agents run higher classes first.
 	Priority config.Priority
 	Prefixes []route.Prefix
 	Exclude  []string
 }
 
-// Attempt is a chosen agent with the session to it.
+// Attempt is a chosen agent and the session to it.
 type Attempt struct {
 	Choice  route.Choice
 	Session *link.Session
 }
 
-// ChooseAgent returns the agent that the next attempt goes to, and counts the attempt as sent.
+// ChooseAgent returns the agent for the next attempt and counts the attempt as sent. The caller
+// must end it with EndAttempt.
 func (f *Fleet) ChooseAgent(now time.Time, options ChooseOptions) (Attempt, *codes.Result) {
 	s := f.getService(options.Service)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if err := s.adoptRules(options.Snapshot); err != nil {
+	if err := s.updateRules(options.Snapshot); err != nil {
 		return Attempt{}, codes.NewResult(codes.Internal, err.Error()).WithOutcome(codes.OutcomeNotRun)
 	}
 	before := s.router.SubsetVersion()
@@ -148,27 +151,28 @@
 	return Attempt{Choice: choice, Session: session}, nil
 }
 
-// PredictWait returns the queue delay and service time that the next attempt
-// would meet; nothing is counted as sent.
+// PredictWait returns the expected queue delay and service time of the next attempt. It counts
+// nothing as sent.
 func (f *Fleet) PredictWait(now time.Time, options ChooseOptions) (wait, run time.Duration, refusal *codes.Result) {
 	s := f.getService(options.Service)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if err := s.adoptRules(options.Snapshot); err != nil {
+	if err := s.updateRules(options.Snapshot); err != nil {
 		return 0, 0, codes.NewResult(codes.Internal, err.Error()).WithOutcome(codes.OutcomeNotRun)
 	}
 	choice, err := s.router.Choose(now, s.request(options), s.random)
 	if err != nil {
 		return 0, 0, codes.NewResult(codes.NoBackend, err.Error())
 	}
-	return waitOf(options.Priority, choice), choice.ServiceTime, nil
+	return admissionWait(options.Priority, choice), choice.ServiceTime, nil
 }
 
-// waitOf returns the queue delay that admission counts for a class. What the
-// entry counts as ahead holds lower classes too, which agents let wait: urgent
-// work would be refused for the batch work that it overtakes. Its own class is
-// left to the agents, which refuse in time what cannot start.
-func waitOf(priority config.Priority, choice route.Choice) time.Duration {
+// admissionWait returns the queue delay that admission assumes for a class. The entry's backlog
+// includes lower classes, which agents run later: urgent work would be refused because of batch
+// work that it overtakes. Urgent work queued ahead is not counted either: agents refuse early what
+// cannot start in time. For normal work the delay is the lower one of the entry's estimate and the
+// agent's report.
+func admissionWait(priority config.Priority, choice route.Choice) time.Duration {
 	switch priority {
 	case config.PriorityUrgent:
 		return 0
@@ -179,7 +183,7 @@
 	}
 }
 
-// request is the routing request of the options; adoptRules goes before it.
+// request returns the routing request for the options. The caller must call updateRules first.
 func (s *service) request(options ChooseOptions) route.Request {
 	return route.Request{
 		Filter:   s.matches.Select(options.Caller, options.Stage),
@@ -189,30 +193,31 @@
 	}
 }
 
-// EndAttempt tells the router how an attempt ended; each chosen attempt is ended once.
-func (f *Fleet) EndAttempt(now time.Time, service string, ended route.CallResult) {
+// EndAttempt reports the result of an attempt to the router. It must be called once for each
+// attempt that ChooseAgent returns.
+func (f *Fleet) EndAttempt(now time.Time, service string, result route.CallResult) {
 	s := f.getService(service)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	before := s.router.SubsetVersion()
-	s.router.OnEnded(now, ended)
+	s.router.OnEnded(now, result)
 	if s.router.SubsetVersion() != before {
 		f.wakeLoop()
 	}
 }
 
-// Explain returns why each agent of a service would or would not be chosen.
+// Explain returns for each agent of a service why it would or would not be chosen.
 func (f *Fleet) Explain(now time.Time, options ChooseOptions) ([]route.Explanation, error) {
 	s := f.getService(options.Service)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if err := s.adoptRules(options.Snapshot); err != nil {
+	if err := s.updateRules(options.Snapshot); err != nil {
 		return nil, err
 	}
 	return s.router.Explain(now, s.request(options)), nil
 }
 
-// CountEntries returns the number of live entries.
+// CountEntries returns the number of listed entries, this one included; at least 1.
 func (f *Fleet) CountEntries() int {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -233,8 +238,8 @@
 	return s
 }
 
-// adoptRules compiles the rules of a newer snapshot once.
-func (s *service) adoptRules(snapshot *config.Snapshot) error {
+// updateRules compiles the rules of the snapshot unless those of its revision are compiled already.
+func (s *service) updateRules(snapshot *config.Snapshot) error {
 	if s.matches != nil && s.revision == snapshot.Revision {
 		return nil
 	}
--- a/entry/services/fleet/peers.go
+++ b/entry/services/fleet/peers.go
@@ -15,45 +15,49 @@
 )
 
 const (
+	// redialBase and redialMax set the backoff between two connection attempts to one agent. It doubles
+	// with each failure up to redialMax, and jitter is applied to it. redialBase is also the interval at
+	// which a session that is no longer wanted is checked for running calls.
 	redialBase = 100 * time.Millisecond
 	redialMax  = 5 * time.Second
-	// fetchTimeout bounds serving one fetch.
+	// fetchTimeout is the time limit for answering one fetch.
 	fetchTimeout = 3 * time.Second
 )
 
 // peer is one agent and the session to it.
 type peer struct {
 	instance member.Instance
-	// session is nil while there is none; guarded by the fleet's lock.
+	// session is nil while no session is open; guarded by the fleet's lock.
 	session *link.Session
-	// dialing is set while a run tries to connect; guarded by the fleet's lock.
+	// dialing is set while runDial is connecting; guarded by the fleet's lock.
 	dialing bool
-	// failures counts connects in a row that failed, for the pause before the next.
+	// failures counts consecutive failed connection attempts and sets the backoff before the next.
 	failures int
 	nextDial time.Time
 }
 
-// loop is the control thread: it reads the list and keeps the wanted sessions.
+// loop is the control loop: it reads the instance list and opens and closes sessions.
 func (f *Fleet) loop(ctx context.Context) {
-	ticker := time.NewTicker(f.options.ListEvery)
+	ticker := time.NewTicker(f.options.ListInterval)
 	defer ticker.Stop()
-	f.readList(ctx)
+	f.updateMembers(ctx)
 	for {
-		f.keepSessions(ctx)
+		f.reconcileSessions(ctx)
 		select {
 		case <-ctx.Done():
 			f.closeAll()
 			return
 		case <-f.wake:
-		case <-time.After(redialBase + f.options.ListEvery/4):
+		case <-time.After(redialBase + f.options.ListInterval/4):
 		case <-ticker.C:
-			f.readList(ctx)
+			f.updateMembers(ctx)
 		}
 	}
 }
 
-// readList takes the agents and entries of the list; a failed read keeps what is known.
-func (f *Fleet) readList(ctx context.Context) {
+// updateMembers updates the agents and entries from the instance list. A failed read leaves them
+// unchanged.
+func (f *Fleet) updateMembers(ctx context.Context) {
 	agents, err := f.options.List.FindInstances(ctx, member.RoleAgent)
 	if err != nil {
 		f.options.Log.Warn("list-unavailable", zap.Error(err))
@@ -67,7 +71,7 @@
 		f.lock.Unlock()
 		f.options.Watcher.OnInstances(append(entries, agents...))
 	}
-	f.takeAgents(agents)
+	f.updatePeers(agents)
 	now := time.Now()
 	for _, s := range f.listServices(agents) {
 		s.lock.Lock()
@@ -76,7 +80,8 @@
 	}
 }
 
-func (f *Fleet) takeAgents(agents []member.Instance) {
+// updatePeers adds the listed agents and removes unlisted ones without a session.
+func (f *Fleet) updatePeers(agents []member.Instance) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	listed := make(map[string]bool, len(agents))
@@ -96,6 +101,7 @@
 	}
 }
 
+// listServices returns all services, including those of the given agents.
 func (f *Fleet) listServices(agents []member.Instance) []*service {
 	for _, instance := range agents {
 		f.getService(instance.Service)
@@ -109,8 +115,8 @@
 	return all
 }
 
-// keepSessions connects to the wanted agents and lets go of the others.
-func (f *Fleet) keepSessions(ctx context.Context) {
+// reconcileSessions connects to the wanted agents and closes the sessions to all others.
+func (f *Fleet) reconcileSessions(ctx context.Context) {
 	wanted := map[string]bool{}
 	for _, s := range f.listServices(nil) {
 		s.lock.Lock()
@@ -133,7 +139,7 @@
 	}
 }
 
-// runRetire closes a session that is not wanted any more once no call uses it.
+// runRetire closes a session that is no longer wanted as soon as no call uses it.
 func (f *Fleet) runRetire(ctx context.Context, session *link.Session) {
 	for session.CountBusy() > 0 && ctx.Err() == nil && !session.IsClosed() {
 		time.Sleep(redialBase)
@@ -143,8 +149,8 @@
 
 func (f *Fleet) runDial(ctx context.Context, instance member.Instance) {
 	options := f.options.Link
-	options.OnBeat = f.takeBeat
-	options.OnDown = f.takeDown
+	options.OnBeat = f.onHeartbeat
+	options.OnDown = f.onSessionDown
 	session, err := link.Dial(ctx, instance.Address, options)
 	f.lock.Lock()
 	p := f.peers[instance.Name]
@@ -155,8 +161,8 @@
 	p.dialing = false
 	if err != nil {
 		p.failures++
-		pause := min(redialMax, redialBase<<min(p.failures, 8))
-		p.nextDial = time.Now().Add(time.Duration(float64(pause) * (0.5 + rand.Float64()))) //nolint:gosec // jitter
+		backoff := min(redialMax, redialBase<<min(p.failures, 8))
+		p.nextDial = time.Now().Add(time.Duration(float64(backoff) * (0.5 + rand.Float64()))) //nolint:gosec // jitter
 		f.lock.Unlock()
 		f.options.Log.Warn("session-failed", zap.String("agent", instance.Name), zap.Error(err))
 		return
@@ -168,8 +174,8 @@
 	go f.runServe(session)
 	f.onSession(instance, route.SessionUp, session.Peer().GetIncarnation())
 	if session.IsClosed() {
-		// It ended before it was noted here, so takeDown found nothing to clear.
-		f.takeDown(session, ErrFleet.New("ended while it came up"))
+		// The session ended before p.session was set, so onSessionDown had nothing to clear.
+		f.onSessionDown(session, ErrFleet.New("ended while it came up"))
 	}
 }
 
@@ -202,9 +208,10 @@
 	s.router.OnSession(time.Now(), instance.Name, state, incarnation)
 }
 
-// takeDown clears the session and asks for a fresh connection at once: the
-// peer is blamed only when that fails too.
-func (f *Fleet) takeDown(session *link.Session, reason error) {
+// onSessionDown removes an ended session and wakes the control loop to connect again at once. The
+// router doesn't choose the agent until it is connected again, but doesn't count a fault of the
+// agent.
+func (f *Fleet) onSessionDown(session *link.Session, reason error) {
 	name := session.Peer().GetName()
 	f.lock.Lock()
 	p := f.peers[name]
@@ -216,7 +223,7 @@
 	instance := p.instance
 	if instance.Region != f.options.Self.Region {
 		read, written := session.Traffic()
-		f.crossRetired += read + written
+		f.closedCrossBytes += read + written
 	}
 	f.lock.Unlock()
 	f.options.Log.Warn("session-down", zap.String("agent", name), zap.Error(reason))
@@ -225,22 +232,23 @@
 	f.wakeLoop()
 }
 
-func (f *Fleet) takeBeat(session *link.Session, beat *wire.Beat, notBefore time.Time) {
+// onHeartbeat passes a heartbeat to the watcher, and its load report and leaving mark to the router.
+func (f *Fleet) onHeartbeat(session *link.Session, heartbeat *wire.Beat, notBefore time.Time) {
 	name := session.Peer().GetName()
-	f.options.Watcher.OnPeerBeat(name, beat, notBefore)
+	f.options.Watcher.OnPeerBeat(name, heartbeat, notBefore)
 	s := f.getService(session.Peer().GetService())
 	now := time.Now()
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if beat.GetLeaving() {
+	if heartbeat.GetLeaving() {
 		s.router.OnLeaving(now, name)
 	}
-	if report := LoadOf(beat.GetLoad()); report != nil {
+	if report := LoadOf(heartbeat.GetLoad()); report != nil {
 		s.router.OnReport(now, name, *report)
 	}
 }
 
-// LoadOf returns the report in the form that routing takes, or nil.
+// LoadOf converts a load report to the router's type; it returns nil for nil.
 func LoadOf(l *wire.Load) *route.Load {
 	if l == nil {
 		return nil
@@ -278,7 +286,7 @@
 	}
 }
 
-// FetchChunks asks an agent for configuration.
+// FetchChunks requests configuration from an agent.
 func (f *Fleet) FetchChunks(ctx context.Context, name string, fetch *wire.Fetch) (*wire.Chunks, error) {
 	session := f.getSession(name)
 	if session == nil {
@@ -287,8 +295,9 @@
 	return link.FetchChunks(ctx, session, fetch)
 }
 
-// AskAgent asks an agent what became of a claimed attempt.
-func (f *Fleet) AskAgent(ctx context.Context, name string, ask *wire.Ask) (*wire.Told, error) {
+// RequestTombstone asks an agent to tombstone a claimed attempt unless it has started, and for its
+// state.
+func (f *Fleet) RequestTombstone(ctx context.Context, name string, ask *wire.Ask) (*wire.Told, error) {
 	session := f.getSession(name)
 	if session == nil {
 		return nil, ErrFleet.New("no session to %s", name)
--- a/entry/services/fleet/report.go
+++ b/entry/services/fleet/report.go
@@ -6,21 +6,22 @@
 	"verbenaroad.example/share/models/member"
 )
 
-// Report is a fleet's figures.
+// Report holds a fleet's counters.
 type Report struct {
 	Agents   int `json:"agents"`
 	Sessions int `json:"sessions"`
 	Entries  int `json:"entries"`
-	// SessionBytes and CrossBytes count all bytes on open sessions, and on those to other regions since the start.
+	// SessionBytes counts the bytes on all open sessions. CrossBytes counts those on sessions to
+	// other regions, open and ended, since the process started.
 	SessionBytes uint64 `json:"session-bytes"`
 	CrossBytes   uint64 `json:"cross-region-bytes"`
 }
 
-// GetReport returns the figures.
+// GetReport returns the current counters.
 func (f *Fleet) GetReport() Report {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	report := Report{Agents: len(f.peers), Entries: f.entries, CrossBytes: f.crossRetired}
+	report := Report{Agents: len(f.peers), Entries: f.entries, CrossBytes: f.closedCrossBytes}
 	for _, p := range f.peers {
 		if p.session == nil {
 			continue
@@ -35,15 +36,15 @@
 	return report
 }
 
-// PeerState is what the fleet knows of one agent.
+// PeerState is the fleet's view of one agent.
 type PeerState struct {
 	Instance member.Instance
-	// Connected is set while a session is open; Delay is its one-way delay.
+	// Connected is set while a session is open; Delay is that session's one-way delay.
 	Connected bool
 	Delay     time.Duration
 }
 
-// FindPeers lists the agents that the fleet knows.
+// FindPeers returns the agents that the fleet knows, in no particular order.
 func (f *Fleet) FindPeers() []PeerState {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/entry/services/fleet/turn.go
+++ b/entry/services/fleet/sweeper.go
@@ -5,7 +5,7 @@
 	"verbenaroad.example/share/modules/rhash"
 )
 
-// sweepKey is what the entries are hashed with to find the one that sweeps.
+// sweepKey is the rendezvous-hash key that selects the entry that sweeps the claims.
 const sweepKey = "claim-sweep"
 
 func namesOf(instances []member.Instance) []string {
@@ -16,9 +16,9 @@
 	return names
 }
 
-// IsOwnTurn says whether this entry sweeps the claims: one is picked from the
-// lagging list by rendezvous hash, and two that think so do no harm.
-func (f *Fleet) IsOwnTurn() bool {
+// IsSweeper reports whether this entry sweeps the claims. One entry is selected from the instance
+// list by rendezvous hash. The list may be out of date; two entries that sweep at once do no harm.
+func (f *Fleet) IsSweeper() bool {
 	f.lock.Lock()
 	names := append([]string{f.options.Self.Name}, f.entryNames...)
 	f.lock.Unlock()
--- a/entry/services/settle/settle.go
+++ b/entry/services/settle/settle.go
@@ -1,5 +1,5 @@
-// Package settle shows the claims of non-idempotent calls to operators and
-// lets them settle one whose outcome is unknown.
+// Package settle shows operators the claims of non-idempotent calls and lets them settle a claim
+// whose outcome is unknown.
 package settle
 
 import (
@@ -15,23 +15,26 @@
 )
 
 const (
-	// askTime bounds asking the agent.
-	askTime = 2 * time.Second
-	// comeBack is when to ask again after an unsure write.
-	comeBack = time.Second
+	// tombstoneTimeout is the time limit of a tombstone request to the agent.
+	tombstoneTimeout = 2 * time.Second
+	// retryHint is the Retry-After when the key-value service did not answer a read or a write.
+	retryHint = time.Second
 )
 
-// Claims is the key-value service as far as claims need it.
+// Claims reads and writes claims in the key-value service.
 type Claims interface {
-	// GetClaim returns nil where there is none.
+	// GetClaim returns nil if the key has no claim.
 	GetClaim(ctx context.Context, key string) (*claim.Stored, error)
-	// SwapClaim leaves the outcome unknown after an error.
+	// SwapClaim reports whether it replaced the record. After an error the record may have been
+	// replaced or not.
 	SwapClaim(ctx context.Context, key string, record claim.Record, index uint64) (bool, error)
 }
 
-// Agents asks agents.
+// Agents sends requests to agents.
 type Agents interface {
-	AskAgent(ctx context.Context, name string, ask *wire.Ask) (*wire.Told, error)
+	// RequestTombstone asks an agent to tombstone an attempt unless it has started, and for its
+	// state.
+	RequestTombstone(ctx context.Context, name string, ask *wire.Ask) (*wire.Told, error)
 }
 
 // Service shows and settles claims.
@@ -41,24 +44,24 @@
 	log    *zap.Logger
 }
 
-// NewService returns a service over its parts.
+// NewService returns a service that uses the given claims and agents.
 func NewService(claims Claims, agents Agents, log *zap.Logger) *Service {
 	return &Service{claims: claims, agents: agents, log: log}
 }
 
-// GetClaimByKey returns what the key-value service holds of a caller's key.
+// GetClaimByKey returns the claim of a caller's key from the key-value service.
 func (s *Service) GetClaimByKey(ctx context.Context, team, key string) (admapi.Claim, error) {
-	stored, err := s.get(ctx, team, key)
+	stored, err := s.readClaim(ctx, team, key)
 	if err != nil {
 		return admapi.Claim{}, err
 	}
-	return describe(team, key, &stored.Record), nil
+	return newClaim(team, key, &stored.Record), nil
 }
 
-func (s *Service) get(ctx context.Context, team, key string) (*claim.Stored, error) {
+func (s *Service) readClaim(ctx context.Context, team, key string) (*claim.Stored, error) {
 	stored, err := s.claims.GetClaim(ctx, claim.Key(team, key))
 	if err != nil {
-		return nil, codes.NewResult(codes.StoreUnavailable, "the claim could not be read").WithRetryAfter(comeBack)
+		return nil, codes.NewResult(codes.StoreUnavailable, "the claim could not be read").WithRetryAfter(retryHint)
 	}
 	if stored == nil {
 		return nil, codes.NewResult(codes.NotFound, "the team has no claim of this key")
@@ -66,11 +69,11 @@
 	return stored, nil
 }
 
-// ResolveClaim settles an open claim as the operator found it. The agent is
-// asked first: one that has not started the attempt gives it up for good, and
-// one that runs it or has its answer needs no operator.
+// ResolveClaim settles an open claim with the outcome that the operator found. The agent receives a
+// tombstone request first: an agent that has not started the attempt then never will, and if it is
+// running the attempt or has its answer, no operator is needed and the resolution is refused.
 func (s *Service) ResolveClaim(ctx context.Context, operator, team, key string, r admapi.ClaimResolution) (admapi.Claim, error) {
-	stored, err := s.get(ctx, team, key)
+	stored, err := s.readClaim(ctx, team, key)
 	if err != nil {
 		return admapi.Claim{}, err
 	}
@@ -78,27 +81,27 @@
 		detail := "the claim is " + string(stored.Record.State) + "; there is nothing to settle"
 		return admapi.Claim{}, codes.NewResult(codes.ConfigConflict, detail)
 	}
-	told := s.ask(ctx, claim.Key(team, key), &stored.Record)
-	resolution := claim.Resolution{Operator: operator, Outcome: r.Outcome, Reported: told, InstanceGone: r.InstanceGone}
+	reported := s.requestTombstone(ctx, claim.Key(team, key), &stored.Record)
+	resolution := claim.Resolution{Operator: operator, Outcome: r.Outcome, Reported: reported, InstanceGone: r.InstanceGone}
 	record, err := claim.Resolve(stored.Record, resolution, time.Now())
 	if err != nil {
-		return admapi.Claim{}, newRefusal(told, err)
+		return admapi.Claim{}, newRefusal(reported, err)
 	}
-	// The intent is logged before the write: its answer may be lost, and what
-	// an operator decided must be found either way.
-	s.record(operator, team, key, told, r)
+	// The resolution is logged before the write: the write's answer may be lost, and the operator's
+	// decision must be on record in any case.
+	s.logResolution(operator, team, key, reported, r)
 	if err := s.swap(ctx, claim.Key(team, key), record, stored.Index); err != nil {
 		return admapi.Claim{}, err
 	}
-	settled := describe(team, key, &record)
-	settled.AgentSays = string(told)
+	settled := newClaim(team, key, &record)
+	settled.AgentSays = string(reported)
 	return settled, nil
 }
 
-func (s *Service) ask(ctx context.Context, key string, record *claim.Record) claim.ReportedState {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func (s *Service) requestTombstone(ctx context.Context, key string, record *claim.Record) claim.ReportedState {
+	ctx, cancel := context.WithTimeout(ctx, tombstoneTimeout)
 	defer cancel()
-	told, err := s.agents.AskAgent(ctx, record.Agent, &wire.Ask{
+	reported, err := s.agents.RequestTombstone(ctx, record.Agent, &wire.Ask{
 		ClaimKey:    key,
 		Attempt:     record.Attempt,
 		Incarnation: record.Incarnation,
@@ -106,14 +109,14 @@
 	if err != nil {
 		return claim.ReportedUnreachable
 	}
-	return claim.ReportedState(told.GetState())
+	return claim.ReportedState(reported.GetState())
 }
 
 func (s *Service) swap(ctx context.Context, key string, record claim.Record, index uint64) error {
 	swapped, err := s.claims.SwapClaim(ctx, key, record, index)
 	if err != nil {
 		detail := "the write's answer was lost; look at the claim before you ask again"
-		return codes.NewResult(codes.ChangeUnknown, detail).WithRetryAfter(comeBack)
+		return codes.NewResult(codes.ChangeUnknown, detail).WithRetryAfter(retryHint)
 	}
 	if !swapped {
 		return codes.NewResult(codes.ConfigConflict, "the claim moved meanwhile; look at it again")
@@ -121,28 +124,30 @@
 	return nil
 }
 
-func (s *Service) record(operator, team, key string, told claim.ReportedState, r admapi.ClaimResolution) {
+// logResolution logs who settles which claim, how and why.
+func (s *Service) logResolution(operator, team, key string, reported claim.ReportedState, r admapi.ClaimResolution) {
 	s.log.Info("claim-resolution",
 		zap.String("operator", operator),
 		zap.String("team", team),
 		zap.String("key", key),
 		zap.String("outcome", string(r.Outcome)),
-		zap.String("agent-says", string(told)),
+		zap.String("agent-says", string(reported)),
 		zap.Bool("instance-gone", r.InstanceGone),
 		zap.String("note", r.Note),
 	)
 }
 
-// newRefusal says that nothing was settled, which is what its outcome speaks of.
-func newRefusal(told claim.ReportedState, err error) error {
+// newRefusal returns the result of a refused resolution. Its outcome is "not run" because the
+// resolution did not take effect; it says nothing about the attempt.
+func newRefusal(reported claim.ReportedState, err error) error {
 	code := codes.OutcomeNotKnown
-	if told == claim.ReportedRunning || told == claim.ReportedDone {
+	if reported == claim.ReportedRunning || reported == claim.ReportedDone {
 		code = codes.InProgress
 	}
 	return codes.NewResult(code, err.Error()).WithOutcome(codes.OutcomeNotRun)
 }
 
-func describe(team, key string, r *claim.Record) admapi.Claim {
+func newClaim(team, key string, r *claim.Record) admapi.Claim {
 	out := admapi.Claim{
 		Team:        team,
 		Key:         key,
--- a/entry/services/settle/settle_test.go
+++ b/entry/services/settle/settle_test.go
@@ -22,12 +22,13 @@
 type world struct {
 	stored *claim.Stored
 	down   bool
-	// loseAnswer makes the write take effect and fail; move makes another write come first.
-	loseAnswer, move bool
-	// says is what the agent answers; empty: it cannot be reached.
-	says  claim.ReportedState
-	asked []*wire.Ask
-	log   bytes.Buffer
+	// loseAnswer makes a write take effect but return an error; conflict makes another write come
+	// first.
+	loseAnswer, conflict bool
+	// reported is the state that the agent reports; if it is empty, the agent cannot be reached.
+	reported claim.ReportedState
+	asked    []*wire.Ask
+	log      bytes.Buffer
 }
 
 func (w *world) GetClaim(_ context.Context, key string) (*claim.Stored, error) {
@@ -41,7 +42,7 @@
 }
 
 func (w *world) SwapClaim(_ context.Context, _ string, record claim.Record, index uint64) (bool, error) {
-	if w.move {
+	if w.conflict {
 		w.stored = &claim.Stored{Record: w.stored.Record, Index: w.stored.Index + 1}
 	}
 	if w.stored.Index != index {
@@ -54,16 +55,16 @@
 	return true, nil
 }
 
-func (w *world) AskAgent(_ context.Context, _ string, ask *wire.Ask) (*wire.Told, error) {
+func (w *world) RequestTombstone(_ context.Context, _ string, ask *wire.Ask) (*wire.Told, error) {
 	w.asked = append(w.asked, ask)
-	if w.says == "" {
+	if w.reported == "" {
 		return nil, errors.New("no session")
 	}
-	return &wire.Told{State: string(w.says)}, nil
+	return &wire.Told{State: string(w.reported)}, nil
 }
 
-func newWorld(says claim.ReportedState) *world {
-	return &world{says: says, stored: &claim.Stored{Index: 7, Record: claim.Record{
+func newWorld(reported claim.ReportedState) *world {
+	return &world{reported: reported, stored: &claim.Stored{Index: 7, Record: claim.Record{
 		State:       claim.StateClaimed,
 		Attempt:     "a1",
 		Agent:       "ord-1",
@@ -90,32 +91,32 @@
 	return codes.OK
 }
 
-// The agent of a timber order was replaced while the order ran. The workshop
-// gets "outcome unknown" for its key and calls the operator, who looks into
-// the order book and settles it. A silent agent may still start the order when
-// it wakes, so that freeing the key then takes the word that it is gone.
-func TestResolveDependsOnWhatTheAgentSays(t *testing.T) {
+// Guards against a second run of a call whose agent was replaced while it ran: its caller gets
+// "outcome unknown", and an operator settles the claim. An unreachable agent may still start the
+// attempt later, so releasing the key then requires the operator's statement that the instance is
+// gone.
+func TestResolveDependsOnReportedState(t *testing.T) {
 	tests := []struct {
-		name    string
-		says    claim.ReportedState
-		outcome codes.Outcome
-		gone    bool
-		code    codes.Code
+		name     string
+		reported claim.ReportedState
+		outcome  codes.Outcome
+		gone     bool
+		code     codes.Code
 	}{
-		{"given up, so free", claim.ReportedTombstoned, codes.OutcomeNotRun, false, codes.OK},
-		{"restarted, so free", claim.ReportedOtherIncarnation, codes.OutcomeNotRun, false, codes.OK},
-		{"it ran, seen at the server", claim.ReportedOutcomeUnknown, codes.OutcomeRan, false, codes.OK},
-		{"silent, it ran", "", codes.OutcomeRan, false, codes.OK},
-		{"silent, freed", "", codes.OutcomeNotRun, false, codes.OutcomeNotKnown},
-		{"silent, freed, gone", "", codes.OutcomeNotRun, true, codes.OK},
-		{"busy, freed", claim.ReportedBusy, codes.OutcomeNotRun, false, codes.OutcomeNotKnown},
+		{"tombstoned, released", claim.ReportedTombstoned, codes.OutcomeNotRun, false, codes.OK},
+		{"restarted, released", claim.ReportedOtherIncarnation, codes.OutcomeNotRun, false, codes.OK},
+		{"outcome unknown, it ran", claim.ReportedOutcomeUnknown, codes.OutcomeRan, false, codes.OK},
+		{"unreachable, it ran", "", codes.OutcomeRan, false, codes.OK},
+		{"unreachable, released", "", codes.OutcomeNotRun, false, codes.OutcomeNotKnown},
+		{"unreachable, released, instance gone", "", codes.OutcomeNotRun, true, codes.OK},
+		{"busy, released", claim.ReportedBusy, codes.OutcomeNotRun, false, codes.OutcomeNotKnown},
 		{"running", claim.ReportedRunning, codes.OutcomeNotRun, true, codes.InProgress},
 		{"done", claim.ReportedDone, codes.OutcomeRan, true, codes.InProgress},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(tt.says)
+			w := newWorld(tt.reported)
 			resolution := admapi.ClaimResolution{Outcome: tt.outcome, Note: "order book", InstanceGone: tt.gone}
 			settled, err := w.newService(t).ResolveClaim(t.Context(), "ana", "kranj", "order-1", resolution)
 			is.Equal(codeOf(err), tt.code)
@@ -143,7 +144,7 @@
 	lost := newWorld(claim.ReportedTombstoned)
 	lost.loseAnswer = true
 	moved := newWorld(claim.ReportedTombstoned)
-	moved.move = true
+	moved.conflict = true
 	tests := []struct {
 		name  string
 		world *world
@@ -154,7 +155,7 @@
 		{"settled already", done, "order-1", codes.ConfigConflict},
 		{"service down", down, "order-1", codes.StoreUnavailable},
 		{"answer lost", lost, "order-1", codes.ChangeUnknown},
-		{"claim moved", moved, "order-1", codes.ConfigConflict},
+		{"claim changed by another write", moved, "order-1", codes.ConfigConflict},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/entry/services/sweep/sweep.go
+++ b/entry/services/sweep/sweep.go
@@ -1,5 +1,5 @@
-// Package sweep deletes settled claims whose retention has passed. In: the
-// claims of the key-value service. Out: deletions by compare-and-swap.
+// Package sweep deletes settled claims from the key-value service once their retention period has
+// passed. It deletes by compare-and-swap.
 package sweep
 
 import (
@@ -14,41 +14,43 @@
 )
 
 const (
-	// DefaultEvery is the time between two sweeps.
-	DefaultEvery = 10 * time.Minute
-	// DefaultPause keeps a sweep to some twenty reads a second of the service.
+	// DefaultInterval is the time between two sweeps.
+	DefaultInterval = 10 * time.Minute
+	// DefaultPause limits a sweep to about twenty reads of the key-value service per second.
 	DefaultPause = 50 * time.Millisecond
 )
 
-// Claims reads and deletes claims; *kvport.Port is one.
+// Claims reads and deletes claims; *kvport.Port implements it.
 type Claims interface {
 	FindClaimKeys(ctx context.Context) ([]string, error)
 	GetClaim(ctx context.Context, key string) (*claim.Stored, error)
 	DeleteClaim(ctx context.Context, key string, index uint64) error
 }
 
-// Snapshots gives the configuration in force, or nil; its limits hold the retention.
+// Snapshots returns the configuration in force, or nil if there is none. Its limits hold the
+// retention period.
 type Snapshots interface {
 	Snapshot() *config.Snapshot
 }
 
-// Turn says whether this entry is the one that sweeps. Two that sweep at once do no harm.
-type Turn interface {
-	IsOwnTurn() bool
+// Election reports whether this entry is the one that sweeps. Two entries that sweep at once do no
+// harm.
+type Election interface {
+	IsSweeper() bool
 }
 
-// Options are the parts of a Sweeper.
+// Options are the dependencies and settings of a Sweeper.
 type Options struct {
 	Claims    Claims
 	Snapshots Snapshots
-	Turn      Turn
-	Every     time.Duration
-	// Pause is the time between two claims.
+	Election  Election
+	Interval  time.Duration
+	// Pause is the wait after each claim.
 	Pause time.Duration
 	Log   *zap.Logger
 }
 
-// Sweeper deletes what has expired.
+// Sweeper deletes expired claims.
 type Sweeper struct {
 	options Options
 }
@@ -58,13 +60,13 @@
 	return &Sweeper{options: options}
 }
 
-// Start sweeps until the context ends.
+// Start sweeps periodically until the context ends.
 func (s *Sweeper) Start(ctx context.Context) {
 	go s.loop(ctx)
 }
 
 func (s *Sweeper) loop(ctx context.Context) {
-	ticker := time.NewTicker(s.options.Every)
+	ticker := time.NewTicker(s.options.Interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -72,7 +74,7 @@
 			return
 		case <-ticker.C:
 		}
-		if !s.options.Turn.IsOwnTurn() {
+		if !s.options.Election.IsSweeper() {
 			continue
 		}
 		deleted, err := s.SweepClaims(ctx)
@@ -80,11 +82,10 @@
 	}
 }
 
-// SweepClaims looks at every claim once and returns how many it deleted.
+// SweepClaims checks every claim once and returns the number of claims that it deleted.
 //
-// Guards against a claim that is settled anew, or claimed again, between the
-// read and the deletion: the deletion names the index that was read. Open
-// claims never expire, since their calls may have run.
+// A deletion names the index that was read, so that it does not delete a claim that was settled or
+// claimed again since the read. Open claims never expire, since their calls may have run.
 func (s *Sweeper) SweepClaims(ctx context.Context) (int, error) {
 	snapshot := s.options.Snapshots.Snapshot()
 	if snapshot == nil {
--- a/entry/services/sweep/sweep_test.go
+++ b/entry/services/sweep/sweep_test.go
@@ -13,7 +13,7 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// claims is a key-value service of claims.
+// claims is a fake key-value service that holds claims.
 type claims map[string]claim.Stored
 
 func (c claims) FindClaimKeys(context.Context) ([]string, error) {
@@ -40,8 +40,8 @@
 
 func (s snapshots) Snapshot() *config.Snapshot { return s.snapshot }
 
-// A maker repeats the key of an order whose outcome is unknown, a day later.
-// Were the open claim swept as settled ones are, the order would run again.
+// Guards against a second run of a call whose outcome is unknown: if its open claim were deleted like
+// the settled ones, a caller that retries with the same key a day later would run the call again.
 func TestOnlySettledClaimsAgeOut(t *testing.T) {
 	old := time.Now().Add(-48 * time.Hour)
 	cases := map[string]struct {
