--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -58,7 +58,7 @@
 	store         *kvapi.Client
 	port          *kvport.Port
 	follower      *follow.Follower
-	board         *status.Board
+	board         *status.InstanceView
 	fleet         *fleet.Fleet
 	policy        *policy.Policy
 	runner        *calls.Runner
@@ -108,14 +108,14 @@
 	e.stopper = stops.NewStopper(drain.Settings{Grace: s.Stop.Grace, Linger: min(s.Admin.Linger, s.Stop.Grace)})
 	e.policy = policy.NewPolicy(policy.Admission(s.Admission.Mode))
 	e.follower = procs.NewFollower(s.Instance.Name, s.Instance.Domain, e.port, e, e.log)
-	e.board = status.NewBoard(e.follower)
+	e.board = status.NewInstanceView(e.follower)
 	e.fleet = fleet.NewFleet(fleet.Options{
-		Self:      e.describeSelf(),
-		ListEvery: s.Platform.ListEvery,
-		Route:     e.routeSettings,
-		List:      roster.NewClient(roster.Options{Address: s.Platform.List, CallTimeout: s.Platform.StoreTimeout}),
-		Watcher:   e.board,
-		Log:       e.log,
+		Self:         e.describeSelf(),
+		ListInterval: s.Platform.ListEvery,
+		Route:        e.routeSettings,
+		List:         roster.NewClient(roster.Options{Address: s.Platform.List, CallTimeout: s.Platform.StoreTimeout}),
+		Watcher:      e.board,
+		Log:          e.log,
 		Link: link.Options{
 			Hello:             e.newHello(),
 			TLS:               sessionTLS,
@@ -246,8 +246,8 @@
 	sweep.NewSweeper(sweep.Options{
 		Claims:    e.port,
 		Snapshots: e.follower,
-		Turn:      e.fleet,
-		Every:     sweep.DefaultEvery,
+		Election:  e.fleet,
+		Interval:  sweep.DefaultInterval,
 		Pause:     sweep.DefaultPause,
 		Log:       e.log,
 	}).Start(ctx)
--- a/entry/routers/admin/admin.go
+++ b/entry/routers/admin/admin.go
@@ -22,8 +22,8 @@
 // Lookups queries the configuration and its history.
 type Lookups interface {
 	FindDocuments(kind config.Kind, name string) (admapi.Config, error)
-	FindMoves(ctx context.Context) ([]config.AcceptedChange, error)
-	GetMoveByChange(ctx context.Context, change string) (*config.AcceptedChange, error)
+	FindAcceptedChanges(ctx context.Context) ([]config.AcceptedChange, error)
+	GetAcceptedChange(ctx context.Context, change string) (*config.AcceptedChange, error)
 }
 
 // Snapshots provides the configuration in force, which includes the operators and their tokens.
