--- a/proofs/harns/client_test.go
+++ b/proofs/harns/client_test.go
@@ -17,33 +17,35 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// reply is what a caller saw of one request.
+// reply is the result of one request as the caller observes it.
 type reply struct {
-	// err is set when the connection broke or the caller gave up.
+	// err is set if the connection failed or the caller canceled the request at its timeout.
 	err        error
 	status     int
 	body       []byte
 	retryAfter string
 	requestID  string
-	// failure is the error body of anything but success.
+	// failure is the error body, or the data of the end record of a stream.
 	failure struct {
 		Code    codes.Code    `json:"code"`
 		Name    string        `json:"name"`
 		Outcome codes.Outcome `json:"outcome"`
 		Detail  string        `json:"detail"`
 	}
-	// ended is set when a stream brought its end record.
-	ended bool
-	text  string
-	sent  time.Time
-	took  time.Duration
+	// hasEnd is set if a stream contained its end record.
+	hasEnd bool
+	text   string
+	sentAt time.Time
+	took   time.Duration
 }
 
-// ok tells whether the caller has a whole, successful answer.
+// ok reports whether the reply has status 200 and no error. A stream that lacks its end record also
+// counts; hasEnd tells the two apart.
 func (r reply) ok() bool {
 	return r.err == nil && r.status == http.StatusOK && r.failure.Code == codes.OK
 }
 
+// notRun reports whether the reply is a failure that states that the request did not run.
 func (r reply) notRun() bool {
 	return r.err == nil && !r.ok() && r.failure.Outcome == codes.OutcomeNotRun
 }
@@ -58,38 +60,39 @@
 	return strconv.Itoa(r.status) + " " + r.failure.Name + " " + string(r.failure.Outcome) + ": " + r.failure.Detail
 }
 
-// visit is one request of a caller.
-type visit struct {
+// clientRequest is a request that a caller sends.
+type clientRequest struct {
 	method, path, body string
 	key                string
-	// deadline is sent as the header; empty: none.
+	// deadline is the value of the Verbena-Deadline header. The header is not sent if it is empty.
 	deadline string
 	stream   bool
-	// patience is when the caller hangs up; 0: after a minute.
-	patience time.Duration
+	// callerTimeout is the time after which the caller cancels the request; 0 means waitTimeout.
+	callerTimeout time.Duration
 }
 
-// send makes the request on a connection of its own, so that nothing is sent twice unasked.
-func send(address netip.AddrPort, v visit) (r reply) {
-	limit := v.patience
-	if limit == 0 {
-		limit = patience
+// send sends the request on a new connection. The body hides its type and the connection is not
+// reused, so that the HTTP client cannot retry the request on its own.
+func send(address netip.AddrPort, q clientRequest) (r reply) {
+	timeout := q.callerTimeout
+	if timeout == 0 {
+		timeout = waitTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	r.sent = time.Now()
-	defer func() { r.took = time.Since(r.sent) }()
-	body := struct{ io.Reader }{strings.NewReader(v.body)}
-	request, err := http.NewRequestWithContext(ctx, v.method, "http://"+address.String()+v.path, body)
+	r.sentAt = time.Now()
+	defer func() { r.took = time.Since(r.sentAt) }()
+	body := struct{ io.Reader }{strings.NewReader(q.body)}
+	request, err := http.NewRequestWithContext(ctx, q.method, "http://"+address.String()+q.path, body)
 	if err != nil {
 		r.err = err
 		return r
 	}
-	request.ContentLength = int64(len(v.body))
-	if v.body == "" {
+	request.ContentLength = int64(len(q.body))
+	if q.body == "" {
 		request.Body = http.NoBody
 	}
-	v.setHeaders(request.Header)
+	q.setHeaders(request.Header)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
@@ -101,28 +104,28 @@
 	r.retryAfter = response.Header.Get("Retry-After")
 	r.requestID = response.Header.Get("Verbena-Request-Id")
 	r.body, r.err = io.ReadAll(response.Body)
-	r.read(v.stream && r.status == http.StatusOK)
+	r.parse(q.stream && r.status == http.StatusOK)
 	return r
 }
 
-func (v visit) setHeaders(h http.Header) {
+func (q clientRequest) setHeaders(h http.Header) {
 	h.Set("Authorization", "Bearer "+teamToken)
 	h.Set("Content-Type", "application/json")
-	if v.key != "" {
-		h.Set("Idempotency-Key", v.key)
+	if q.key != "" {
+		h.Set("Idempotency-Key", q.key)
 	}
-	if v.deadline != "" {
-		h.Set("Verbena-Deadline", v.deadline)
+	if q.deadline != "" {
+		h.Set("Verbena-Deadline", q.deadline)
 	}
-	if v.stream {
+	if q.stream {
 		h.Set("Accept", "text/event-stream")
 	}
 }
 
-// read takes the error body, the text of a pipeline's answer or a stream's events.
-func (r *reply) read(stream bool) {
+// parse decodes the error body, the text of a pipeline's answer, or the events of a stream.
+func (r *reply) parse(stream bool) {
 	if stream {
-		r.readEvents()
+		r.parseEvents()
 		return
 	}
 	if r.status != http.StatusOK {
@@ -137,72 +140,75 @@
 	}
 }
 
-func (r *reply) readEvents() {
+// parseEvents concatenates the text of a stream's events and decodes its end record.
+func (r *reply) parseEvents() {
 	for _, event := range strings.Split(string(r.body), "\n\n") {
 		event = strings.TrimSpace(event)
 		if data, found := strings.CutPrefix(event, "event: end\ndata: "); found {
-			r.ended = json.Unmarshal([]byte(data), &r.failure) == nil
+			r.hasEnd = json.Unmarshal([]byte(data), &r.failure) == nil
 			continue
 		}
 		data, found := strings.CutPrefix(event, "data: ")
 		if !found {
 			continue
 		}
-		piece := struct {
+		chunk := struct {
 			Choices []struct {
 				Text string `json:"text"`
 			} `json:"choices"`
 		}{}
-		if json.Unmarshal([]byte(data), &piece) == nil && len(piece.Choices) > 0 {
-			r.text += piece.Choices[0].Text
+		if json.Unmarshal([]byte(data), &chunk) == nil && len(chunk.Choices) > 0 {
+			r.text += chunk.Choices[0].Text
 		}
 	}
 }
 
-// order is the request of one order; its body follows from the key.
-func order(key string) visit {
-	return visit{method: http.MethodPost, path: "/v1/services/orders/orders", key: key, body: orderBody(key), deadline: "15s"}
+// orderRequest returns a non-idempotent request to the service "orders". The body is derived from the
+// idempotency key.
+func orderRequest(key string) clientRequest {
+	return clientRequest{method: http.MethodPost, path: "/v1/services/orders/orders", key: key, body: orderBody(key), deadline: "15s"}
 }
 
 func orderBody(key string) string {
 	return `{"spruce-boards":2,"order":"` + key + `"}`
 }
 
-// draft is a request of the pipeline that generates text.
-func draft(prompt string, tokens int, stream bool) visit {
+// draftRequest returns a request to the pipeline "draft", which generates text.
+func draftRequest(prompt string, tokens int, stream bool) clientRequest {
 	body, _ := json.Marshal(map[string]any{"input": prompt, "max-tokens": tokens})
-	return visit{method: http.MethodPost, path: "/v1/pipelines/draft", body: string(body), stream: stream}
+	return clientRequest{method: http.MethodPost, path: "/v1/pipelines/draft", body: string(body), stream: stream}
 }
 
-func (d *deployment) callers(entry int) netip.AddrPort {
+// callerAddress returns the address at which an entry accepts callers.
+func (d *deployment) callerAddress(entry int) netip.AddrPort {
 	d.t.Helper()
 	return d.entries[entry].address("", "callers=")
 }
 
-func (d *deployment) send(entry int, v visit) reply {
+func (d *deployment) send(entry int, q clientRequest) reply {
 	d.t.Helper()
-	return send(d.callers(entry), v)
+	return send(d.callerAddress(entry), q)
 }
 
-// pending is a request on its way.
+// pending is a request in flight.
 type pending struct {
 	address netip.AddrPort
-	visit   visit
+	request clientRequest
 	reply   reply
 	done    chan struct{}
 }
 
-// begin sends the request without waiting for its answer.
-func (d *deployment) begin(entry int, v visit) *pending {
+// sendAsync sends the request in a new goroutine and returns at once.
+func (d *deployment) sendAsync(entry int, q clientRequest) *pending {
 	d.t.Helper()
-	p := &pending{address: d.callers(entry), visit: v, done: make(chan struct{})}
+	p := &pending{address: d.callerAddress(entry), request: q, done: make(chan struct{})}
 	go p.run()
 	return p
 }
 
 func (p *pending) run() {
 	defer close(p.done)
-	p.reply = send(p.address, p.visit)
+	p.reply = send(p.address, p.request)
 }
 
 func (p *pending) wait() reply {
@@ -210,7 +216,7 @@
 	return p.reply
 }
 
-// checkOrder fails unless the reply is the answer to the order of that key.
+// checkOrder fails the test unless the reply is the answer to the order with this key.
 func checkOrder(t *testing.T, key string, r reply) {
 	t.Helper()
 	if !r.ok() {
@@ -224,26 +230,27 @@
 		t.Fatalf("order %s: %v in %s", key, err, r.body)
 	}
 	if answer.Key != key || answer.BodyDigest != ledger.Digest([]byte(orderBody(key))) {
-		t.Fatalf("order %s got another's answer: %s", key, r.body)
+		t.Fatalf("order %s: answer belongs to another order: %s", key, r.body)
 	}
 }
 
-// checkText fails unless the text is the whole answer to its own prompt.
+// checkText fails the test unless the text is the complete answer to this prompt.
 func checkText(t *testing.T, prompt string, tokens int, r reply) {
 	t.Helper()
 	if !r.ok() {
 		t.Fatalf("prompt %q: %s", prompt, r)
 	}
 	if r.text != token.MakeText(prompt, tokens) {
-		t.Fatalf("prompt %q: the text is not its own whole answer: %q", prompt, r.text)
+		t.Fatalf("prompt %q: text is not the complete answer to this prompt: %q", prompt, r.text)
 	}
 }
 
-func same(a, b reply) bool { return bytes.Equal(a.body, b.body) }
+// sameBody reports whether two replies have the same body.
+func sameBody(a, b reply) bool { return bytes.Equal(a.body, b.body) }
 
-// notes is a request of the pipeline with two stages.
-func notes(prompt string, tokens int) visit {
-	v := draft(prompt, tokens, false)
-	v.path = "/v1/pipelines/notes"
-	return v
+// notesRequest returns a request to the pipeline "notes", which has two stages: encode and generate.
+func notesRequest(prompt string, tokens int) clientRequest {
+	q := draftRequest(prompt, tokens, false)
+	q.path = "/v1/pipelines/notes"
+	return q
 }
--- a/proofs/harns/config_test.go
+++ b/proofs/harns/config_test.go
@@ -16,6 +16,7 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
+// The exit codes of vctl.
 const (
 	exitOK       = 0
 	exitRefused  = 1
@@ -23,8 +24,8 @@
 	exitUnknown  = 4
 )
 
-// all returns every entry and agent.
-func (d *deployment) all() []*process {
+// processes returns every entry and agent.
+func (d *deployment) processes() []*process {
 	processes := append([]*process{}, d.entries...)
 	for _, a := range d.agents {
 		processes = append(processes, a)
@@ -32,60 +33,65 @@
 	return processes
 }
 
-// revision returns the head's revision as the key-value service holds it, and how often it names the change.
+// revision returns the latest revision in the history that an entry reports, and how many entries of
+// the history have this change id.
 func (d *deployment) revision(entry int, change string) (revision uint64, times int) {
 	d.t.Helper()
 	history := admapi.History{}
-	waitFor(d.t, "history", func() bool {
+	waitFor(d.t, "the history", func() bool {
 		v := d.vctl(entry, operatorToken, "history")
-		return v.code == exitOK && json.Unmarshal([]byte(v.output), &history) == nil && len(history.Changes) > 0
+		return v.code == exitOK && json.Unmarshal([]byte(v.stdout), &history) == nil && len(history.Changes) > 0
 	})
-	for _, m := range history.Changes {
-		if m.ChangeID == change {
+	for _, c := range history.Changes {
+		if c.ChangeID == change {
 			times++
 		}
 	}
 	return history.Changes[0].Revision, times
 }
 
-// waitRevision waits until the revision is in force at every process, and returns how long that took.
+// waitRevision waits until the revision is in force at every process and returns the time that it
+// took.
 func (d *deployment) waitRevision(revision uint64) time.Duration {
 	d.t.Helper()
-	begun := time.Now()
-	for _, p := range d.all() {
-		p.waitFor(func() bool { return p.figures().Verbena.Config.Revision >= revision }, fmt.Sprintf("revision %d", revision))
+	started := time.Now()
+	for _, p := range d.processes() {
+		p.waitFor(func() bool { return p.debugVars().Verbena.Config.Revision >= revision }, fmt.Sprintf("revision %d", revision))
 	}
-	return time.Since(begun)
+	return time.Since(started)
 }
 
-// teamText is a document that differs with the weight.
+// teamText returns the document of a team. Documents with different weights count as changes.
 func teamText(name string, weight int) string {
 	return fmt.Sprintf("[[team]]\nname = %q\ntoken-sha256 = [%q]\npriority = \"normal\"\nweight = %d.0\n",
 		name, config.DigestToken("token-of-"+name), weight)
 }
 
-func ruleText(name, server string) string {
+// forbidRuleText returns the document of a rule that forbids a backend server.
+func forbidRuleText(name, server string) string {
 	return fmt.Sprintf("[[rule]]\nname = %q\nserver = %q\neffect = \"forbid\"\n", name, server)
 }
 
-// act is one operator's operation for the check of the history.
-type act struct {
+// operation is an apply or, if apply is false, a read of the latest revision. It is an input of the
+// linearizability check.
+type operation struct {
 	apply bool
 	base  uint64
 }
 
-// outcome is what the operator saw.
-type outcome struct {
+// operationResult is the result that the operator observed.
+type operationResult struct {
 	code     int
 	revision uint64
 }
 
-// newModel is the head as one register: an apply moves it by one from its base, or conflicts.
-func newModel() porcupine.Model {
+// newHeadModel returns a model of the head as a register. An apply whose base is the head increments
+// it; one with another base is a conflict and leaves it as it is. A head of 0 is not known yet.
+func newHeadModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return uint64(0) },
 		Step: func(state, input, output any) (bool, any) {
-			head, in, out := state.(uint64), input.(act), output.(outcome)
+			head, in, out := state.(uint64), input.(operation), output.(operationResult)
 			if !in.apply {
 				return head == 0 || out.revision == head, out.revision
 			}
@@ -101,17 +107,18 @@
 	}
 }
 
-// operator applies and reads in turns, and records what it saw.
+// operator alternates between reading the head and applying a change, and records every result.
 type operator struct {
 	d       *deployment
 	id      int
 	rounds  int
 	done    chan struct{}
-	record  *record
+	log     *operationLog
 	started time.Time
 }
 
-type record struct {
+// operationLog collects the operations of all operators.
+type operationLog struct {
 	lock       sync.Mutex
 	operations []porcupine.Operation
 }
@@ -124,46 +131,46 @@
 	}
 	for n := range o.rounds {
 		base := uint64(0)
-		o.note(act{}, func() outcome {
+		o.record(operation{}, func() operationResult {
 			base, _ = o.d.revision(entry, "")
-			return outcome{revision: base}
+			return operationResult{revision: base}
 		})
-		file := o.d.write(fmt.Sprintf("operator-%d-%d.toml", o.id, n), teamText(fmt.Sprintf("team-%d", o.id), n+1))
-		o.note(act{apply: true, base: base}, func() outcome {
+		file := o.d.writeFile(fmt.Sprintf("operator-%d-%d.toml", o.id, n), teamText(fmt.Sprintf("team-%d", o.id), n+1))
+		o.record(operation{apply: true, base: base}, func() operationResult {
 			v := o.d.vctl(entry, token, "apply", "--base", fmt.Sprint(base), file)
 			accepted := admapi.ChangeResult{}
-			_ = json.Unmarshal([]byte(v.output), &accepted)
-			return outcome{code: v.code, revision: accepted.Revision}
+			_ = json.Unmarshal([]byte(v.stdout), &accepted)
+			return operationResult{code: v.code, revision: accepted.Revision}
 		})
 	}
 }
 
-func (o *operator) note(in act, do func() outcome) {
+// record runs an operation and adds it to the log with its start and end times.
+func (o *operator) record(in operation, do func() operationResult) {
 	called := time.Since(o.started)
 	out := do()
 	returned := time.Since(o.started)
-	o.record.lock.Lock()
-	defer o.record.lock.Unlock()
-	o.record.operations = append(o.record.operations, porcupine.Operation{
+	o.log.lock.Lock()
+	defer o.log.lock.Unlock()
+	o.log.operations = append(o.log.operations, porcupine.Operation{
 		ClientId: o.id, Input: in, Output: out, Call: int64(called), Return: int64(returned),
 	})
 }
 
-// Two operators change the configuration at once through two entries, again
-// and again. Each change is either accepted, once, on top of the one it was made
-// for, or refused as a conflict; the history that the operators saw fits one
-// register, and every process ends with the last revision.
-func TestOperatorsAtOnce(t *testing.T) {
+// Guards against lost or doubled changes when operators change the configuration concurrently through
+// two entries. Each change is accepted once on top of its base or refused as a conflict. The results
+// are linearizable, no process goes back to a lower revision, and all reach the last one.
+func TestConcurrentOperators(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	d := deploy(t, plan{entries: 2, backends: []backend{orderDesk("ord-1")}})
-	r := &record{}
+	d := deploy(t, plan{entries: 2, backends: []backend{orderServer("ord-1")}})
+	r := &operationLog{}
 	operators := []*operator{}
 	for id := range 4 {
-		o := &operator{d: d, id: id, rounds: 6, done: make(chan struct{}), record: r, started: time.Now()}
+		o := &operator{d: d, id: id, rounds: 6, done: make(chan struct{}), log: r, started: time.Now()}
 		operators = append(operators, o)
 	}
-	w := &watcher{d: d, stop: make(chan struct{}), done: make(chan struct{})}
+	w := &revisionWatcher{d: d, stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	started := time.Now()
 	for _, o := range operators {
@@ -175,33 +182,33 @@
 	}
 	counts := map[int]int{}
 	for _, o := range r.operations {
-		if o.Input.(act).apply {
-			counts[o.Output.(outcome).code]++
+		if o.Input.(operation).apply {
+			counts[o.Output.(operationResult).code]++
 		}
 	}
-	t.Logf("applies by exit code: %v", counts)
+	t.Logf("apply commands by exit code: %v", counts)
 	is.True(counts[exitOK] > 0)
 	is.Equal(counts[exitOK]+counts[exitConflict], 24)
-	is.True(porcupine.CheckOperations(newModel(), r.operations))
+	is.True(porcupine.CheckOperations(newHeadModel(), r.operations))
 	last, _ := d.revision(0, "")
 	is.Equal(last, uint64(counts[exitOK])+1)
 	d.waitRevision(last)
 	close(w.stop)
 	<-w.done
-	is.Equal(w.reverted, "")
-	is.True(w.looks > len(d.all()))
+	is.Equal(w.regression, "")
+	is.True(w.samples > len(d.processes()))
 }
 
-// watcher looks at the revision in force at every process until it is stopped.
-type watcher struct {
+// revisionWatcher polls the revision in force at every process until it is stopped.
+type revisionWatcher struct {
 	d          *deployment
 	stop, done chan struct{}
-	looks      int
-	// reverted names a process whose revision fell.
-	reverted string
+	samples    int
+	// regression describes a process whose revision decreased; empty if there was none.
+	regression string
 }
 
-func (w *watcher) run() {
+func (w *revisionWatcher) run() {
 	defer close(w.done)
 	highest := map[string]uint64{}
 	for {
@@ -210,45 +217,45 @@
 			return
 		default:
 		}
-		for _, p := range w.d.all() {
-			f := figures{}
+		for _, p := range w.d.processes() {
+			f := debugVars{}
 			if !getJSON("http://"+p.address("", "metrics=").String()+"/debug/vars", &f) {
 				continue
 			}
-			w.looks++
+			w.samples++
 			if f.Verbena.Config.Revision < highest[p.name] {
-				w.reverted = fmt.Sprintf("%s from %d to %d", p.name, highest[p.name], f.Verbena.Config.Revision)
+				w.regression = fmt.Sprintf("%s from %d to %d", p.name, highest[p.name], f.Verbena.Config.Revision)
 			}
 			highest[p.name] = max(highest[p.name], f.Verbena.Config.Revision)
 		}
 	}
 }
 
-// Two operators make a change for the same revision. One wins; the other is
-// told of the conflict, the winner's revision and what it changed.
-func TestConflictNamesTheWinner(t *testing.T) {
+// Guards against a conflict that the operator cannot resolve. Of two changes on the same base, the
+// second is refused, and its message names the revision and the team of the accepted change.
+func TestConflictReportsAcceptedChange(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	d := deploy(t, plan{entries: 2, backends: []backend{orderDesk("ord-1")}})
+	d := deploy(t, plan{entries: 2, backends: []backend{orderServer("ord-1")}})
 	base, _ := d.revision(0, "")
-	flag := fmt.Sprint(base)
-	won := d.vctl(0, operatorToken, "apply", "--base", flag, d.write("a.toml", teamText("kranj", 2)))
-	is.Equal(won.code, exitOK)
-	lost := d.vctl(1, secondToken, "apply", "--base", flag, d.write("b.toml", teamText("koper", 3)))
-	is.Equal(lost.code, exitConflict)
-	told := lost.output + lost.errors
-	is.True(strings.Contains(told, fmt.Sprint(base+1)))
-	is.True(strings.Contains(told, "kranj"))
+	baseText := fmt.Sprint(base)
+	accepted := d.vctl(0, operatorToken, "apply", "--base", baseText, d.writeFile("a.toml", teamText("kranj", 2)))
+	is.Equal(accepted.code, exitOK)
+	rejected := d.vctl(1, secondToken, "apply", "--base", baseText, d.writeFile("b.toml", teamText("koper", 3)))
+	is.Equal(rejected.code, exitConflict)
+	message := rejected.stdout + rejected.stderr
+	is.True(strings.Contains(message, fmt.Sprint(base+1)))
+	is.True(strings.Contains(message, "kranj"))
 	d.waitRevision(base + 1)
 }
 
-// The key-value service takes a change and loses the answer of some write, or
-// holds the write back until vctl gave up. vctl says accepted or unknown; asked
-// again with the same change id it says accepted. The change is there once.
-func TestLostAnswerOfTheHeadWrite(t *testing.T) {
+// Guards against a change that is lost, applied twice or misreported because the store applies a
+// write and loses its answer, or holds the write until vctl has timed out. vctl must report the true
+// outcome or unknown. The same change id sent again is accepted, and the change is in force once.
+func TestLostAnswerOfHeadWrite(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	d := deploy(t, plan{entries: 2, backends: []backend{orderDesk("ord-1")}})
+	d := deploy(t, plan{entries: 2, backends: []backend{orderServer("ord-1")}})
 	for n, settings := range []fault.Settings{
 		{Methods: []string{"PUT"}, LostAnswer: fault.LostAnswer{Count: 1}},
 		{Methods: []string{"PUT"}, LostAnswer: fault.LostAnswer{Count: 3}},
@@ -258,12 +265,12 @@
 	} {
 		before, _ := d.revision(0, "")
 		change := fmt.Sprintf("change-%d", n)
-		args := []string{"apply", "--change-id", change, "--base", fmt.Sprint(before), d.write(change+".toml", teamText("kranj", n+2))}
+		args := []string{"apply", "--change-id", change, "--base", fmt.Sprint(before), d.writeFile(change+".toml", teamText("kranj", n+2))}
 		d.kv.setFault(settings)
 		first := d.vctl(0, operatorToken, args...)
 		d.kv.setFault(fault.Settings{})
 		if first.code != exitOK && first.code != exitRefused && first.code != exitUnknown {
-			t.Fatalf("%s: exit code %d: %s%s", change, first.code, first.output, first.errors)
+			t.Fatalf("%s: exit code %d: %s%s", change, first.code, first.stdout, first.stderr)
 		}
 		_, times := d.revision(1, change)
 		if first.code == exitOK {
@@ -274,7 +281,7 @@
 		}
 		again := d.vctl(1, operatorToken, args...)
 		if again.code != exitOK {
-			t.Fatalf("%s: asked again: exit code %d: %s%s", change, again.code, again.output, again.errors)
+			t.Fatalf("%s: retried: exit code %d: %s%s", change, again.code, again.stdout, again.stderr)
 		}
 		after, times := d.revision(0, change)
 		is.Equal(times, 1)
@@ -283,81 +290,79 @@
 	}
 }
 
-// The key-value service is down before a change, during it and right after it.
-// Requests go on. The operator is told that nothing was changed, or that it is
-// unknown; an accepted change is in force everywhere, also where only peers know it.
-func TestOutageAroundAChange(t *testing.T) {
+// Guards against a store outage that blocks requests or hides an accepted change. The store is down
+// before a change, slow during it and down right after it. vctl reports that nothing changed or that
+// the outcome is unknown; the accepted change reaches every process, from peers where necessary.
+func TestStoreOutageAroundChange(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	d := deploy(t, plan{entries: 2, backends: []backend{modelServer("llm-1"), orderDesk("ord-1")}})
+	d := deploy(t, plan{entries: 2, backends: []backend{modelServer("llm-1"), orderServer("ord-1")}})
 	base, _ := d.revision(0, "")
-	args := []string{"apply", "--change-id", "around", "--base", fmt.Sprint(base), d.write("around.toml", teamText("kranj", 2))}
+	args := []string{"apply", "--change-id", "around", "--base", fmt.Sprint(base), d.writeFile("around.toml", teamText("kranj", 2))}
 	d.kv.setFault(fault.Settings{Down: true})
 	v := d.vctl(0, operatorToken, args...)
 	is.True(v.code == exitRefused || v.code == exitUnknown)
 	for n := range 2 {
-		checkText(t, "in the outage", answerTokens, d.send(n, draft("in the outage", answerTokens, true)))
+		checkText(t, "in the outage", answerTokens, d.send(n, draftRequest("in the outage", answerTokens, true)))
 	}
 	d.kv.setFault(fault.Settings{})
 	d.kv.setFault(fault.Settings{Slow: fault.Duration(300 * time.Millisecond)})
 	v = d.vctl(0, operatorToken, args...)
 	is.Equal(v.code, exitOK)
-	d.kv.setFault(fault.Settings{Down: true}) // most processes have not heard of it yet
-	t.Logf("in force everywhere after %v, by peers", d.waitRevision(base+1))
+	d.kv.setFault(fault.Settings{Down: true}) // most processes have not received the change yet
+	t.Logf("in force at every process after %v, received from peers", d.waitRevision(base+1))
 	for n := range 2 {
-		checkText(t, "after the change", answerTokens, d.send(n, draft("after the change", answerTokens, false)))
+		checkText(t, "after the change", answerTokens, d.send(n, draftRequest("after the change", answerTokens, false)))
 	}
 	d.kv.setFault(fault.Settings{})
 	_, times := d.revision(1, "around")
 	is.Equal(times, 1)
 }
 
-// Every connection to the key-value service that is open goes silent for good,
-// watches among them, while new ones work. The next change is in force
-// everywhere all the same.
-func TestWatchGoneSilent(t *testing.T) {
+// Guards against processes that miss a change because their open connections to the store, including
+// the watches, carry nothing any more while new connections work.
+func TestSilentStoreConnections(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	d := deploy(t, plan{entries: 2, backends: []backend{modelServer("llm-1"), orderDesk("ord-1")}})
+	d := deploy(t, plan{entries: 2, backends: []backend{modelServer("llm-1"), orderServer("ord-1")}})
 	for n := range 3 {
 		d.kv.setFault(fault.Settings{Silent: true})
 		d.kv.setFault(fault.Settings{})
 		base, _ := d.revision(0, "")
-		is.Equal(d.vctl(n%2, operatorToken, "apply", d.write("silent.toml", teamText("kranj", n+2))).code, exitOK)
-		t.Logf("in force everywhere after %v", d.waitRevision(base+1))
+		is.Equal(d.vctl(n%2, operatorToken, "apply", d.writeFile("silent.toml", teamText("kranj", n+2))).code, exitOK)
+		t.Logf("in force at every process after %v", d.waitRevision(base+1))
 	}
 }
 
-// An entry and an agent are started while the key-value service is down. They
-// take the newest configuration from their peers, say that they are ready and serve.
-func TestStartedInOutage(t *testing.T) {
+// Guards against an entry or agent that cannot start while the store is down. Both must fetch the
+// newest configuration from their peers, become ready and serve under it.
+func TestStartDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := deploy(t, plan{entries: 2, backends: []backend{modelServer("llm-1"), modelServer("llm-2")}})
-	is.Equal(d.vctl(0, operatorToken, "apply", d.write("newest.toml", ruleText("off", "name=llm-2"))).code, exitOK)
+	is.Equal(d.vctl(0, operatorToken, "apply", d.writeFile("newest.toml", forbidRuleText("off", "name=llm-2"))).code, exitOK)
 	newest, _ := d.revision(0, "")
 	d.waitRevision(newest)
 	d.kv.setFault(fault.Settings{Down: true})
 	d.entries = append(d.entries, d.startEntry(2))
 	d.registerEntry(2)
 	d.waitEntry(d.entries[2])
-	is.Equal(d.entries[2].figures().Verbena.Config.Revision, newest)
+	is.Equal(d.entries[2].debugVars().Verbena.Config.Revision, newest)
 	before := len(d.servers["llm-2"].runs())
-	checkText(t, "fresh entry", answerTokens, d.send(2, draft("fresh entry", answerTokens, true)))
+	checkText(t, "fresh entry", answerTokens, d.send(2, draftRequest("fresh entry", answerTokens, true)))
 	d.agents["llm-1"].kill()
 	d.restartAgent("llm-1")
-	is.Equal(d.agents["llm-1"].figures().Verbena.Config.Revision, newest)
+	is.Equal(d.agents["llm-1"].debugVars().Verbena.Config.Revision, newest)
 	for n := range 3 {
-		checkText(t, "fresh agent", answerTokens, d.send(n, draft("fresh agent", answerTokens, false)))
+		checkText(t, "fresh agent", answerTokens, d.send(n, draftRequest("fresh agent", answerTokens, false)))
 	}
 	is.Equal(len(d.servers["llm-2"].runs()), before)
 }
 
-// An entry, and in a second round the agent as well, is frozen while an
-// operator forbids a backend server. Requests wait at the frozen entry. Once it
-// wakes, none of them reaches the forbidden server: a woken process confirms
-// its configuration before it decides.
-func TestFrozenThroughAChange(t *testing.T) {
+// Guards against decisions under an outdated configuration after a freeze. An entry, or an entry and
+// an agent, is frozen while an operator forbids a backend server. A resumed process has to confirm its
+// configuration first, so no request that waited at the entry reaches the forbidden server.
+func TestProcessFrozenDuringChange(t *testing.T) {
 	t.Parallel()
 	for name, alsoAgent := range map[string]bool{"entry": false, "entry and agent": true} {
 		t.Run(name, func(t *testing.T) {
@@ -365,14 +370,15 @@
 			is := is.New(t)
 			p := plan{entries: 2, backends: []backend{modelServer("llm-1"), modelServer("llm-2")}}
 			if alsoAgent {
-				// The sessions outlive the freeze, so that nothing but the expired confirmation holds the two back.
+				// The sessions survive the freeze, so that only the expired confirmation keeps the two
+				// processes from deciding.
 				p.entryFlags = []string{"--routing.beat-every", "10s"}
 				p.backends[0].agentFlags = []string{"--peers.beat-every", "10s"}
 				p.backends[1].agentFlags = p.backends[0].agentFlags
 			}
 			d := deploy(t, p)
 			for n := range 8 {
-				checkText(t, "before", answerTokens, d.send(n%2, draft("before", answerTokens, false)))
+				checkText(t, "before", answerTokens, d.send(n%2, draftRequest("before", answerTokens, false)))
 			}
 			frozen := []*process{d.entries[0]}
 			if alsoAgent {
@@ -382,74 +388,74 @@
 			for _, p := range frozen {
 				p.freeze()
 			}
-			is.Equal(d.vctl(1, operatorToken, "apply", d.write("forbid.toml", ruleText("off", "name=llm-1"))).code, exitOK)
+			is.Equal(d.vctl(1, operatorToken, "apply", d.writeFile("forbid.toml", forbidRuleText("off", "name=llm-1"))).code, exitOK)
 			for _, p := range []*process{d.entries[1], d.agents["llm-2"]} {
-				p.waitFor(func() bool { return p.figures().Verbena.Config.Revision > base }, "the rule")
+				p.waitFor(func() bool { return p.debugVars().Verbena.Config.Revision > base }, "the revision with the rule")
 			}
-			time.Sleep(6 * time.Second) // beyond the time for which a confirmation is good
-			before := d.agents["llm-2"].calls()
+			time.Sleep(6 * time.Second) // longer than a confirmation is valid
+			before := d.agents["llm-2"].countCalls()
 			runs := len(d.servers["llm-1"].runs())
 			waiting := []*pending{}
 			for n := range 10 {
-				waiting = append(waiting, d.begin(0, draft(fmt.Sprintf("waits %d", n), answerTokens, n%2 == 0)))
+				waiting = append(waiting, d.sendAsync(0, draftRequest(fmt.Sprintf("waits %d", n), answerTokens, n%2 == 0)))
 			}
 			for _, p := range frozen {
-				p.wake()
+				p.resume()
 			}
 			for n, p := range waiting {
 				checkText(t, fmt.Sprintf("waits %d", n), answerTokens, p.wait())
 			}
 			is.Equal(len(d.servers["llm-1"].runs()), runs)
-			is.True(d.agents["llm-2"].calls() >= before+10)
+			is.True(d.agents["llm-2"].countCalls() >= before+10)
 		})
 	}
 }
 
-// An operator applies 19,000 teams, more than one value holds, and then changes
-// one of them. Both changes are in force at every process, and the changed
-// team's new token is taken at every entry.
+// Guards against a configuration that is too large for one value of the store. An operator applies
+// 19,000 teams and then changes one of them. Both changes reach every process, and every entry still
+// serves.
 func TestNineteenThousandTeams(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	d := deploy(t, plan{entries: 2, backends: []backend{modelServer("llm-1"), orderDesk("ord-1")}})
+	d := deploy(t, plan{entries: 2, backends: []backend{modelServer("llm-1"), orderServer("ord-1")}})
 	base, _ := d.revision(0, "")
 	text := strings.Builder{}
 	for n := range 19_000 {
 		text.WriteString(teamText(fmt.Sprintf("workshop-%05d", n), 1))
 	}
-	v := d.vctl(0, operatorToken, "apply", d.write("teams.toml", text.String()))
+	v := d.vctl(0, operatorToken, "apply", d.writeFile("teams.toml", text.String()))
 	if v.code != exitOK {
-		t.Fatalf("exit code %d: %.2000s", v.code, v.errors)
+		t.Fatalf("exit code %d: %.2000s", v.code, v.stderr)
 	}
-	t.Logf("19,000 teams in force everywhere after %v", d.waitRevision(base+1))
-	for _, p := range d.all() {
-		is.True(p.figures().Verbena.Config.Teams >= 19_000)
+	t.Logf("19,000 teams in force at every process after %v", d.waitRevision(base+1))
+	for _, p := range d.processes() {
+		is.True(p.debugVars().Verbena.Config.Teams >= 19_000)
 	}
 	changed := strings.Replace(teamText("workshop-04711", 2), config.DigestToken("token-of-workshop-04711"), config.DigestToken(teamToken+"-2"), 1)
-	is.Equal(d.vctl(1, secondToken, "apply", d.write("one.toml", changed)).code, exitOK)
-	t.Logf("one changed, in force everywhere after %v", d.waitRevision(base+2))
+	is.Equal(d.vctl(1, secondToken, "apply", d.writeFile("one.toml", changed)).code, exitOK)
+	t.Logf("change of one team in force at every process after %v", d.waitRevision(base+2))
 	for n := range 2 {
-		checkText(t, "still here", answerTokens, d.send(n, draft("still here", answerTokens, false)))
+		checkText(t, "still here", answerTokens, d.send(n, draftRequest("still here", answerTokens, false)))
 	}
 }
 
-// Operators change the configuration again and again while makers order and
-// estimators draft. An order that meets an agent with a newer configuration
-// is not handed back to its maker: every request is answered, each order runs once.
-func TestRequestsUnderChanges(t *testing.T) {
+// Guards against requests that fail because the configuration changes under load. An agent refuses an
+// order that was decided under an older revision; the entry must submit it again instead of failing
+// it, so that every request is answered and each order runs once.
+func TestRequestsDuringChanges(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := deploy(t, drainPlan(2))
 	callers := d.startLoad("change")
 	waitAnswers(t, callers, 1)
 	for n := range 10 {
-		file := d.write("changing.toml", teamText("kranj", n+2))
+		file := d.writeFile("changing.toml", teamText("kranj", n+2))
 		is.Equal(d.vctl(n%2, operatorToken, "apply", file).code, exitOK)
 		waitAnswers(t, callers[:2], 1)
 	}
-	whole, _ := finishWhole(t, callers, nil)
-	is.True(whole > 0)
-	for key, runs := range d.allRuns() {
+	complete, _ := finishAndCheck(t, callers, nil)
+	is.True(complete > 0)
+	for key, runs := range d.runsByKey() {
 		if strings.Contains(key, "order") {
 			is.Equal(runs, 1)
 		}
--- a/proofs/harns/deploy_test.go
+++ b/proofs/harns/deploy_test.go
@@ -19,60 +19,64 @@
 )
 
 const (
-	operatorToken = "proof-operator-ana"
-	secondToken   = "proof-operator-bor"
-	teamToken     = "proof-team"
-	beatEvery     = "300ms"
-	region        = "osrednja"
-	// leastSubset is how many agents of a service an entry keeps sessions to at least.
-	leastSubset = 8
+	operatorToken     = "proof-operator-ana"
+	secondToken       = "proof-operator-bor"
+	teamToken         = "proof-team"
+	heartbeatInterval = "300ms"
+	region            = "osrednja"
+	// minSubset is a number of agents of a service to which an entry always keeps sessions, unless the
+	// service has fewer.
+	minSubset = 8
 )
 
-// backend is one backend server with its agent.
+// backend describes a backend server and its agent.
 type backend struct {
 	name    string
-	kind    string // stand-in: service, engine, pool
+	kind    string // kind of fake: service, engine or pool
 	service string
 	labels  string
 	slots   int
-	// fakeFlags and agentFlags are added to the command lines.
+	// fakeFlags and agentFlags are added to the command lines of the fake and of the agent.
 	fakeFlags  []string
 	agentFlags []string
 	// behindRelay puts a relay between the agent and its backend server.
 	behindRelay bool
-	// sharedServer names the backend whose stand-in serves this one too; empty: one of its own.
+	// sharedServer is the name of the backend whose fake also serves this one; if it is empty, this
+	// backend has its own fake.
 	sharedServer string
 	// sessionsOverRelay puts a relay between the entries and the agent.
 	sessionsOverRelay bool
 }
 
-// plan says what a deployment consists of.
+// plan describes a deployment.
 type plan struct {
 	entries  int
 	backends []backend
 	// entryFlags are added to every entry's command line.
 	entryFlags []string
-	// listLag is the delay of the list of instances.
+	// listLag is the delay after which a change shows in the list of instances; empty means none.
 	listLag string
-	// storeRelay puts a relay between every process and the key-value service.
+	// storeRelay puts a relay between the processes and the store.
 	storeRelay bool
-	// text replaces the configuration that is applied first; "none" applies nothing.
-	text string
+	// configText replaces the initial configuration. With "none", no configuration is applied.
+	configText string
 }
 
-// deployment is a running system of the test.
+// deployment is a running system: the fakes of the platform and of the backend servers, and the
+// entries and agents.
 type deployment struct {
 	t         *testing.T
 	plan      plan
 	directory string
 	kv, list  *process
 	entries   []*process
-	// agents, servers and relays are held by the name of the backend.
-	agents    map[string]*process
-	servers   map[string]*process
-	backRelay map[string]*relay.Relay
-	peerRelay map[string]*relay.Relay
-	kvRelay   *relay.Relay
+	// The maps are keyed by the name of the backend. The backend relays are between agents and backend
+	// servers, the peer relays between entries and agents.
+	agents        map[string]*process
+	servers       map[string]*process
+	backendRelays map[string]*relay.Relay
+	peerRelays    map[string]*relay.Relay
+	storeRelay    *relay.Relay
 }
 
 const baseConfig = `
@@ -141,7 +145,8 @@
 limit = 400
 `
 
-func newConfig() string {
+// renderBaseConfig returns the initial configuration with the digests of the tokens filled in.
+func renderBaseConfig() string {
 	return strings.NewReplacer(
 		"@ANA@", config.DigestToken(operatorToken),
 		"@BOR@", config.DigestToken(secondToken),
@@ -149,38 +154,41 @@
 	).Replace(baseConfig)
 }
 
-// orderDesk is a plain service with an agent.
-func orderDesk(name string) backend {
+// orderServer returns a backend server of the plain service "orders".
+func orderServer(name string) backend {
 	return backend{name: name, kind: "service", service: "orders", slots: 8, fakeFlags: []string{"--service-time", "20ms"}}
 }
 
-// slowDesk takes long enough over an order that a fault can hit it in the middle.
-func slowDesk(name, serviceTime string) backend {
-	b := orderDesk(name)
+// slowOrderServer returns an order server with a service time that is long enough for a fault to occur
+// while an order runs.
+func slowOrderServer(name, serviceTime string) backend {
+	b := orderServer(name)
 	b.fakeFlags = []string{"--service-time", serviceTime}
 	return b
 }
 
-// modelServer is an engine with an agent.
+// modelServer returns a backend server of the engine service "llm".
 func modelServer(name string) backend {
 	return backend{name: name, kind: "engine", service: "llm", slots: 16, fakeFlags: []string{"--models", "notes", "--token-interval", "5ms"}}
 }
 
+// encoderPool returns a backend server of the pool service "encoder".
 func encoderPool(name string) backend {
 	return backend{name: name, kind: "pool", service: "encoder", slots: 16, fakeFlags: []string{"--service-time", "5ms"}}
 }
 
-// deploy starts the plan and returns once every process is ready and connected.
+// deploy starts the processes of the plan and applies the initial configuration. It returns once every
+// process is ready and every entry has its sessions.
 func deploy(t *testing.T, p plan) *deployment {
 	t.Helper()
 	d := &deployment{
-		t:         t,
-		plan:      p,
-		directory: t.TempDir(),
-		agents:    map[string]*process{},
-		servers:   map[string]*process{},
-		backRelay: map[string]*relay.Relay{},
-		peerRelay: map[string]*relay.Relay{},
+		t:             t,
+		plan:          p,
+		directory:     t.TempDir(),
+		agents:        map[string]*process{},
+		servers:       map[string]*process{},
+		backendRelays: map[string]*relay.Relay{},
+		peerRelays:    map[string]*relay.Relay{},
 	}
 	d.startPlatform()
 	for _, b := range p.backends {
@@ -196,7 +204,7 @@
 		d.entries = append(d.entries, d.startEntry(n))
 		d.registerEntry(n)
 	}
-	d.applyFirst()
+	d.applyInitialConfig()
 	d.waitReady()
 	return d
 }
@@ -209,7 +217,7 @@
 	}
 	d.list = d.startFake("list", "list", "--lag", lag)
 	if d.plan.storeRelay {
-		d.kvRelay = d.newRelay(d.kv.address("", ""))
+		d.storeRelay = d.newRelay(d.kv.address("", ""))
 	}
 }
 
@@ -224,8 +232,8 @@
 }
 
 func (d *deployment) storeAddress() string {
-	if d.kvRelay != nil {
-		return d.kvRelay.Address().String()
+	if d.storeRelay != nil {
+		return d.storeRelay.Address().String()
 	}
 	return d.kv.address("", "").String()
 }
@@ -244,7 +252,7 @@
 	flags := append([]string{"--slots", fmt.Sprint(b.slots)}, b.fakeFlags...)
 	d.servers[b.name] = d.startFake(b.name+"-server", b.kind, flags...)
 	if b.behindRelay {
-		d.backRelay[b.name] = d.newRelay(d.servers[b.name].address("", ""))
+		d.backendRelays[b.name] = d.newRelay(d.servers[b.name].address("", ""))
 	}
 }
 
@@ -255,29 +263,29 @@
 		server = b.sharedServer
 	}
 	target := d.servers[server].address("", "").String()
-	if r := d.backRelay[b.name]; r != nil {
+	if r := d.backendRelays[b.name]; r != nil {
 		target = r.Address().String()
 	}
 	args := append([]string{
 		"--instance.name", b.name, "--instance.region", region, "--instance.domain", region + "-1",
 		"--platform.store", d.storeAddress(), "--platform.list", d.list.address("", "").String(),
 		"--platform.list-every", "300ms", "--platform.store-timeout", "1s",
-		"--peers.listen", "127.0.0.1:0", "--peers.beat-every", beatEvery,
+		"--peers.listen", "127.0.0.1:0", "--peers.beat-every", heartbeatInterval,
 		"--metrics.address-file", filepath.Join(d.directory, b.name+".addr"),
 		"--backend.address", target, "--backend.service", b.service, "--backend.slots", fmt.Sprint(b.slots),
 		"--backend.service-guess", "20ms", "--stop.grace", "30s", "--log.level", "debug",
 	}, b.agentFlags...)
 	d.agents[b.name] = d.start(b.name, "agent", args...)
-	if b.sessionsOverRelay && d.peerRelay[b.name] == nil {
-		d.peerRelay[b.name] = d.newRelay(d.agents[b.name].address("", "peers="))
+	if b.sessionsOverRelay && d.peerRelays[b.name] == nil {
+		d.peerRelays[b.name] = d.newRelay(d.agents[b.name].address("", "peers="))
 	}
 }
 
-// register puts a backend server's agent on the list, or marks it as leaving.
+// register adds the agent of a backend server to the list of instances, or marks it as leaving.
 func (d *deployment) register(b backend, leaving bool) {
 	d.t.Helper()
 	address := d.agents[b.name].address("", "peers=")
-	if r := d.peerRelay[b.name]; r != nil {
+	if r := d.peerRelays[b.name]; r != nil {
 		address = r.Address()
 	}
 	args := []string{
@@ -293,7 +301,7 @@
 func (d *deployment) runRegister(args ...string) {
 	d.t.Helper()
 	all := append([]string{"register", "--list", d.list.address("", "").String()}, args...)
-	command := exec.Command(filepath.Join(os.Getenv(envPrograms), "fakes"), all...)
+	command := exec.Command(filepath.Join(os.Getenv(envProgramDir), "fakes"), all...)
 	if output, err := command.CombinedOutput(); err != nil {
 		d.t.Fatalf("register: %v\n%s", err, output)
 	}
@@ -308,7 +316,7 @@
 		"--instance.name", name, "--instance.region", region, "--instance.domain", region + "-1",
 		"--platform.store", d.storeAddress(), "--platform.list", d.list.address("", "").String(),
 		"--platform.list-every", "300ms", "--platform.store-timeout", "1s",
-		"--callers.listen", "127.0.0.1:0", "--admin.listen", "127.0.0.1:0", "--routing.beat-every", beatEvery,
+		"--callers.listen", "127.0.0.1:0", "--admin.listen", "127.0.0.1:0", "--routing.beat-every", heartbeatInterval,
 		"--metrics.address-file", filepath.Join(d.directory, name+".addr"),
 		"--admin.bootstrap-sha256", config.DigestToken(operatorToken), "--stop.grace", "30s",
 	}, d.plan.entryFlags...)
@@ -321,22 +329,23 @@
 		"--address", d.entries[n].address("", "callers=").String())
 }
 
-func (d *deployment) applyFirst() {
+func (d *deployment) applyInitialConfig() {
 	d.t.Helper()
-	text := d.plan.text
+	text := d.plan.configText
 	if text == "none" {
 		return
 	}
 	if text == "" {
-		text = newConfig()
+		text = renderBaseConfig()
 	}
-	// A starting entry may not have read the list yet; the first configuration needs no agent.
-	waitFor(d.t, "the first configuration", func() bool {
-		return d.vctl(0, operatorToken, "apply", d.write("first.toml", text)).code == 0
+	// Retries, because an entry that has just started may not have read the list of instances yet.
+	// No agent is needed to accept the initial configuration.
+	waitFor(d.t, "the initial configuration to be accepted", func() bool {
+		return d.vctl(0, operatorToken, "apply", d.writeFile("first.toml", text)).code == 0
 	})
 }
 
-func (d *deployment) write(name, text string) string {
+func (d *deployment) writeFile(name, text string) string {
 	d.t.Helper()
 	path := filepath.Join(d.directory, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -345,54 +354,57 @@
 	return path
 }
 
-// waitReady waits for every process's configuration and every entry's sessions.
+// waitReady waits until every process is ready and every entry has its sessions. It returns at once if
+// the plan applies no configuration, because no process becomes ready then.
 func (d *deployment) waitReady() {
 	d.t.Helper()
-	if d.plan.text == "none" {
+	if d.plan.configText == "none" {
 		return
 	}
 	for _, a := range d.agents {
-		a.waitFor(a.isReady, "ready")
+		a.waitFor(a.isReady, "readiness")
 	}
 	for _, e := range d.entries {
 		d.waitEntry(e)
 	}
 }
 
+// waitEntry waits until the entry is ready and has its sessions.
 func (d *deployment) waitEntry(e *process) {
 	d.t.Helper()
 	e.waitFor(func() bool {
-		return e.isReady() && e.figures().Verbena.Fleet.Sessions >= min(len(d.plan.backends), leastSubset)
-	}, "ready with all sessions")
+		return e.isReady() && e.debugVars().Verbena.Fleet.Sessions >= min(len(d.plan.backends), minSubset)
+	}, "readiness with all sessions")
 }
 
-// verdict is how a vctl command ended.
-type verdict struct {
+// commandResult is the exit code and the output of a vctl command.
+type commandResult struct {
 	code           int
-	output, errors string
+	stdout, stderr string
 }
 
-// vctl runs the operators' program against one entry.
-func (d *deployment) vctl(entry int, token string, args ...string) verdict {
+// vctl runs the operators' command-line program against an entry.
+func (d *deployment) vctl(entry int, token string, args ...string) commandResult {
 	d.t.Helper()
 	return d.vctlAt(d.entries[entry].address("", "admin="), token, args...)
 }
 
-func (d *deployment) vctlAt(address netip.AddrPort, token string, args ...string) verdict {
-	command := exec.Command(filepath.Join(os.Getenv(envPrograms), "vctl"),
+// vctlAt runs vctl against the admin address of an entry.
+func (d *deployment) vctlAt(address netip.AddrPort, token string, args ...string) commandResult {
+	command := exec.Command(filepath.Join(os.Getenv(envProgramDir), "vctl"),
 		append([]string{args[0], "--server", address.String(), "--output", "json"}, args[1:]...)...)
 	command.Env = append(os.Environ(), "VCTL_TOKEN="+token)
-	var output, errors bytes.Buffer
-	command.Stdout, command.Stderr = &output, &errors
+	var stdout, stderr bytes.Buffer
+	command.Stdout, command.Stderr = &stdout, &stderr
 	err := command.Run()
-	v := verdict{output: output.String(), errors: errors.String()}
+	v := commandResult{stdout: stdout.String(), stderr: stderr.String()}
 	if err != nil {
 		v.code = command.ProcessState.ExitCode()
 	}
 	return v
 }
 
-// setFault switches the faults of a stand-in over its control address.
+// setFault replaces the injected faults of a fake through its control address.
 func (p *process) setFault(settings fault.Settings) {
 	p.t.Helper()
 	body, err := json.Marshal(settings)
@@ -410,12 +422,12 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		p.t.Fatalf("fault: %s", response.Status)
+		p.t.Fatalf("setting a fault failed: %s", response.Status)
 	}
 }
 
-// stats returns the calls of a stand-in by kind.
-func (p *process) stats() map[string]int {
+// callsByKind returns the number of calls that a fake has counted, by kind.
+func (p *process) callsByKind() map[string]int {
 	counts := struct {
 		Calls map[string]int `json:"calls"`
 	}{}
@@ -423,24 +435,24 @@
 	return counts.Calls
 }
 
-// runs returns a stand-in's ledger.
+// runs returns the ledger of a fake: the requests that it ran.
 func (p *process) runs() []ledger.Run {
 	p.t.Helper()
 	runs := []ledger.Run{}
-	waitFor(p.t, "ledger of "+p.name, func() bool {
+	waitFor(p.t, "the ledger of "+p.name, func() bool {
 		return getJSON("http://"+p.address(".control", "").String()+"/ledger", &runs)
 	})
 	return runs
 }
 
-// countRuns returns the runs of a key over all backend servers.
+// countRuns returns the number of runs of a key at all backend servers.
 func (d *deployment) countRuns(key string) int {
 	d.t.Helper()
-	return d.allRuns()[key]
+	return d.runsByKey()[key]
 }
 
-// allRuns returns the runs by key over all backend servers.
-func (d *deployment) allRuns() map[string]int {
+// runsByKey returns the number of runs at all backend servers, by key.
+func (d *deployment) runsByKey() map[string]int {
 	d.t.Helper()
 	counts := map[string]int{}
 	for _, s := range d.servers {
@@ -451,14 +463,14 @@
 	return counts
 }
 
-// backendOf returns the plan's backend of that name.
-func (d *deployment) backendOf(name string) backend {
+// findBackend returns the plan's backend with this name.
+func (d *deployment) findBackend(name string) backend {
 	d.t.Helper()
 	for _, b := range d.plan.backends {
 		if b.name == name {
 			return b
 		}
 	}
-	d.t.Fatalf("no backend %s", name)
+	d.t.Fatalf("the plan has no backend %s", name)
 	return backend{}
 }
--- a/proofs/harns/dispatch_test.go
+++ b/proofs/harns/dispatch_test.go
@@ -13,13 +13,14 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// secondEntry speaks to an agent as an entry does, so that dispatches can be copied and sent late.
-type secondEntry struct {
+// fakeEntry is a session to an agent in the role of an entry. It can send a dispatch twice or late.
+type fakeEntry struct {
 	t       *testing.T
 	session *link.Session
 }
 
-func (d *deployment) connect(agent, name string) *secondEntry {
+// connect opens a session to an agent under the name of an entry.
+func (d *deployment) connect(agent, name string) *fakeEntry {
 	d.t.Helper()
 	options := link.Options{
 		Hello:        &wire.Hello{Version: wire.Version, Name: name, Incarnation: name, Role: "entry", Region: region, Domain: region + "-1"},
@@ -30,10 +31,11 @@
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { _ = session.Close() })
-	return &secondEntry{t: d.t, session: session}
+	return &fakeEntry{t: d.t, session: session}
 }
 
-func (s *secondEntry) newCall(attempt string, revision uint64) *wire.Call {
+// newCall returns the call of an order whose idempotency key is the attempt's id.
+func (s *fakeEntry) newCall(attempt string, revision uint64) *wire.Call {
 	return &wire.Call{
 		RequestId: attempt, Stage: "orders", Attempt: 1, Incarnation: s.session.Peer().GetIncarnation(),
 		Revision: revision, RemainingNanos: int64(20 * time.Second), Team: "workshop", Priority: "normal", Weight: 1, Cost: 1,
@@ -43,7 +45,8 @@
 	}
 }
 
-func (s *secondEntry) dispatch(call *wire.Call) net.Conn {
+// dispatch sends the call on a new stream.
+func (s *fakeEntry) dispatch(call *wire.Call) net.Conn {
 	s.t.Helper()
 	stream, err := s.session.Open()
 	if err != nil {
@@ -56,7 +59,8 @@
 	return stream
 }
 
-func (s *secondEntry) readEnd(stream net.Conn) *wire.End {
+// readEnd reads the stream up to its end record.
+func (s *fakeEntry) readEnd(stream net.Conn) *wire.End {
 	s.t.Helper()
 	reader := wire.NewReader(stream)
 	for {
@@ -70,14 +74,14 @@
 	}
 }
 
-// Two entries hold the same attempt and both dispatch it, since a dispatch was
-// copied on the way. The board is cut once; the copy's sender is told that it
-// runs, and a copy that comes after the end changes nothing.
-func TestDuplicatedDispatch(t *testing.T) {
+// Guards against an order that runs twice because its dispatch was duplicated. Two entries dispatch
+// the same attempt; it runs once, and the other entry is answered in-progress. A duplicate that
+// arrives after the end does not run, and its answer does not claim that the order did not run.
+func TestDuplicateDispatch(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	d := deploy(t, plan{entries: 1, backends: []backend{slowDesk("ord-1", "500ms")}})
-	revision := d.agents["ord-1"].figures().Verbena.Config.Revision
+	d := deploy(t, plan{entries: 1, backends: []backend{slowOrderServer("ord-1", "500ms")}})
+	revision := d.agents["ord-1"].debugVars().Verbena.Config.Revision
 	one, two := d.connect("ord-1", "copy-1"), d.connect("ord-1", "copy-2")
 	call := one.newCall("copied", revision)
 	first, second := one.dispatch(call), two.dispatch(call)
@@ -97,21 +101,21 @@
 	is.Equal(d.countRuns("copied"), 1)
 }
 
-// An entry gives an attempt up and the agent promises that it will not start;
-// then the dispatch arrives from a buffer. Nothing runs, and the refusal says so.
-// The same holds for a dispatch to an earlier start of the agent.
+// Guards against an order that runs after its entry abandoned it. The agent confirms that the attempt
+// is tombstoned, and then the dispatch arrives late; it is refused as not run. The same holds for a
+// dispatch that names an earlier incarnation of the agent.
 func TestLateDispatch(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	d := deploy(t, plan{entries: 1, backends: []backend{orderDesk("ord-1")}})
-	revision := d.agents["ord-1"].figures().Verbena.Config.Revision
+	d := deploy(t, plan{entries: 1, backends: []backend{orderServer("ord-1")}})
+	revision := d.agents["ord-1"].debugVars().Verbena.Config.Revision
 	s := d.connect("ord-1", "late")
 	call := s.newCall("late", revision)
-	told, err := link.RequestTombstone(context.Background(), s.session, &wire.Ask{
+	report, err := link.RequestTombstone(context.Background(), s.session, &wire.Ask{
 		ClaimKey: call.GetClaimKey(), Attempt: call.GetClaimAttempt(), Incarnation: call.GetIncarnation(),
 	})
 	is.NoErr(err)
-	is.Equal(told.GetState(), "tombstoned")
+	is.Equal(report.GetState(), "tombstoned")
 	end := s.readEnd(s.dispatch(call))
 	is.Equal(end.GetCode(), uint32(codes.Tombstoned))
 	is.Equal(end.GetOutcome(), string(codes.OutcomeNotRun))
--- a/proofs/harns/doc.go
+++ b/proofs/harns/doc.go
@@ -1,5 +1,6 @@
-// Package harns holds tests that start the real programs and the stand-ins on
-// loopback, break processes and connections, and check what the callers and
-// the ledgers of the stand-ins saw. All of its code is in test files, since
-// only tests may start processes.
+// Package harns holds tests that run the real programs against fakes of the platform and of the
+// backend servers, on loopback. The tests inject failures into processes and connections, and check
+// the answers that callers receive against the ledgers in which the fakes record every run.
+//
+// All code is in test files, because only tests may start processes.
 package harns
--- a/proofs/harns/drain_test.go
+++ b/proofs/harns/drain_test.go
@@ -14,39 +14,39 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// refusedPause keeps a refused caller from spinning.
-const refusedPause = 50 * time.Millisecond
+// refusalBackoff is the time that a caller waits after a failed request, so that it does not spin.
+const refusalBackoff = 50 * time.Millisecond
 
-// caller sends requests one after the other until it is told to stop.
+// caller sends requests one after the other until it is stopped.
 type caller struct {
-	d     *deployment
-	entry int
-	id    string
-	make  func(id string, n int) visit
-	stop  chan struct{}
-	done  chan struct{}
+	d          *deployment
+	entry      int
+	id         string
+	newRequest func(id string, n int) clientRequest
+	stop       chan struct{}
+	done       chan struct{}
 
-	lock    sync.Mutex
-	replies []answered
+	lock      sync.Mutex
+	exchanges []exchange
 }
 
-// answered is a request with what came of it.
-type answered struct {
-	id    string
-	visit visit
-	reply reply
+// exchange is a request with its reply.
+type exchange struct {
+	id      string
+	request clientRequest
+	reply   reply
 }
 
-func (d *deployment) startCaller(entry int, id string, makeVisit func(id string, n int) visit) *caller {
+func (d *deployment) startCaller(entry int, id string, newRequest func(id string, n int) clientRequest) *caller {
 	d.t.Helper()
-	c := &caller{d: d, entry: entry, id: id, make: makeVisit, stop: make(chan struct{}), done: make(chan struct{})}
+	c := &caller{d: d, entry: entry, id: id, newRequest: newRequest, stop: make(chan struct{}), done: make(chan struct{})}
 	go c.run()
 	return c
 }
 
 func (c *caller) run() {
 	defer close(c.done)
-	address := c.d.callers(c.entry)
+	address := c.d.callerAddress(c.entry)
 	for n := 0; ; n++ {
 		select {
 		case <-c.stop:
@@ -54,118 +54,122 @@
 		default:
 		}
 		id := fmt.Sprintf("%s-%d", c.id, n)
-		v := c.make(id, n)
-		r := send(address, v)
+		q := c.newRequest(id, n)
+		r := send(address, q)
 		c.lock.Lock()
-		c.replies = append(c.replies, answered{id: id, visit: v, reply: r})
+		c.exchanges = append(c.exchanges, exchange{id: id, request: q, reply: r})
 		c.lock.Unlock()
 		if !r.ok() {
-			time.Sleep(refusedPause)
+			time.Sleep(refusalBackoff)
 		}
 	}
 }
 
-func (c *caller) count() int {
+func (c *caller) countExchanges() int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	return len(c.replies)
+	return len(c.exchanges)
 }
 
-// finish ends the caller after its present request.
-func (c *caller) finish() []answered {
+// finish stops the caller after its current request and returns all exchanges.
+func (c *caller) finish() []exchange {
 	close(c.stop)
 	<-c.done
-	return c.replies
+	return c.exchanges
 }
 
-func makeDraft(id string, n int) visit { return draft(id, answerTokens, n%2 == 0) }
-func makeOrder(id string, _ int) visit { return order(id) }
+func newDraft(id string, n int) clientRequest { return draftRequest(id, answerTokens, n%2 == 0) }
+func newOrder(id string, _ int) clientRequest { return orderRequest(id) }
 
-// startLoad starts callers of drafts and orders at every entry.
+// startLoad starts three callers of drafts and three of orders at every entry.
 func (d *deployment) startLoad(name string) []*caller {
 	d.t.Helper()
 	callers := []*caller{}
 	for e := range d.entries {
 		for n := range 3 {
 			callers = append(callers,
-				d.startCaller(e, fmt.Sprintf("%s-draft-%d-%d", name, e, n), makeDraft),
-				d.startCaller(e, fmt.Sprintf("%s-order-%d-%d", name, e, n), makeOrder))
+				d.startCaller(e, fmt.Sprintf("%s-draft-%d-%d", name, e, n), newDraft),
+				d.startCaller(e, fmt.Sprintf("%s-order-%d-%d", name, e, n), newOrder))
 		}
 	}
 	return callers
 }
 
+// waitAnswers waits for each caller in turn until it has received the given number of further replies.
 func waitAnswers(t *testing.T, callers []*caller, more int) {
 	t.Helper()
 	for _, c := range callers {
-		before := c.count()
-		waitFor(t, "answers of "+c.id, func() bool { return c.count() >= before+more })
+		before := c.countExchanges()
+		waitFor(t, "replies to caller "+c.id, func() bool { return c.countExchanges() >= before+more })
 	}
 }
 
-// finishWhole ends the callers and fails unless every request had its own whole
-// answer; refused says which other replies are right.
-func finishWhole(t *testing.T, callers []*caller, refused func(r reply) bool) (whole, other int) {
+// finishAndCheck stops the callers and fails the test unless every request has its own complete answer
+// or another reply that isAllowed accepts. It returns the number of each.
+func finishAndCheck(t *testing.T, callers []*caller, isAllowed func(r reply) bool) (complete, other int) {
 	t.Helper()
 	for _, c := range callers {
 		for _, a := range c.finish() {
 			switch {
-			case refused != nil && refused(a.reply):
+			case isAllowed != nil && isAllowed(a.reply):
 				other++
 				continue
-			case a.visit.key != "":
+			case a.request.key != "":
 				checkOrder(t, a.id, a.reply)
 			default:
 				checkText(t, a.id, answerTokens, a.reply)
 			}
-			whole++
+			complete++
 		}
 	}
-	return whole, other
+	return complete, other
 }
 
+// drainPlan returns a plan with two model servers and two order servers.
 func drainPlan(entries int) plan {
 	return plan{entries: entries, backends: []backend{
-		modelServer("llm-1"), modelServer("llm-2"), slowDesk("ord-1", "100ms"), slowDesk("ord-2", "100ms"),
+		modelServer("llm-1"), modelServer("llm-2"), slowOrderServer("ord-1", "100ms"), slowOrderServer("ord-2", "100ms"),
 	}}
 }
 
-func isCut0(text string) bool {
+// reportsNoCuts reports whether the log states that the process stopped without cutting a request.
+func reportsNoCuts(text string) bool {
 	return strings.Contains(text, "event=stopped") && strings.Contains(text, "cut=0")
 }
 
-// An entry is stopped under load. Streams and orders on their way end whole;
-// what comes afterwards is refused as not run or finds the port closed, and
-// the entry reports that it cut nothing.
+// Guards against requests that are cut when an entry is stopped under load. Streams and orders in
+// flight complete; later requests are refused as not run or find the port closed; the entry logs that
+// it cut nothing, and each order runs once.
 func TestEntryStoppedUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := deploy(t, drainPlan(2))
 	callers := d.startLoad("load")
 	waitAnswers(t, callers, 2)
-	long := d.begin(0, draft("long", 400, true))
+	long := d.sendAsync(0, draftRequest("long", 400, true))
 	d.entries[0].waitFor(func() bool {
-		return d.agents["llm-1"].figures().Verbena.Load.Running+d.agents["llm-2"].figures().Verbena.Load.Running > 0
-	}, "streams run")
+		return d.agents["llm-1"].debugVars().Verbena.Load.Running+d.agents["llm-2"].debugVars().Verbena.Load.Running > 0
+	}, "a stream to run")
 	time.Sleep(300 * time.Millisecond)
 	d.entries[0].stop()
-	is.True(isCut0(d.entries[0].text()))
+	is.True(reportsNoCuts(d.entries[0].logText()))
 	checkText(t, "long", 400, long.wait())
-	whole, refused := finishWhole(t, callers, func(r reply) bool {
+	complete, refused := finishAndCheck(t, callers, func(r reply) bool {
 		closed := r.err != nil && r.status == 0 && strings.Contains(r.err.Error(), "refused")
 		return closed || r.failure.Code == codes.Draining && r.notRun()
 	})
-	is.True(whole > 0)
+	is.True(complete > 0)
 	is.True(refused > 0)
-	for key, runs := range d.allRuns() {
+	for key, runs := range d.runsByKey() {
 		if strings.Contains(key, "order") {
 			is.Equal(runs, 1)
 		}
 	}
 }
 
-// An agent is stopped under load, in mid-stream, while another serves the same
-// work. No caller notices; the agent reports that it cut nothing.
+// Guards against requests that fail when an agent is stopped under load while another agent serves the
+// same service. Every caller gets complete answers, each order runs once, and the agent logs that it
+// cut nothing.
 func TestAgentStoppedUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -174,35 +178,34 @@
 	waitAnswers(t, callers, 2)
 	for _, name := range []string{"llm-1", "ord-1"} {
 		d.agents[name].stop()
-		is.True(isCut0(d.agents[name].text()))
+		is.True(reportsNoCuts(d.agents[name].logText()))
 	}
 	waitAnswers(t, callers, 3)
-	finishWhole(t, callers, nil)
-	for key, runs := range d.allRuns() {
+	finishAndCheck(t, callers, nil)
+	for key, runs := range d.runsByKey() {
 		if strings.Contains(key, "order") {
 			is.Equal(runs, 1)
 		}
 	}
 }
 
-// An entry and an agent are stopped at the same time, each twice, while the
-// key-value service is down and drafts stream. No draft is cut. An order whose
-// answer could not be written is still answered, and the agent writes it down
-// as soon as the service is back.
-func TestTwoStopsDuringOutage(t *testing.T) {
+// Guards against a lost answer when an entry and agents receive SIGTERM twice while the store is down.
+// The stream and the order in flight complete, although the order's answer cannot be written yet. The
+// agents write it before they exit, once the store recovers, so that a retry does not run the order.
+func TestRepeatedStopsDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	p := drainPlan(2)
-	p.backends[2] = slowDesk("ord-1", "1s")
-	p.backends[3] = slowDesk("ord-2", "1s")
+	p.backends[2] = slowOrderServer("ord-1", "1s")
+	p.backends[3] = slowOrderServer("ord-2", "1s")
 	d := deploy(t, p)
-	callers := []*caller{d.startCaller(1, "draft-a", makeDraft), d.startCaller(1, "draft-b", makeDraft)}
+	callers := []*caller{d.startCaller(1, "draft-a", newDraft), d.startCaller(1, "draft-b", newDraft)}
 	waitAnswers(t, callers, 2)
-	last := d.begin(0, order("last"))
+	last := d.sendAsync(0, orderRequest("last"))
 	d.waitRuns("last", 1)
-	long := d.begin(0, draft("long", 400, true))
-	waitFor(t, "the long stream runs", func() bool {
-		return d.agents["llm-1"].figures().Verbena.Load.Running+d.agents["llm-2"].figures().Verbena.Load.Running > 0
+	long := d.sendAsync(0, draftRequest("long", 400, true))
+	waitFor(t, "the long stream to run", func() bool {
+		return d.agents["llm-1"].debugVars().Verbena.Load.Running+d.agents["llm-2"].debugVars().Verbena.Load.Running > 0
 	})
 	d.kv.setFault(fault.Settings{Down: true})
 	stopping := []*process{d.entries[0], d.agents["ord-1"], d.agents["ord-2"], d.agents["llm-1"]}
@@ -215,54 +218,54 @@
 	checkText(t, "long", 400, long.wait())
 	d.kv.setFault(fault.Settings{})
 	for _, s := range stopping {
-		s.waitEnd()
-		is.True(isCut0(s.text()))
-		is.True(!strings.Contains(s.text(), "answers-unwritten"))
+		s.waitExit()
+		is.True(reportsNoCuts(s.logText()))
+		is.True(!strings.Contains(s.logText(), "answers-unwritten"))
 	}
 	waitAnswers(t, callers, 2)
-	finishWhole(t, callers, nil)
-	d.startAgent(d.backendOf("ord-1"))
-	d.register(d.backendOf("ord-1"), false)
-	checkOrder(t, "last", d.settle(1, "last"))
+	finishAndCheck(t, callers, nil)
+	d.startAgent(d.findBackend("ord-1"))
+	d.register(d.findBackend("ord-1"), false)
+	checkOrder(t, "last", d.retryOrder(1, "last"))
 	is.Equal(d.countRuns("last"), 1)
 }
 
-// A stop's grace period is too short for a stream and an order on their way.
-// The process stops in time all the same, and its log names what it cut; the
-// caller of the stream sees that it is incomplete, and the order is not called "not run".
-func TestGraceTooShort(t *testing.T) {
+// Guards against a false outcome when the grace period of a stop is too short for the stream and the
+// order in flight. The processes still stop, and their logs name the cut requests. The stream is
+// visibly incomplete, and the order is not reported as not run.
+func TestGracePeriodTooShort(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	llm, desk := modelServer("llm-1"), slowDesk("ord-1", "10s")
+	llm, orders := modelServer("llm-1"), slowOrderServer("ord-1", "10s")
 	llm.fakeFlags = []string{"--models", "notes", "--token-interval", "50ms"}
 	llm.agentFlags = []string{"--stop.grace", "500ms"}
-	desk.agentFlags = llm.agentFlags
-	d := deploy(t, plan{entries: 2, backends: []backend{llm, desk}, entryFlags: []string{"--stop.grace", "500ms"}})
-	stream, running := d.begin(0, draft("cut", 400, true)), d.begin(0, order("cut"))
+	orders.agentFlags = llm.agentFlags
+	d := deploy(t, plan{entries: 2, backends: []backend{llm, orders}, entryFlags: []string{"--stop.grace", "500ms"}})
+	stream, running := d.sendAsync(0, draftRequest("cut", 400, true)), d.sendAsync(0, orderRequest("cut"))
 	d.waitRuns("cut", 1)
-	d.agents["llm-1"].waitFor(func() bool { return d.agents["llm-1"].figures().Verbena.Load.Running == 1 }, "the stream runs")
+	d.agents["llm-1"].waitFor(func() bool { return d.agents["llm-1"].debugVars().Verbena.Load.Running == 1 }, "the stream to run")
 	d.agents["ord-1"].stop()
-	is.True(strings.Contains(d.agents["ord-1"].text(), "cut=1"))
+	is.True(strings.Contains(d.agents["ord-1"].logText(), "cut=1"))
 	r := running.wait()
 	is.True(!r.ok())
 	is.True(!r.notRun())
-	is.True(strings.Contains(d.agents["ord-1"].text(), "orders-1"))
+	is.True(strings.Contains(d.agents["ord-1"].logText(), "orders-1"))
 	d.entries[0].stop()
-	text := d.entries[0].text()
+	text := d.entries[0].logText()
 	is.True(strings.Contains(text, "cut=1"))
 	got := stream.wait()
-	is.True(!got.ended || got.failure.Code != codes.OK)
+	is.True(!got.hasEnd || got.failure.Code != codes.OK)
 	_, stopped, _ := strings.Cut(text, "event=stopped")
 	is.True(got.requestID != "" && strings.Contains(stopped, got.requestID))
 }
 
-// A backend server is leaving: the list says so, or only its agent does while
-// the list lags, or only the list while the agent is frozen in its news. A few
-// seconds later it gets no new work, whichever speaks.
-func TestLeavingServerGetsNothingNew(t *testing.T) {
+// Guards against new work at a backend server that is leaving. The leave is announced by the list
+// only, by the agent only while the list lags or is down, by the list while the store is down, or by
+// both with a delay. Four seconds later the server gets no new work in any of these cases.
+func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	sources := map[string]func(d *deployment){
-		"list": func(d *deployment) { d.register(d.backendOf("llm-1"), true) },
+		"list": func(d *deployment) { d.register(d.findBackend("llm-1"), true) },
 		"agent, list lags": func(d *deployment) {
 			d.agents["llm-1"].signal(syscall.SIGTERM)
 		},
@@ -272,12 +275,12 @@
 		},
 		"list, key-value service down": func(d *deployment) {
 			d.kv.setFault(fault.Settings{Down: true})
-			d.register(d.backendOf("llm-1"), true)
+			d.register(d.findBackend("llm-1"), true)
 		},
 		"both lag": func(d *deployment) {
-			// Late, but not so late that the session counts as silent.
-			d.peerRelay["llm-1"].Delay(400 * time.Millisecond)
-			d.register(d.backendOf("llm-1"), true)
+			// The delay is too short for the session to be closed as silent.
+			d.peerRelays["llm-1"].Delay(400 * time.Millisecond)
+			d.register(d.findBackend("llm-1"), true)
 			d.agents["llm-1"].signal(syscall.SIGTERM)
 		},
 	}
@@ -287,19 +290,19 @@
 			is := is.New(t)
 			p := plan{entries: 2, listLag: "1s", backends: []backend{modelServer("llm-1"), modelServer("llm-2")}}
 			p.backends[0].sessionsOverRelay = true
-			// The agent stays up, so that work sent to it would still run.
+			// The agent keeps running after SIGTERM, so that work sent to it would still run.
 			p.backends[0].agentFlags = []string{"--peers.linger", "20s", "--stop.grace", "25s"}
 			d := deploy(t, p)
-			callers := []*caller{d.startCaller(0, "a", makeDraft), d.startCaller(1, "b", makeDraft)}
+			callers := []*caller{d.startCaller(0, "a", newDraft), d.startCaller(1, "b", newDraft)}
 			waitAnswers(t, callers, 2)
-			waitFor(t, "work at llm-1", func() bool { return len(d.servers["llm-1"].runs()) > 0 })
+			waitFor(t, "a run at llm-1", func() bool { return len(d.servers["llm-1"].runs()) > 0 })
 			leave(d)
 			time.Sleep(4 * time.Second)
 			before := len(d.servers["llm-1"].runs())
 			waitAnswers(t, callers, 10)
 			is.Equal(len(d.servers["llm-1"].runs()), before)
-			whole, _ := finishWhole(t, callers, nil)
-			is.True(whole >= 20)
+			complete, _ := finishAndCheck(t, callers, nil)
+			is.True(complete >= 20)
 		})
 	}
 }
--- a/proofs/harns/main_test.go
+++ b/proofs/harns/main_test.go
@@ -9,19 +9,22 @@
 )
 
 const (
-	// deployments is how many run at once: each has some ten processes.
-	deployments = "4"
-	// envPrograms names the directory of the built programs for the tests of this run.
-	envPrograms = "VERBENA_PROOF_PROGRAMS"
+	// maxDeployments is the number of deployments that run in parallel. Each has about ten processes.
+	maxDeployments = "4"
+	// envProgramDir is the environment variable that passes the directory of the built programs to
+	// the tests.
+	envProgramDir = "VERBENA_PROOF_PROGRAMS"
 )
 
-// TestMain builds the programs, so that the tests stand alone.
+// TestMain builds the programs that the tests start, so that no earlier build is needed.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	os.Exit(runAll(m))
+	os.Exit(buildAndRun(m))
 }
 
-func runAll(m *testing.M) int {
+// buildAndRun builds the programs into a temporary directory, runs the tests and returns the exit
+// code.
+func buildAndRun(m *testing.M) int {
 	directory, err := os.MkdirTemp("", "programs")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -35,10 +38,10 @@
 		fmt.Fprintln(os.Stderr, "build:", err)
 		return 1
 	}
-	if err := os.Setenv(envPrograms, directory); err != nil {
+	if err := os.Setenv(envProgramDir, directory); err != nil {
 		return 1
 	}
-	if err := flag.Set("test.parallel", deployments); err != nil {
+	if err := flag.Set("test.parallel", maxDeployments); err != nil {
 		return 1
 	}
 	return m.Run()
--- a/proofs/harns/process_test.go
+++ b/proofs/harns/process_test.go
@@ -17,43 +17,48 @@
 )
 
 const (
-	// patience bounds every wait for a condition; a busy machine must not reach it.
-	patience   = 60 * time.Second
-	checkEvery = 20 * time.Millisecond
-	// stopLimit bounds the end of a process after SIGTERM.
-	stopLimit = 45 * time.Second
+	// waitTimeout limits every wait for a condition. It is long enough that a busy machine does not
+	// reach it.
+	waitTimeout = 60 * time.Second
+	// pollInterval is the time between two evaluations of a condition.
+	pollInterval = 20 * time.Millisecond
+	// stopTimeout limits the time from SIGTERM to the exit of a process.
+	stopTimeout = 45 * time.Second
 )
 
-// process is one program that the test started.
+// process is a running program that the test started.
 type process struct {
 	t       *testing.T
 	name    string
 	command *exec.Cmd
-	// file takes the addresses; log takes what the program writes.
-	file string
-	log  string
+	// addressFile is the file to which the program writes its addresses, and logFile the one that
+	// receives its standard output and standard error.
+	addressFile string
+	logFile     string
 
-	ended chan struct{}
-	lock  sync.Mutex
-	err   error
+	// exited is closed once the process has exited.
+	exited chan struct{}
+	lock   sync.Mutex
+	err    error
 }
 
-// start runs a program of this repository in the deployment's directory.
+// start starts a program of this repository. Its address file and its log file are in the
+// deployment's directory, and it is killed when the test ends.
 func (d *deployment) start(name, program string, args ...string) *process {
 	d.t.Helper()
 	p := &process{
-		t:     d.t,
-		name:  name,
-		file:  filepath.Join(d.directory, name+".addr"),
-		log:   filepath.Join(d.directory, name+".log"),
-		ended: make(chan struct{}),
+		t:           d.t,
+		name:        name,
+		addressFile: filepath.Join(d.directory, name+".addr"),
+		logFile:     filepath.Join(d.directory, name+".log"),
+		exited:      make(chan struct{}),
 	}
-	_ = os.Remove(p.file)
-	output, err := os.OpenFile(p.log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	_ = os.Remove(p.addressFile)
+	output, err := os.OpenFile(p.logFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	p.command = exec.Command(filepath.Join(os.Getenv(envPrograms), program), args...)
+	p.command = exec.Command(filepath.Join(os.Getenv(envProgramDir), program), args...)
 	p.command.Stdout, p.command.Stderr = output, output
 	if err := p.command.Start(); err != nil {
 		d.t.Fatal(err)
@@ -64,77 +69,85 @@
 	return p
 }
 
+// run waits for the process to exit and records the error, if any.
 func (p *process) run() {
 	err := p.command.Wait()
 	p.lock.Lock()
 	p.err = err
 	p.lock.Unlock()
-	close(p.ended)
+	close(p.exited)
 }
 
-// signal reaches this process only, by its id.
+// signal sends a signal to this process only. It does nothing once the process has exited.
 func (p *process) signal(s syscall.Signal) {
-	if !p.hasEnded() {
+	if !p.hasExited() {
 		_ = p.command.Process.Signal(s)
 	}
 }
 
-func (p *process) hasEnded() bool {
+func (p *process) hasExited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// kill ends the process at once and waits for that.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
+// freeze suspends the process with SIGSTOP.
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
-func (p *process) wake()   { p.signal(syscall.SIGCONT) }
 
-// stop asks for a graceful shutdown and waits for it.
+// resume continues a frozen process with SIGCONT.
+func (p *process) resume() { p.signal(syscall.SIGCONT) }
+
+// stop requests a graceful shutdown and waits until the process has exited.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
-	p.waitEnd()
+	p.waitExit()
 }
 
-func (p *process) waitEnd() {
+// waitExit fails the test unless the process exits within stopTimeout.
+func (p *process) waitExit() {
 	p.t.Helper()
 	select {
-	case <-p.ended:
-	case <-time.After(stopLimit):
-		p.t.Fatalf("%s does not stop:\n%s", p.name, p.tail())
+	case <-p.exited:
+	case <-time.After(stopTimeout):
+		p.t.Fatalf("%s did not exit after SIGTERM:\n%s", p.name, p.logTail())
 	}
 }
 
-// text returns what the process wrote so far.
-func (p *process) text() string {
-	data, _ := os.ReadFile(p.log)
+// logText returns everything that the process has written so far.
+func (p *process) logText() string {
+	data, _ := os.ReadFile(p.logFile)
 	return string(data)
 }
 
-func (p *process) tail() string {
-	lines := strings.Split(p.text(), "\n")
+// logTail returns the last 30 lines of the log.
+func (p *process) logTail() string {
+	lines := strings.Split(p.logText(), "\n")
 	return strings.Join(lines[max(0, len(lines)-30):], "\n")
 }
 
-// address returns an address that the process wrote; suffix names a second file, key a line of the form key=address.
-func (p *process) address(suffix, key string) netip.AddrPort {
+// address waits until the process has written an address and returns it. The suffix selects another
+// file than the address file, and the prefix selects the line that begins with it, as in
+// "metrics=127.0.0.1:80"; the first line is returned if the prefix is empty.
+func (p *process) address(suffix, prefix string) netip.AddrPort {
 	p.t.Helper()
 	found := netip.AddrPort{}
 	p.waitFor(func() bool {
-		data, err := os.ReadFile(p.file + suffix)
+		data, err := os.ReadFile(p.addressFile + suffix)
 		if err != nil {
 			return false
 		}
 		for _, line := range strings.Split(string(data), "\n") {
-			value, ok := strings.CutPrefix(line, key)
+			value, ok := strings.CutPrefix(line, prefix)
 			if !ok {
 				continue
 			}
@@ -142,37 +155,40 @@
 			return err == nil
 		}
 		return false
-	}, "address of "+p.name)
+	}, "the address of "+p.name)
 	return found
 }
 
+// waitFor waits until the condition holds. It fails the test after waitTimeout, or at once if the
+// process exits.
 func (p *process) waitFor(condition func() bool, what string) {
 	p.t.Helper()
-	limit := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
-		if time.Now().After(limit) {
-			p.t.Fatalf("gave up waiting: %s\n%s", what, p.tail())
+		if time.Now().After(deadline) {
+			p.t.Fatalf("timed out waiting for %s\n%s", what, p.logTail())
 		}
-		if p.hasEnded() {
-			p.t.Fatalf("%s ended while waiting: %s\n%s", p.name, what, p.tail())
+		if p.hasExited() {
+			p.t.Fatalf("%s exited while waiting for %s\n%s", p.name, what, p.logTail())
 		}
-		time.Sleep(checkEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// waitFor waits until the condition holds.
+// waitFor waits until the condition holds and fails the test after waitTimeout.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	limit := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
-		if time.Now().After(limit) {
-			t.Fatalf("gave up waiting: %s", what)
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for %s", what)
 		}
-		time.Sleep(checkEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// getJSON reads a page of a process; false when it does not answer.
+// getJSON reads a page of a process and, if into is not nil, decodes it. It reports whether the answer
+// had status 200 and was decoded.
 func getJSON(url string, into any) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -193,8 +209,8 @@
 	return into == nil || json.Unmarshal(data, into) == nil
 }
 
-// figures are the parts of a process's expvar page that tests look at.
-type figures struct {
+// debugVars holds the parts of a process's expvar page (/debug/vars) that the tests read.
+type debugVars struct {
 	Verbena struct {
 		Calls    json.RawMessage `json:"calls"`
 		Sessions int             `json:"sessions"`
@@ -218,27 +234,28 @@
 	} `json:"verbena"`
 }
 
-// storeCalls are a process's calls of the key-value service.
+// storeCalls counts the calls that a process has sent to the store.
 type storeCalls struct {
 	Reads, Writes, Watches, Failed int
 }
 
-func (p *process) storeCalls() storeCalls { return p.figures().Verbena.Store }
+func (p *process) storeCalls() storeCalls { return p.debugVars().Verbena.Store }
 
-// figures returns the process's expvar page; the zero value when it does not answer.
-func (p *process) figures() figures {
-	f := figures{}
+// debugVars returns the process's expvar page, or the zero value if the process does not answer.
+func (p *process) debugVars() debugVars {
+	f := debugVars{}
 	getJSON("http://"+p.address("", "metrics=").String()+"/debug/vars", &f)
 	return f
 }
 
-// calls returns the number of calls that an agent took.
-func (p *process) calls() int {
+// countCalls returns the number of calls that an agent has received.
+func (p *process) countCalls() int {
 	calls := 0
-	_ = json.Unmarshal(p.figures().Verbena.Calls, &calls)
+	_ = json.Unmarshal(p.debugVars().Verbena.Calls, &calls)
 	return calls
 }
 
+// isReady reports whether the process answers its readiness check.
 func (p *process) isReady() bool {
 	return getJSON("http://"+p.address("", "metrics=").String()+"/readyz", nil)
 }
--- a/proofs/harns/refusal_test.go
+++ b/proofs/harns/refusal_test.go
@@ -12,15 +12,13 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Makers send orders with short deadlines and hang up early, so many that
-// queues expire, cancels cross starts and claims come too late, while the
-// key-value service now and then is slow or loses answers. Whoever was told
-// "not run" finds no run in the ledger, at once and at the end; no order ran
-// twice; every answer stands for a run.
-func TestNotRunIsTrue(t *testing.T) {
+// Guards against orders that run, at once or later, although they were reported as not run, and against
+// second runs. Short deadlines and callers that disconnect make queued orders expire, cancellations
+// race with starts and claims come too late, while the store is slow or loses answers.
+func TestNotRunRepliesMatchLedger(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	one, two := slowDesk("ord-1", "20ms"), slowDesk("ord-2", "20ms")
+	one, two := slowOrderServer("ord-1", "20ms"), slowOrderServer("ord-2", "20ms")
 	one.slots, two.slots = 4, 4
 	d := deploy(t, plan{entries: 2, backends: []backend{one, two}})
 	random := rand.New(rand.NewPCG(11, 4))
@@ -35,12 +33,12 @@
 		sent := map[string]*pending{}
 		for n := range 150 {
 			key := fmt.Sprintf("storm-%d-%d", wave, n)
-			v := order(key)
-			v.deadline = fmt.Sprintf("%dms", 5+random.IntN(400))
+			q := orderRequest(key)
+			q.deadline = fmt.Sprintf("%dms", 5+random.IntN(400))
 			if random.IntN(3) == 0 {
-				v.patience = time.Duration(5+random.IntN(300)) * time.Millisecond
+				q.callerTimeout = time.Duration(5+random.IntN(300)) * time.Millisecond
 			}
-			sent[key] = d.begin(n%2, v)
+			sent[key] = d.sendAsync(n%2, q)
 		}
 		for key, p := range sent {
 			replies[key] = p.wait()
@@ -49,11 +47,11 @@
 	d.kv.setFault(fault.Settings{})
 	counts := map[string]int{}
 	check := func() {
-		runs := d.allRuns()
+		runs := d.runsByKey()
 		for key, r := range replies {
 			is.True(runs[key] <= 1)
 			if r.notRun() && runs[key] > 0 {
-				t.Fatalf("%s: %s, and ran", key, r)
+				t.Fatalf("order %s: %s, but the ledger has a run", key, r)
 			}
 			if r.ok() {
 				checkOrder(t, key, r)
@@ -63,8 +61,8 @@
 	}
 	check()
 	for name, a := range d.agents {
-		waitFor(t, "queue of "+name, func() bool {
-			load := a.figures().Verbena.Load
+		waitFor(t, "an empty queue at "+name, func() bool {
+			load := a.debugVars().Verbena.Load
 			return load.Running == 0 && load.Queued == 0
 		})
 	}
@@ -80,12 +78,12 @@
 		if r.err == nil && !r.ok() {
 			is.True(r.failure.Outcome != "")
 			if r.failure.Name == "canceled" {
-				t.Fatalf("nobody who still waits went away: %s", r)
+				t.Fatalf("a caller that did not disconnect received canceled: %s", r)
 			}
 		}
 	}
 	check()
-	t.Logf("answers: %v", counts)
+	t.Logf("replies by result: %v", counts)
 	is.True(counts["ok"] > 0)
 	refused := 0
 	for _, r := range replies {
@@ -96,7 +94,7 @@
 	is.True(refused > 0)
 	for key, r := range replies {
 		if r.err == nil && r.failure.Outcome == codes.OutcomeUnknown || r.err != nil {
-			got := d.settle(0, key)
+			got := d.retryOrder(0, key)
 			runs := d.countRuns(key)
 			is.True(runs <= 1)
 			is.True(!got.ok() || runs == 1)
--- a/proofs/harns/settle_test.go
+++ b/proofs/harns/settle_test.go
@@ -4,37 +4,37 @@
 	"time"
 )
 
-// settle repeats an order, as a patient caller would, until it has the answer
-// or is told that the outcome stays unknown. Each answer on the way is checked
-// against the ledger where it says "not run" of a key that nobody else uses.
-func (d *deployment) settle(entry int, key string) reply {
+// retryOrder retries an order until the reply is the answer, or is outcome-unknown without
+// Retry-After, which means that the outcome stays unknown. It returns that reply.
+func (d *deployment) retryOrder(entry int, key string) reply {
 	d.t.Helper()
-	limit := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
-		r := d.send(entry, order(key))
+		r := d.send(entry, orderRequest(key))
 		if r.ok() || r.failure.Name == "outcome-unknown" && r.retryAfter == "" {
 			return r
 		}
-		if time.Now().After(limit) {
-			d.t.Fatalf("order %s does not settle: %s", key, r)
+		if time.Now().After(deadline) {
+			d.t.Fatalf("order %s still has no final outcome: %s", key, r)
 		}
-		time.Sleep(5 * checkEvery)
+		time.Sleep(5 * pollInterval)
 	}
 }
 
-// waitRuns waits until the key was started that often.
+// waitRuns waits until the backend servers have started the key at least count times.
 func (d *deployment) waitRuns(key string, count int) {
 	d.t.Helper()
-	waitFor(d.t, "runs of "+key, func() bool { return d.countRuns(key) >= count })
+	waitFor(d.t, "runs of key "+key, func() bool { return d.countRuns(key) >= count })
 }
 
-// restartAgent starts a backend server's agent anew and puts its address on the list.
+// restartAgent kills the agent of a backend server, starts a new one, registers its address and waits
+// until it is ready and has a session with every entry.
 func (d *deployment) restartAgent(name string) {
 	d.t.Helper()
-	b := d.backendOf(name)
+	b := d.findBackend(name)
 	d.agents[name].kill()
 	d.startAgent(b)
 	d.register(b, false)
 	a := d.agents[name]
-	a.waitFor(func() bool { return a.isReady() && a.figures().Verbena.Sessions >= len(d.entries) }, "sessions after the restart")
+	a.waitFor(func() bool { return a.isReady() && a.debugVars().Verbena.Sessions >= len(d.entries) }, "sessions after the restart")
 }
