--- a/vctl/cmds/apply.go
+++ b/vctl/cmds/apply.go
@@ -28,24 +28,24 @@
 func (a *app) newApply() *ffcli.Command {
 	o := &applyOptions{}
 	flags := a.newFlags("apply")
-	flags.BoolVar(&o.check, "check", false, "only read and check the files as a whole configuration, without a server")
+	flags.BoolVar(&o.check, "check", false, "only parse the files and check them as a complete configuration, without a server")
 	flags.BoolVar(&o.dryRun, "dry-run", false, "only check against the configuration in force and print the difference")
-	flags.StringVar(&o.changeID, "change-id", "", "`id` of the change; give the printed one again when the outcome was unknown")
-	flags.Uint64Var(&o.base, "base", 0, "`revision` that the files were made for; 0: the one in force")
+	flags.StringVar(&o.changeID, "change-id", "", "`id` of the change; for a retry after an unknown outcome, the id that was printed")
+	flags.Uint64Var(&o.base, "base", 0, "`revision` that the files are based on; 0: the one in force")
 	return a.newCommand(ffcli.Command{
 		Name:       "apply",
 		ShortUsage: "vctl apply [flags] <file.toml>...",
 		ShortHelp:  "apply documents as one change",
 		LongHelp: strings.TrimSpace(`
-All files are one change: it takes effect as a whole or not at all. The
-difference is printed first, and the change is bound to the revision that the
-difference was made against.
+All files form one change, which takes effect completely or not at all. The
+difference from the configuration in force is printed first. If another change
+is accepted in between, this one ends with a conflict.
 
 Examples:
   vctl apply --check deploy/ljubljana/*.toml
   vctl apply --dry-run teams.toml
   vctl apply teams.toml rules.toml
-  vctl apply --change-id 7Q2M --base 41 teams.toml   (the outcome was unknown)`),
+  vctl apply --change-id 7Q2M --base 41 teams.toml   (retry after an unknown outcome)`),
 		FlagSet: flags,
 	}, func(ctx context.Context, args []string) error {
 		return a.apply(ctx, o, args)
@@ -63,7 +63,7 @@
 	if o.changeID == "" {
 		o.changeID = rand.Text()
 	}
-	checked, err := a.put(ctx, o, d, true)
+	checked, err := a.putChange(ctx, o, d, true)
 	if err != nil {
 		return err
 	}
@@ -77,9 +77,9 @@
 		a.printChanges(checked.Changes, checked.ChangesOmitted)
 	}
 	o.base = checked.Revision
-	accepted, err := a.put(ctx, o, d, false)
+	accepted, err := a.putChange(ctx, o, d, false)
 	if err != nil {
-		return a.explainUnknown(err, o, names)
+		return a.addRetryCommand(err, o, names)
 	}
 	if a.output == outputJSON {
 		return a.printJSON(accepted)
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// check reads the files as a whole configuration, for use before there is a server.
+// check validates the files as a complete configuration. It needs no server, so it also serves before
+// the first one is started.
 func (a *app) check(d *documents) error {
 	problems := config.Validate(d.patch.Set)
 	source := config.NewSourceMap(admapi.BodyName, d.text)
@@ -100,7 +101,8 @@
 	return nil
 }
 
-func (a *app) put(ctx context.Context, o *applyOptions, d *documents, dryRun bool) (admapi.ChangeResult, error) {
+// putChange submits the documents as one change, or has them checked if dryRun is set.
+func (a *app) putChange(ctx context.Context, o *applyOptions, d *documents, dryRun bool) (admapi.ChangeResult, error) {
 	query := url.Values{}
 	if dryRun {
 		query.Set("dry-run", "true")
@@ -114,15 +116,17 @@
 		path:    "/admin/v1/changes/" + url.PathEscape(o.changeID),
 		query:   query,
 		body:    d.text,
-		command: !dryRun,
+		mutates: !dryRun,
 	}, &result)
-	var r *refusal
-	if errors.As(err, &r) {
-		r.body.Problems = d.locate(r.body.Problems)
+	var refused *apiError
+	if errors.As(err, &refused) {
+		refused.body.Problems = d.locate(refused.body.Problems)
 	}
-	return result, a.fail(err)
+	return result, a.reportError(err)
 }
 
+// printResult prints the result of a dry run. If a change with the same id was accepted before, it
+// prints the revision of that change.
 func (a *app) printResult(result admapi.ChangeResult) error {
 	if a.output == outputJSON {
 		return a.printJSON(result)
@@ -136,13 +140,13 @@
 	return nil
 }
 
-// explainUnknown prints how to ask again. The base goes with it, so that
-// asking again can't put the files over somebody's later change.
-func (a *app) explainUnknown(err error, o *applyOptions, names []string) error {
+// addRetryCommand adds the command line for a retry to the error of a change whose outcome is unknown.
+// The command line contains the base, so that the retry can't overwrite a later change.
+func (a *app) addRetryCommand(err error, o *applyOptions, names []string) error {
 	var exit *exitError
 	if errors.As(err, &exit) && exit.code == ExitUnknown {
-		again := fmt.Sprintf("vctl apply --change-id %s --base %d %s", o.changeID, o.base, strings.Join(names, " "))
-		exit.detail += "\nask again: " + again
+		retry := fmt.Sprintf("vctl apply --change-id %s --base %d %s", o.changeID, o.base, strings.Join(names, " "))
+		exit.detail += "\nask again: " + retry
 	}
 	return err
 }
--- a/vctl/cmds/claim.go
+++ b/vctl/cmds/claim.go
@@ -30,7 +30,7 @@
 	return a.newCommand(ffcli.Command{
 		Name:       "get",
 		ShortUsage: "vctl claim get [flags] <team> <key>",
-		ShortHelp:  "show what is known of a call",
+		ShortHelp:  "show the claim of a call",
 		LongHelp: strings.TrimSpace(`
 Example:
   vctl claim get kranj order-2026-118`),
@@ -44,16 +44,17 @@
 	flags := a.newFlags("claim resolve")
 	outcome := flags.String("outcome", "", "`ran or not-run`, as found at the backend server")
 	note := flags.String("note", "", "`text` for the entry's log, with the operator's name")
-	gone := flags.Bool("instance-gone", false, "the claim's instance no longer exists: settle though it gives no answer")
+	gone := flags.Bool("instance-gone", false, "the claim's instance no longer exists: settle the claim without its answer")
 	return a.newCommand(ffcli.Command{
 		Name:       "resolve",
 		ShortUsage: "vctl claim resolve [flags] --outcome <ran|not-run> --note <text> <team> <key>",
-		ShortHelp:  "settle an unknown outcome",
+		ShortHelp:  "settle a claim whose outcome is unknown",
 		LongHelp: strings.TrimSpace(`
-Look at the backend server first. "ran" keeps the key from ever running again;
-"not-run" lets it run again. The claim's agent is asked before anything is
-written: what it runs or has finished is not settled by hand, and a silent one
-may still start the call, so "not-run" then needs --instance-gone.
+Check at the backend server first whether the call ran. "ran" prevents every
+further call with the key; "not-run" allows another. The claim's agent is asked
+before anything is written. A call that it runs or has finished can't be settled
+by hand. An agent that does not answer may still start the call, so "not-run"
+then needs --instance-gone.
 
 Example:
   vctl claim resolve --outcome ran --note "invoice 4711 exists" kranj order-2026-118`),
@@ -71,16 +72,17 @@
 	})
 }
 
+// sendClaim sends a request for the claim of the team and key in args and prints the claim.
 func (a *app) sendClaim(ctx context.Context, method string, args []string, body []byte) error {
-	const want = 2 // team and key
-	if len(args) != want {
+	const wantArgs = 2 // team and key
+	if len(args) != wantArgs {
 		return newUsageError("claim: want a team and a key")
 	}
 	var claim admapi.Claim
 	path := "/admin/v1/claims/" + url.PathEscape(args[0]) + "/" + url.PathEscape(args[1])
-	err := a.send(ctx, request{method: method, path: path, body: body, command: method == http.MethodPost}, &claim)
+	err := a.send(ctx, request{method: method, path: path, body: body, mutates: method == http.MethodPost}, &claim)
 	if err != nil {
-		return a.fail(err)
+		return a.reportError(err)
 	}
 	rows := [][]string{{
 		claim.Team, claim.Key, claim.State, claim.ClaimedAt.Format(time.RFC3339), orDash(claim.Attempt),
--- a/vctl/cmds/client.go
+++ b/vctl/cmds/client.go
@@ -18,46 +18,47 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// maxAnswer holds the documents of 19,000 teams.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the body of a response. The documents of 19,000 teams fit into it.
+const maxResponseBytes = 64 << 20
 
-// refusal is an error body of the admin API.
-type refusal struct {
+// apiError is an error response of the admin API.
+type apiError struct {
 	body admapi.Error
 }
 
-func (r *refusal) Error() string {
-	return r.body.Name + " (" + string(r.body.Outcome) + "): " + r.body.Detail
+func (e *apiError) Error() string {
+	return e.body.Name + " (" + string(e.body.Outcome) + "): " + e.body.Detail
 }
 
-// exitCode returns the code with which a refusal ends the program.
-func (r *refusal) exitCode() int {
+// exitCode returns the exit code of the program for the error.
+func (e *apiError) exitCode() int {
 	switch {
-	case r.body.Code == codes.ConfigConflict:
+	case e.body.Code == codes.ConfigConflict:
 		return ExitConflict
-	case r.body.Outcome == codes.OutcomeUnknown:
+	case e.body.Outcome == codes.OutcomeUnknown:
 		return ExitUnknown
 	default:
 		return ExitRefused
 	}
 }
 
-// request is one call of the admin API.
+// request is a request to the admin API.
 type request struct {
 	method string
-	// path is escaped.
+	// path is already percent-encoded.
 	path  string
 	query url.Values
 	body  []byte
-	// command is set where the call changes something, so that a lost answer leaves it unknown.
-	command bool
+	// mutates is set if the request changes something: without a response, its outcome is unknown.
+	mutates bool
 }
 
-// send makes a call and decodes its answer; a refused one is a *refusal.
-func (a *app) send(ctx context.Context, r request, into any) error {
+// send sends a request and decodes the response into result. An error response is returned as an
+// *apiError.
+func (a *app) send(ctx context.Context, r request, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, a.timeout)
 	defer cancel()
-	q, err := a.newRequest(ctx, r)
+	httpRequest, err := a.newRequest(ctx, r)
 	if err != nil {
 		return err
 	}
@@ -65,27 +66,27 @@
 	if err != nil {
 		return err
 	}
-	answer, err := client.Do(q)
+	response, err := client.Do(httpRequest)
 	if err != nil {
-		return newCallError(r, err)
+		return newTransportError(r, err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer func() { _ = response.Body.Close() }()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return newCallError(r, err)
+		return newTransportError(r, err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return newRefusalOf(answer.StatusCode, text)
+	if response.StatusCode != http.StatusOK {
+		return newAPIError(response.StatusCode, text)
 	}
-	err = json.Unmarshal(text, into)
+	err = json.Unmarshal(text, result)
 	if err != nil {
-		return newRefusal("the server's answer can't be read: %v", err)
+		return newRefusedError("the server's answer can't be read: %v", err)
 	}
 	return nil
 }
 
 func (a *app) newRequest(ctx context.Context, r request) (*http.Request, error) {
-	// Names are refused here as in all settings: addresses are IP numbers.
+	// Host names are rejected, as in all settings: an address is an IP address and a port.
 	address, err := netip.ParseAddrPort(a.server)
 	if err != nil {
 		return nil, newUsageError("--server %q: want ip:port", a.server)
@@ -104,12 +105,12 @@
 	if a.caFile != "" {
 		target.Scheme = "https"
 	}
-	q, err := http.NewRequestWithContext(ctx, r.method, target.String(), bytes.NewReader(r.body))
+	httpRequest, err := http.NewRequestWithContext(ctx, r.method, target.String(), bytes.NewReader(r.body))
 	if err != nil {
 		return nil, newUsageError("%v", err)
 	}
-	q.Header.Set("Authorization", "Bearer "+token)
-	return q, nil
+	httpRequest.Header.Set("Authorization", "Bearer "+token)
+	return httpRequest, nil
 }
 
 func (a *app) newClient() (*http.Client, error) {
@@ -129,21 +130,24 @@
 	return &http.Client{Transport: transport}, nil
 }
 
-// newCallError tells a call that was certainly not sent from one whose answer is missing.
-func newCallError(r request, err error) error {
-	var failed *net.OpError
-	notSent := errors.As(err, &failed) && failed.Op == "dial"
-	if r.command && !notSent {
+// newTransportError returns the error for a request without a complete response. If the request
+// changes something, its outcome is unknown, unless the connection could not be established.
+func newTransportError(r request, err error) error {
+	var opErr *net.OpError
+	notSent := errors.As(err, &opErr) && opErr.Op == "dial"
+	if r.mutates && !notSent {
 		return &exitError{code: ExitUnknown, detail: "the answer is missing: " + err.Error()}
 	}
-	return newRefusal("not done: %v", err)
+	return newRefusedError("not done: %v", err)
 }
 
-func newRefusalOf(status int, text []byte) error {
+// newAPIError returns the *apiError in the body of an error response. A body of another form, for
+// example from a proxy, gives an error with the status only.
+func newAPIError(status int, text []byte) error {
 	var body admapi.Error
 	err := json.Unmarshal(text, &body)
 	if err != nil || body.Name == "" {
-		return newRefusal("the server answered with status %d", status)
+		return newRefusedError("the server answered with status %d", status)
 	}
-	return &refusal{body: body}
+	return &apiError{body: body}
 }
--- a/vctl/cmds/cmds.go
+++ b/vctl/cmds/cmds.go
@@ -1,4 +1,4 @@
-// Package cmds holds the subcommands of vctl, one a file.
+// Package cmds implements the subcommands of vctl, one per file.
 package cmds
 
 import (
@@ -17,15 +17,16 @@
 
 // The exit codes.
 const (
-	// ExitOK means that it was done.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitRefused means that it was not done and will not be.
+	// ExitRefused means that the command failed or was refused. A refused change never takes effect.
 	ExitRefused = 1
 	// ExitUsage means that the command line is wrong.
 	ExitUsage = 2
-	// ExitConflict means that another change came first.
+	// ExitConflict means that another change was accepted first.
 	ExitConflict = 3
-	// ExitUnknown means that it may have been done; ask again with the printed change id.
+	// ExitUnknown means that the change may have taken effect. A retry with the printed change id
+	// shows whether it did.
 	ExitUnknown = 4
 )
 
@@ -38,16 +39,16 @@
 	envToken       = "VCTL_TOKEN"
 )
 
-// Streams are where a command reads and writes.
+// Streams are the standard input, output and error of a command.
 type Streams struct {
 	In       io.Reader
 	Out, Err io.Writer
 }
 
-// app is what the subcommands share.
+// app holds the streams and the flags that the subcommands share.
 type app struct {
 	streams Streams
-	// server is an IP number and port.
+	// server is the IP address and port of an entry's admin API.
 	server    string
 	tokenFile string
 	caFile    string
@@ -55,7 +56,7 @@
 	timeout   time.Duration
 }
 
-// exitError ends the program with a code.
+// exitError ends the program with an exit code after detail is printed.
 type exitError struct {
 	code   int
 	detail string
@@ -67,11 +68,11 @@
 	return &exitError{code: ExitUsage, detail: fmt.Sprintf(format, args...)}
 }
 
-func newRefusal(format string, args ...any) error {
+func newRefusedError(format string, args ...any) error {
 	return &exitError{code: ExitRefused, detail: fmt.Sprintf(format, args...)}
 }
 
-// Run runs the command line and returns the exit code.
+// Run parses and executes a command line and returns the exit code.
 func Run(ctx context.Context, args []string, streams Streams) int {
 	a := &app{streams: streams}
 	err := a.newRoot().ParseAndRun(ctx, args)
@@ -80,16 +81,16 @@
 	case err == nil, errors.Is(err, flag.ErrHelp):
 		return ExitOK
 	case errors.As(err, &exit):
-		a.complain(exit.detail)
+		a.printError(exit.detail)
 		return exit.code
 	default:
-		// What is left is a flag that ffcli could not parse.
-		a.complain(err.Error())
+		// Every other error is from ffcli: it could not parse a flag.
+		a.printError(err.Error())
 		return ExitUsage
 	}
 }
 
-func (a *app) complain(detail string) {
+func (a *app) printError(detail string) {
 	if detail != "" {
 		_, _ = fmt.Fprintln(a.streams.Err, "vctl:", detail)
 	}
@@ -134,19 +135,20 @@
 	}
 }
 
-// newFlags returns a subcommand's flags with those that all share.
+// newFlags returns a flag set for a subcommand that already holds the flags shared by all subcommands.
 func (a *app) newFlags(name string) *flag.FlagSet {
 	flags := flag.NewFlagSet("vctl "+name, flag.ContinueOnError)
 	flags.SetOutput(a.streams.Err)
 	flags.StringVar(&a.server, "server", defaultServer, "`ip:port` of an entry's admin address")
 	flags.StringVar(&a.tokenFile, "token-file", "", "`file` that holds the operator's token; else VCTL_TOKEN")
-	flags.StringVar(&a.caFile, "ca-file", "", "`file` with the authority of the server's certificate; empty: plain HTTP")
+	flags.StringVar(&a.caFile, "ca-file", "", "`file` with the CA certificate that signed the server's; empty: plain HTTP")
 	flags.StringVar(&a.output, "output", outputTable, "`table or json`")
-	flags.DurationVar(&a.timeout, "timeout", defaultTimeout, "longest wait for an answer")
+	flags.DurationVar(&a.timeout, "timeout", defaultTimeout, "maximum wait for an answer")
 	return flags
 }
 
-// newCommand returns a subcommand that talks to a server.
+// newCommand completes c, a subcommand that sends requests to a server: its flags can be set in the
+// environment, and run is called once --output is valid.
 func (a *app) newCommand(c ffcli.Command, run func(ctx context.Context, args []string) error) *ffcli.Command {
 	c.Options = []ff.Option{ff.WithEnvVarPrefix(envPrefix)}
 	c.Exec = func(ctx context.Context, args []string) error {
@@ -158,7 +160,7 @@
 	return &c
 }
 
-// token returns the operator's token.
+// token returns the operator's token, read from --token-file or else from VCTL_TOKEN.
 func (a *app) token() (string, error) {
 	if a.tokenFile == "" {
 		token := os.Getenv(envToken)
--- a/vctl/cmds/cmds_test.go
+++ b/vctl/cmds/cmds_test.go
@@ -31,7 +31,7 @@
 
 const checked = `{"verdict":"checked","change-id":"c1","revision":7,"changes":[{"kind":"team","name":"kranj","field":"weight","old":"1","new":"2"}]}`
 
-// result is what one run of the command line gave.
+// result is the exit code and output of one command line.
 type result struct {
 	code     int
 	out, err string
@@ -40,9 +40,9 @@
 func run(t *testing.T, args ...string) result {
 	t.Helper()
 	t.Setenv("VCTL_TOKEN", "secret")
-	var out, complaints bytes.Buffer
-	code := cmds.Run(t.Context(), args, cmds.Streams{In: strings.NewReader(""), Out: &out, Err: &complaints})
-	return result{code: code, out: out.String(), err: complaints.String()}
+	var out, errOut bytes.Buffer
+	code := cmds.Run(t.Context(), args, cmds.Streams{In: strings.NewReader(""), Out: &out, Err: &errOut})
+	return result{code: code, out: out.String(), err: errOut.String()}
 }
 
 func writeFile(t *testing.T, name, text string) string {
@@ -54,42 +54,42 @@
 	return path
 }
 
-// answer is one canned answer of the admin API.
-type answer struct {
+// cannedAnswer is a predefined answer of the admin API.
+type cannedAnswer struct {
 	status int
 	body   string
-	// cut closes the connection in place of an answer.
-	cut bool
+	// abort closes the connection without an answer.
+	abort bool
 }
 
-// server gives its answers in order and keeps the requests.
-type server struct {
-	answers  []answer
+// fakeServer sends its answers in order and records the requests.
+type fakeServer struct {
+	answers  []cannedAnswer
 	requests []string
 	bodies   []string
 	tokens   []string
 }
 
-func (s *server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	body, _ := io.ReadAll(q.Body)
-	s.requests = append(s.requests, q.Method+" "+q.URL.EscapedPath()+"?"+q.URL.RawQuery)
+func (s *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	s.requests = append(s.requests, r.Method+" "+r.URL.EscapedPath()+"?"+r.URL.RawQuery)
 	s.bodies = append(s.bodies, string(body))
-	s.tokens = append(s.tokens, q.Header.Get("Authorization"))
+	s.tokens = append(s.tokens, r.Header.Get("Authorization"))
 	a := s.answers[0]
 	s.answers = s.answers[1:]
-	if a.cut {
+	if a.abort {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(a.status)
 	_, _ = io.WriteString(w, a.body)
 }
 
-func startServer(t *testing.T, answers ...answer) (*server, string) {
+func startServer(t *testing.T, answers ...cannedAnswer) (*fakeServer, string) {
 	t.Helper()
-	s := &server{answers: answers}
-	listening := httptest.NewServer(s)
-	t.Cleanup(listening.Close)
-	return s, listening.Listener.Addr().String()
+	s := &fakeServer{answers: answers}
+	httpServer := httptest.NewServer(s)
+	t.Cleanup(httpServer.Close)
+	return s, httpServer.Listener.Addr().String()
 }
 
 func TestUsage(t *testing.T) {
@@ -99,16 +99,16 @@
 		code int
 	}{
 		{"help", []string{"-h"}, cmds.ExitOK},
-		{"nothing", nil, cmds.ExitUsage},
-		{"no such flag", []string{"get", "--zone", "x"}, cmds.ExitUsage},
-		{"no such kind", []string{"get", "zone"}, cmds.ExitUsage},
+		{"no arguments", nil, cmds.ExitUsage},
+		{"unknown flag", []string{"get", "--zone", "x"}, cmds.ExitUsage},
+		{"unknown kind", []string{"get", "zone"}, cmds.ExitUsage},
 		{"server by name", []string{"get", "--server", "localhost:80"}, cmds.ExitUsage},
 		{"no files", []string{"apply"}, cmds.ExitUsage},
 		{"bad output", []string{"get", "--output", "xml"}, cmds.ExitUsage},
 		{"bad label", []string{"label", "team", "kranj", "tier"}, cmds.ExitUsage},
-		{"claim without verb", []string{"claim"}, cmds.ExitUsage},
+		{"claim without subcommand", []string{"claim"}, cmds.ExitUsage},
 		{"claim without outcome", []string{"claim", "resolve", "kranj", "k"}, cmds.ExitUsage},
-		{"nobody listens", []string{"get", "--server", "127.0.0.1:1"}, cmds.ExitRefused},
+		{"connection refused", []string{"get", "--server", "127.0.0.1:1"}, cmds.ExitRefused},
 		{"completion", []string{"completion"}, cmds.ExitOK},
 	}
 	for _, tt := range tests {
@@ -119,24 +119,26 @@
 	}
 }
 
-func TestCheckTellsFileAndLine(t *testing.T) {
+func TestCheckReportsFileAndLine(t *testing.T) {
 	is := is.New(t)
 	good := writeFile(t, "a.toml", operator)
 	bad := writeFile(t, "b.toml", strings.Replace(team, "normal", "high", 1))
 	r := run(t, "apply", "--check", good, bad)
 	is.Equal(r.code, cmds.ExitRefused)
 	is.True(strings.Contains(r.err, bad+":4: team/kranj priority"))
-	unread := writeFile(t, "c.toml", strings.Replace(team, "weight", "wait", 1))
-	is.True(strings.Contains(run(t, "apply", "--check", good, unread).err, unread+":5: team.wait: unknown key"))
+	unknownKey := writeFile(t, "c.toml", strings.Replace(team, "weight", "wait", 1))
+	is.True(strings.Contains(run(t, "apply", "--check", good, unknownKey).err, unknownKey+":5: team.wait: unknown key"))
 	r = run(t, "apply", "--check", good, writeFile(t, "d.toml", team))
 	is.Equal(r.code, cmds.ExitOK)
 }
 
-func TestApplyIsBoundToTheRevisionOfItsDiff(t *testing.T) {
+// Another change is accepted between the dry run that printed the difference and the change itself.
+// The change must not overwrite it, so it carries the revision of the dry run as its base.
+func TestApplyUsesRevisionOfDryRunAsBase(t *testing.T) {
 	is := is.New(t)
 	s, address := startServer(t,
-		answer{status: 200, body: checked},
-		answer{status: 200, body: `{"verdict":"accepted","change-id":"c1","revision":8}`})
+		cannedAnswer{status: 200, body: checked},
+		cannedAnswer{status: 200, body: `{"verdict":"accepted","change-id":"c1","revision":8}`})
 	r := run(t, "apply", "--server", address, "--change-id", "c1", writeFile(t, "a.toml", operator), writeFile(t, "b.toml", team))
 	is.Equal(r.code, cmds.ExitOK)
 	is.Equal(s.requests[0], "PUT /admin/v1/changes/c1?dry-run=true")
@@ -147,21 +149,21 @@
 	is.True(strings.Contains(r.out, "weight"))
 }
 
-// The connection breaks after the change was sent. The operator is told that
-// the outcome is unknown and the command with which to ask again, which names
-// the same change id and base; asked so, the server tells that it was accepted.
-func TestLostAnswerTellsHowToAskAgain(t *testing.T) {
+// The connection breaks after the change was sent. The outcome is unknown, and vctl must print a
+// command line for the retry with the same change id and base. The retry then reports that the change
+// was accepted.
+func TestLostAnswerPrintsRetryCommand(t *testing.T) {
 	is := is.New(t)
 	s, address := startServer(t,
-		answer{status: 200, body: checked},
-		answer{cut: true},
-		answer{status: 200, body: `{"verdict":"accepted","change-id":"c1","revision":8}`})
+		cannedAnswer{status: 200, body: checked},
+		cannedAnswer{abort: true},
+		cannedAnswer{status: 200, body: `{"verdict":"accepted","change-id":"c1","revision":8}`})
 	name := writeFile(t, "a.toml", team)
 	r := run(t, "apply", "--server", address, "--change-id", "c1", name)
 	is.Equal(r.code, cmds.ExitUnknown)
-	again := "vctl apply --change-id c1 --base 7 " + name
-	is.True(strings.Contains(r.err, again))
-	args := append([]string{"apply", "--server", address}, strings.Fields(again)[2:]...)
+	retry := "vctl apply --change-id c1 --base 7 " + name
+	is.True(strings.Contains(r.err, retry))
+	args := append([]string{"apply", "--server", address}, strings.Fields(retry)[2:]...)
 	r = run(t, args...)
 	is.Equal(r.code, cmds.ExitOK)
 	is.True(strings.Contains(r.out, "accepted before as revision 8"))
@@ -179,14 +181,14 @@
 	}{
 		{"conflict", 409, `{"code":4001,"name":"config-conflict","outcome":"not-run","revision":9,"changes":[{"kind":"team","name":"kranj","field":"rate"}]}`, cmds.ExitConflict, "revision 9"},
 		{"unknown", 503, `{"code":4003,"name":"change-unknown","outcome":"unknown"}`, cmds.ExitUnknown, "change-unknown"},
-		{"store down", 503, `{"code":4004,"name":"store-unavailable","outcome":"not-run"}`, cmds.ExitRefused, "store-unavailable"},
+		{"store unavailable", 503, `{"code":4004,"name":"store-unavailable","outcome":"not-run"}`, cmds.ExitRefused, "store-unavailable"},
 		{"invalid", 422, `{"code":4002,"name":"config-invalid","outcome":"not-run",` + problems + `}`, cmds.ExitRefused, "a.toml:4: team/kranj priority: bad"},
 		{"no error body", 502, `oops`, cmds.ExitRefused, "status 502"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			_, address := startServer(t, answer{status: tt.status, body: tt.body})
+			_, address := startServer(t, cannedAnswer{status: tt.status, body: tt.body})
 			r := run(t, "diff", "--server", address, writeFile(t, "a.toml", team))
 			is.Equal(r.code, tt.code)
 			is.True(strings.Contains(r.out+r.err, tt.text))
@@ -197,8 +199,8 @@
 func TestLabelAndClaimRequests(t *testing.T) {
 	is := is.New(t)
 	s, address := startServer(t,
-		answer{status: 200, body: `{"verdict":"accepted","change-id":"c1","revision":8}`},
-		answer{status: 200, body: `{"team":"kranj","key":"a/b","state":"done"}`})
+		cannedAnswer{status: 200, body: `{"verdict":"accepted","change-id":"c1","revision":8}`},
+		cannedAnswer{status: 200, body: `{"team":"kranj","key":"a/b","state":"done"}`})
 	is.Equal(run(t, "label", "--server", address, "--change-id", "c1", "pipeline", "notes/generate", "class=long", "old-").code, cmds.ExitOK)
 	is.Equal(s.bodies[0], `{"change-id":"c1","kind":"pipeline","name":"notes","stage":"generate","set":{"class":"long"},"remove":["old"]}`)
 	r := run(t, "claim", "get", "--server", address, "--output", "json", "kranj", "a/b")
@@ -207,21 +209,24 @@
 	is.True(strings.Contains(r.out, `"state": "done"`))
 }
 
+// A drain with --wait must not end while the agent is not drained, has an older revision than the
+// drain or still runs work, nor when a poll fails. If work still runs at the timeout, the command must
+// fail with a message that says so.
 func TestDrainWaitsUntilNothingRuns(t *testing.T) {
 	is := is.New(t)
 	const accepted = `{"verdict":"accepted","change-id":"d1","revision":8}`
-	status := func(state string, revision, running int) answer {
-		return answer{status: 200, body: fmt.Sprintf(`{"instances":[{"name":"llm-2","state":%q,"revision":%d,"running":%d}]}`, state, revision, running)}
+	status := func(state string, revision, running int) cannedAnswer {
+		return cannedAnswer{status: 200, body: fmt.Sprintf(`{"instances":[{"name":"llm-2","state":%q,"revision":%d,"running":%d}]}`, state, revision, running)}
 	}
-	s, address := startServer(t, answer{status: 200, body: accepted},
-		status("connected", 7, 0), status("drained", 7, 0), status("drained", 8, 2), answer{status: 503, body: "{}"}, status("drained", 8, 0))
+	s, address := startServer(t, cannedAnswer{status: 200, body: accepted},
+		status("connected", 7, 0), status("drained", 7, 0), status("drained", 8, 2), cannedAnswer{status: 503, body: "{}"}, status("drained", 8, 0))
 	r := run(t, "drain", "--server", address, "--change-id", "d1", "--wait", "llm-2")
 	is.Equal(r.code, cmds.ExitOK)
 	is.Equal(s.requests[0], "POST /admin/v1/drains/llm-2?")
 	is.Equal(s.bodies[0], `{"change-id":"d1"}`)
 	is.Equal(len(s.requests), 6)
 
-	_, address = startServer(t, answer{status: 200, body: accepted}, status("drained", 8, 1), status("drained", 8, 1), status("drained", 8, 1))
+	_, address = startServer(t, cannedAnswer{status: 200, body: accepted}, status("drained", 8, 1), status("drained", 8, 1), status("drained", 8, 1))
 	r = run(t, "drain", "--server", address, "--wait", "--timeout", "1200ms", "llm-2")
 	is.Equal(r.code, cmds.ExitRefused)
 	is.True(strings.Contains(r.err, "still runs work"))
@@ -230,9 +235,9 @@
 func TestStatusAndExplainTables(t *testing.T) {
 	is := is.New(t)
 	_, address := startServer(t,
-		answer{status: 200, body: `{"instance":"entry-1","revision":3,"confirmed-age":"1s","use":"ready","instances":[{"name":"llm-1","state":"drained","wait":"2ms"}],"pools":[{"name":"gpu","window":"55s","idle":40}],"teams":[{"pool":"gpu","stage":"notes/generate","team":"kranj"}],"stages":[{"stage":"llm/generate","runs":2,"busy":"1s"}],"results":[{"name":"ok","count":2}]}`},
-		answer{status: 200, body: `{"revision":3,"team":"kranj","stages":[{"pipeline":"notes","stage":"generate","service":"llm","servers":[{"instance":"llm-1","chosen":true,"rank":1,"score":"3ms","rules":[{"rule":"near","effect":"prefer","matched":true},{"rule":"far","effect":"require"}]},{"instance":"llm-2","reason":"forbidden","rules":[{"rule":"x","effect":"forbid","matched":true,"drops":true}]}]}]}`},
-		answer{status: 200, body: `{"revision":3}`})
+		cannedAnswer{status: 200, body: `{"instance":"entry-1","revision":3,"confirmed-age":"1s","use":"ready","instances":[{"name":"llm-1","state":"drained","wait":"2ms"}],"pools":[{"name":"gpu","window":"55s","idle":40}],"teams":[{"pool":"gpu","stage":"notes/generate","team":"kranj"}],"stages":[{"stage":"llm/generate","runs":2,"busy":"1s"}],"results":[{"name":"ok","count":2}]}`},
+		cannedAnswer{status: 200, body: `{"revision":3,"team":"kranj","stages":[{"pipeline":"notes","stage":"generate","service":"llm","servers":[{"instance":"llm-1","chosen":true,"rank":1,"score":"3ms","rules":[{"rule":"near","effect":"prefer","matched":true},{"rule":"far","effect":"require"}]},{"instance":"llm-2","reason":"forbidden","rules":[{"rule":"x","effect":"forbid","matched":true,"drops":true}]}]}]}`},
+		cannedAnswer{status: 200, body: `{"revision":3}`})
 	r := run(t, "status", "--server", address)
 	for _, want := range []string{"entry-1: revision 3, confirmed 1s ago, ready", "drained", "55s", "notes/generate", "ok      2"} {
 		is.True(strings.Contains(r.out, want))
--- a/vctl/cmds/deploy_test.go
+++ b/vctl/cmds/deploy_test.go
@@ -13,11 +13,11 @@
 	"verbenaroad.example/vctl/cmds"
 )
 
-const deployments = "../../deploy"
+const deploymentsDir = "../../deploy"
 
-func findFiles(t *testing.T, deployment string) []string {
+func findConfigFiles(t *testing.T, deployment string) []string {
 	t.Helper()
-	files, err := filepath.Glob(filepath.Join(deployments, deployment, "*.toml"))
+	files, err := filepath.Glob(filepath.Join(deploymentsDir, deployment, "*.toml"))
 	if err != nil || len(files) == 0 {
 		t.Fatal("no files", err)
 	}
@@ -28,16 +28,16 @@
 	for _, deployment := range []string{"ljubljana", "le-goff"} {
 		t.Run(deployment, func(t *testing.T) {
 			is := is.New(t)
-			r := run(t, append([]string{"apply", "--check"}, findFiles(t, deployment)...)...)
+			r := run(t, append([]string{"apply", "--check"}, findConfigFiles(t, deployment)...)...)
 			is.Equal(r.err, "")
 			is.Equal(r.code, cmds.ExitOK)
 		})
 	}
 }
 
-func TestDevelopmentTokensAreThoseOfTheReadme(t *testing.T) {
+func TestDevelopmentTokensMatchReadme(t *testing.T) {
 	is := is.New(t)
-	readme, err := os.ReadFile(filepath.Join(deployments, "README.md"))
+	readme, err := os.ReadFile(filepath.Join(deploymentsDir, "README.md"))
 	is.NoErr(err)
 	rows := regexp.MustCompile("\\| ([a-z-]+) \\| (team|operator) ([a-z-]+) \\| `([a-z-]+)` \\|").FindAllStringSubmatch(string(readme), -1)
 	is.Equal(len(rows), 16)
@@ -53,16 +53,16 @@
 
 func readDeployment(t *testing.T, deployment string) config.Set {
 	t.Helper()
-	var all strings.Builder
-	for _, name := range findFiles(t, deployment) {
+	var joined strings.Builder
+	for _, name := range findConfigFiles(t, deployment) {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all.Write(text)
-		all.WriteString("\n")
+		joined.Write(text)
+		joined.WriteString("\n")
 	}
-	set, problems := config.ParseTOML(deployment, []byte(all.String()))
+	set, problems := config.ParseTOML(deployment, []byte(joined.String()))
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
--- a/vctl/cmds/diff.go
+++ b/vctl/cmds/diff.go
@@ -13,7 +13,7 @@
 	return a.newCommand(ffcli.Command{
 		Name:       "diff",
 		ShortUsage: "vctl diff [flags] <file.toml>...",
-		ShortHelp:  "show what applying documents would change",
+		ShortHelp:  "show what applying the documents would change",
 		LongHelp: strings.TrimSpace(`
 Example:
   vctl diff deploy/ljubljana/teams.toml`),
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := a.put(ctx, &applyOptions{changeID: rand.Text()}, d, true)
+	result, err := a.putChange(ctx, &applyOptions{changeID: rand.Text()}, d, true)
 	if err != nil {
 		return err
 	}
--- a/vctl/cmds/drain.go
+++ b/vctl/cmds/drain.go
@@ -14,24 +14,24 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// drainPoll is half of the usual time between two heartbeats, which bring the figures.
-const drainPoll = 500 * time.Millisecond
+// drainPollInterval is half of the default heartbeat interval. Heartbeats report the polled figures.
+const drainPollInterval = 500 * time.Millisecond
 
 func (a *app) newDrain() *ffcli.Command {
 	change := &admapi.DrainChange{}
 	flags := a.newFlags("drain")
-	flags.StringVar(&change.ChangeID, "change-id", "", "`id` of the change; give the printed one again when the outcome was unknown")
-	flags.BoolVar(&change.Undo, "undo", false, "let the instance have work again")
-	wait := flags.Bool("wait", false, "wait until the instance runs nothing, as the server's entry sees it, or --timeout is over")
-	flags.BoolVar(&change.Force, "force", false, "drain also the last agent of a service that gets work")
+	flags.StringVar(&change.ChangeID, "change-id", "", "`id` of the change; for a retry after an unknown outcome, the id that was printed")
+	flags.BoolVar(&change.Undo, "undo", false, "end the drain, so that the instance gets work again")
+	wait := flags.Bool("wait", false, "wait until the entry at --server reports that the instance has no work, for at most --timeout")
+	flags.BoolVar(&change.Force, "force", false, "drain the agent even if it is the last one of its service that gets work")
 	return a.newCommand(ffcli.Command{
 		Name:       "drain",
 		ShortUsage: "vctl drain [flags] <instance>",
-		ShortHelp:  "stop new work of an agent; what runs ends by itself",
+		ShortHelp:  "stop sending new work to an agent; running work finishes",
 		LongHelp: strings.TrimSpace(`
-A drain is a rule of the configuration: it takes hold everywhere with its
-revision and lasts over restarts until it is undone. vctl status shows when
-the instance runs nothing any more; --wait waits for that.
+A drain is a rule of the configuration. It takes effect on each instance as soon
+as it has the new revision, and lasts until it is undone, also over restarts.
+vctl status shows when the instance has no work any more; --wait waits for that.
 
 Examples:
   vctl drain agent-llm-07
@@ -47,34 +47,35 @@
 	})
 }
 
-// waitDrained asks for the status until the agent has the drain's revision and
-// runs nothing. Before it has it, an entry that is behind may still send it
-// work, and idle means nothing; afterwards it refuses such work as not run.
+// waitDrained polls the status until the agent has the revision of the drain and has no work. Before
+// it has that revision, an entry with an older revision may still send it work, so being idle proves
+// nothing. Afterwards the agent refuses such work as not run.
 func (a *app) waitDrained(ctx context.Context, instance string, revision uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, a.timeout)
 	defer cancel()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return newRefusal("%s is drained, but still runs work after %s", instance, a.timeout)
+			return newRefusedError("%s is drained, but still runs work after %s", instance, a.timeout)
 		case <-ticker.C:
 		}
 		var s admapi.Status
 		err := a.send(ctx, request{method: http.MethodGet, path: "/admin/v1/status"}, &s)
 		if err != nil {
-			continue // the next try may reach it; the timeout bounds them all
+			continue // the next poll may succeed; the timeout limits the polling
 		}
-		if i := findIdle(&s, instance, revision); i != nil {
+		if i := findDrained(&s, instance, revision); i != nil {
 			a.printInstances([]admapi.InstanceStatus{*i})
 			return nil
 		}
 	}
 }
 
-// findIdle returns the instance once it knows the revision and has no work.
-func findIdle(s *admapi.Status, instance string, revision uint64) *admapi.InstanceStatus {
+// findDrained returns the instance if it is drained, has at least the revision and has no work;
+// otherwise nil.
+func findDrained(s *admapi.Status, instance string, revision uint64) *admapi.InstanceStatus {
 	for n := range s.Instances {
 		i := &s.Instances[n]
 		if i.Name == instance && i.State == admapi.StateDrained && i.Revision >= revision && i.Running+i.Queued == 0 {
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// drain returns the revision of the change.
+// drain submits the change for the instance in args and returns the accepted revision.
 func (a *app) drain(ctx context.Context, change *admapi.DrainChange, args []string) (uint64, error) {
 	if len(args) != 1 {
 		return 0, newUsageError("drain: want one instance")
@@ -97,15 +98,16 @@
 		return 0, newUsageError("%v", err)
 	}
 	path := "/admin/v1/drains/" + url.PathEscape(args[0])
-	return a.sendChange(ctx, request{method: http.MethodPost, path: path, body: body, command: true}, change.ChangeID)
+	return a.sendChange(ctx, request{method: http.MethodPost, path: path, body: body, mutates: true}, change.ChangeID)
 }
 
-// sendChange sends a change of one document, prints what came of it and returns its revision.
+// sendChange sends a request that changes one document, prints the result and returns the accepted
+// revision.
 func (a *app) sendChange(ctx context.Context, r request, changeID string) (uint64, error) {
 	var result admapi.ChangeResult
 	err := a.send(ctx, r, &result)
 	if err != nil {
-		return 0, tellChangeID(a.fail(err), changeID)
+		return 0, addChangeID(a.reportError(err), changeID)
 	}
 	if a.output == outputJSON {
 		return result.Revision, a.printJSON(result)
--- a/vctl/cmds/explain.go
+++ b/vctl/cmds/explain.go
@@ -16,25 +16,25 @@
 	flags := a.newFlags("explain")
 	team := flags.String("team", "", "`name` of the team")
 	pipeline := flags.String("pipeline", "", "`name` of the pipeline")
-	stage := flags.String("stage", "", "`name` of the stage; empty: all of the pipeline")
+	stage := flags.String("stage", "", "`name` of the stage; empty: all stages of the pipeline")
 	service := flags.String("service", "", "`name` of the service, for direct calls")
 	return a.newCommand(ffcli.Command{
 		Name:       "explain",
 		ShortUsage: "vctl explain [flags] --team <name> (--pipeline <name> [--stage <name>] | --service <name>)",
-		ShortHelp:  "show why work would go where, rule by rule",
+		ShortHelp:  "show which backend servers would get work and why, rule by rule",
 		LongHelp: strings.TrimSpace(`
-Those that may be taken come first, the least score before the others:
+Eligible backend servers come first, the lowest score before the others:
 score = wait + slow - affinity - preference. The rules that apply are shown
-with + where they match the backend server, - where they do not, and ! where
-they bar it.
+with + if they match the backend server, - if they do not, and ! if they
+exclude it.
 
 Examples:
   vctl explain --team kranj --pipeline voicing-notes
   vctl explain --team kranj --service orders`),
 		FlagSet: flags,
 	}, func(ctx context.Context, args []string) error {
-		one := (*pipeline == "") != (*service == "")
-		if len(args) > 0 || *team == "" || !one {
+		exactlyOne := (*pipeline == "") != (*service == "")
+		if len(args) > 0 || *team == "" || !exactlyOne {
 			return newUsageError("explain: want --team, and either --pipeline or --service")
 		}
 		query := url.Values{"team": {*team}}
@@ -51,7 +51,7 @@
 	var e admapi.Explanation
 	err := a.send(ctx, request{method: http.MethodGet, path: "/admin/v1/explain", query: query}, &e)
 	if err != nil {
-		return a.fail(err)
+		return a.reportError(err)
 	}
 	if a.output == outputJSON {
 		return a.printJSON(e)
@@ -77,15 +77,16 @@
 		}
 		rows = append(rows, []string{
 			rank, s.Instance, s.Region, orDash(s.Reason), s.Score.Value().String(), s.Wait.Value().String(),
-			s.SlowStartPenalty.Value().String(), s.Affinity.Value().String(), s.Preference.Value().String(), joinRules(s.Rules),
+			s.SlowStartPenalty.Value().String(), s.Affinity.Value().String(), s.Preference.Value().String(), formatRules(s.Rules),
 		})
 	}
 	a.printTable("RANK INSTANCE REGION REASON SCORE WAIT SLOW AFFINITY PREFERENCE RULES", rows)
 }
 
-// joinRules lists the rules that apply, each with what it says of the backend server.
-func joinRules(verdicts []admapi.RuleVerdict) string {
-	shown := make([]string, 0, len(verdicts))
+// formatRules lists the rules that apply, each with its effect and a mark: "!" if it excludes the
+// backend server, "+" if it matches it, "-" if it does not.
+func formatRules(verdicts []admapi.RuleVerdict) string {
+	formatted := make([]string, 0, len(verdicts))
 	for _, v := range verdicts {
 		mark := "-"
 		switch {
@@ -94,7 +95,7 @@
 		case v.Matched:
 			mark = "+"
 		}
-		shown = append(shown, mark+v.Rule+"("+string(v.Effect)+")")
+		formatted = append(formatted, mark+v.Rule+"("+string(v.Effect)+")")
 	}
-	return orDash(strings.Join(shown, " "))
+	return orDash(strings.Join(formatted, " "))
 }
--- a/vctl/cmds/files.go
+++ b/vctl/cmds/files.go
@@ -10,20 +10,21 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// documents are the files of one change, joined to one text.
+// documents are the files of one change, concatenated into one TOML text.
 type documents struct {
 	text  []byte
 	files []file
 	patch config.Patch
 }
 
-// file is where one file begins in the text.
+// file is the position of one file in the text.
 type file struct {
-	name  string
-	first int // its first line in the text, from 1
+	name      string
+	firstLine int // number of its first line in the text, from 1
 }
 
-// readDocuments reads files strictly and tells every problem of all at once.
+// readDocuments reads the files and rejects unknown keys. It reports the problems of all files, not
+// only of the first.
 func (a *app) readDocuments(names []string) (*documents, error) {
 	if len(names) == 0 {
 		return nil, newUsageError("want one file or more; - stands for standard input")
@@ -35,8 +36,8 @@
 		if err != nil {
 			return nil, newUsageError("%v", err)
 		}
-		patch, found := config.ParsePatch(name, text)
-		problems = append(problems, found...)
+		patch, fileProblems := config.ParsePatch(name, text)
+		problems = append(problems, fileProblems...)
 		d.add(name, text, patch)
 	}
 	return d, a.reportProblems(problems)
@@ -49,9 +50,9 @@
 	return os.ReadFile(name)
 }
 
-// add joins a file's text. Every document is an array table, so that texts can stand one behind the other.
+// add appends a file. Every document is an array table, so the concatenated texts are valid TOML.
 func (d *documents) add(name string, text []byte, patch config.Patch) {
-	d.files = append(d.files, file{name: name, first: bytes.Count(d.text, []byte("\n")) + 1})
+	d.files = append(d.files, file{name: name, firstLine: bytes.Count(d.text, []byte("\n")) + 1})
 	d.text = append(d.text, text...)
 	if len(text) > 0 && text[len(text)-1] != '\n' {
 		d.text = append(d.text, '\n')
@@ -60,7 +61,7 @@
 	d.patch.Remove = append(d.patch.Remove, patch.Remove...)
 }
 
-// joinSets keeps documents that stand twice, so that the checks can tell of them.
+// joinSets returns the documents of both sets. It keeps duplicates, so that the checks report them.
 func joinSets(a, b config.Set) config.Set {
 	return config.Set{
 		Teams:     append(a.Teams, b.Teams...),
@@ -73,23 +74,23 @@
 	}
 }
 
-// locate gives the problems of the joined text their own file and line.
+// locate returns the problems with positions in the text replaced by the file and the line there.
 func (d *documents) locate(problems []config.Problem) []config.Problem {
 	located := make([]config.Problem, 0, len(problems))
 	for _, p := range problems {
 		if p.File == admapi.BodyName {
-			p = d.locateOne(p)
+			p = d.locateProblem(p)
 		}
 		located = append(located, p)
 	}
 	return located
 }
 
-func (d *documents) locateOne(p config.Problem) config.Problem {
+func (d *documents) locateProblem(p config.Problem) config.Problem {
 	for i := len(d.files) - 1; i >= 0; i-- {
-		if p.Line >= d.files[i].first {
+		if p.Line >= d.files[i].firstLine {
 			p.File = d.files[i].name
-			p.Line -= d.files[i].first - 1
+			p.Line -= d.files[i].firstLine - 1
 			return p
 		}
 	}
@@ -103,5 +104,5 @@
 	for _, p := range problems {
 		_, _ = fmt.Fprintln(a.streams.Err, p.String())
 	}
-	return newRefusal("%d problems", len(problems))
+	return newRefusedError("%d problems", len(problems))
 }
--- a/vctl/cmds/get.go
+++ b/vctl/cmds/get.go
@@ -17,7 +17,7 @@
 	return a.newCommand(ffcli.Command{
 		Name:       "get",
 		ShortUsage: "vctl get [flags] [kind [name]]",
-		ShortHelp:  "show documents in force",
+		ShortHelp:  "show documents of the configuration in force",
 		LongHelp: strings.TrimSpace(`
 Kinds: team, pipeline, service, rule, pool, operator, limits.
 
@@ -40,23 +40,24 @@
 	for _, arg := range args {
 		path += "/" + url.PathEscape(arg)
 	}
-	var found admapi.Config
-	err := a.send(ctx, request{method: http.MethodGet, path: path}, &found)
+	var answer admapi.Config
+	err := a.send(ctx, request{method: http.MethodGet, path: path}, &answer)
 	if err != nil {
-		return a.fail(err)
+		return a.reportError(err)
 	}
 	if a.output == outputJSON {
-		return a.printJSON(found)
+		return a.printJSON(answer)
 	}
-	a.printDocuments(found, len(args) == 2)
+	a.printDocuments(answer, len(args) == 2)
 	return nil
 }
 
-// printDocuments lists names, or the fields of one document.
-func (a *app) printDocuments(found admapi.Config, fields bool) {
+// printDocuments lists the kinds and names of the documents, or the fields of the only document if
+// fields is set.
+func (a *app) printDocuments(answer admapi.Config, fields bool) {
 	var rows [][]string
 	seen := map[config.Reference]bool{}
-	for _, c := range config.Diff(config.Set{}, found.Documents) {
+	for _, c := range config.Diff(config.Set{}, answer.Documents) {
 		ref := config.Reference{Kind: c.Kind, Name: c.Name}
 		switch {
 		case fields:
@@ -71,5 +72,5 @@
 		header = "FIELD VALUE"
 	}
 	a.printTable(header, rows)
-	a.printLinef("revision %d", found.Revision)
+	a.printLinef("revision %d", answer.Revision)
 }
--- a/vctl/cmds/history.go
+++ b/vctl/cmds/history.go
@@ -31,11 +31,11 @@
 	var history admapi.History
 	err := a.send(ctx, request{method: http.MethodGet, path: "/admin/v1/history"}, &history)
 	if err != nil {
-		return a.fail(err)
+		return a.reportError(err)
 	}
 	var rows [][]string
-	for _, m := range history.Changes {
-		rows = append(rows, []string{strconv.FormatUint(m.Revision, 10), m.Time.Format(time.RFC3339), m.Operator, m.ChangeID})
+	for _, c := range history.Changes {
+		rows = append(rows, []string{strconv.FormatUint(c.Revision, 10), c.Time.Format(time.RFC3339), c.Operator, c.ChangeID})
 	}
 	return a.print(history, "REVISION TIME OPERATOR CHANGE", rows)
 }
--- a/vctl/cmds/ingress.go
+++ b/vctl/cmds/ingress.go
@@ -20,37 +20,39 @@
 
 // The metrics of an ingress that the command reads.
 const (
-	metricVersion  = "verbenaroad_config_version"
-	metricStoreAge = "verbenaroad_store_age_seconds"
-	metricRequests = "verbenaroad_request_seconds"
-	metricDropped  = "verbenaroad_log_lines_dropped_total"
-	labelOutcome   = "outcome"
-	// outcomeAnswered is the outcome of requests that got a backend server's answer.
+	metricConfigVersion = "verbenaroad_config_version"
+	metricStoreAge      = "verbenaroad_store_age_seconds"
+	metricRequests      = "verbenaroad_request_seconds"
+	metricLinesDropped  = "verbenaroad_log_lines_dropped_total"
+	labelOutcome        = "outcome"
+	// outcomeAnswered is the outcome of requests that a backend server answered.
 	outcomeAnswered = "answered"
-	// maxMetricsBytes bounds one page of metrics; one of an ingress with 500 routes has about 2 MB.
+	// maxMetricsBytes limits the size of a metrics page. The page of an ingress with 500 routes has
+	// about 2 MB.
 	maxMetricsBytes = 16 << 20
 )
 
-// ingressState is what one ingress tells of itself.
+// ingressState is the state of an ingress according to its metrics.
 type ingressState struct {
 	Address netip.AddrPort `json:"address"`
-	// Fault says why nothing is known; empty: all below is.
-	Fault    string            `json:"fault,omitempty"`
-	Version  uint64            `json:"config-version"`
-	StoreAge time.Duration     `json:"store-age-nanos"`
-	Outcomes map[string]uint64 `json:"outcomes"`
-	// Dropped counts the log lines that were left out.
-	Dropped uint64 `json:"lines-dropped"`
+	// Fault is why the metrics could not be read; the fields below are then unset. Empty: no fault.
+	Fault         string            `json:"fault,omitempty"`
+	ConfigVersion uint64            `json:"config-version"`
+	StoreAge      time.Duration     `json:"store-age-nanos"`
+	Outcomes      map[string]uint64 `json:"outcomes"`
+	// LinesDropped is the number of log lines that the ingress discarded instead of writing them.
+	LinesDropped uint64 `json:"lines-dropped"`
 }
 
 func (a *app) newIngress() *ffcli.Command {
 	return a.newCommand(ffcli.Command{
 		Name:       "ingress",
 		ShortUsage: "vctl ingress [flags] IP:PORT ...",
-		ShortHelp:  "compare ingresses by their metrics: configuration, age of the store's answer, outcomes",
+		ShortHelp:  "compare ingresses by their metrics: configuration, time since the store answered, outcomes",
 		LongHelp: strings.TrimSpace(`
 The arguments are metrics addresses. An ingress whose version is behind or whose
-store age is high is cut off from the store; exit code 1: one did not answer.
+store age is high is cut off from the store. The exit code is 1 if an ingress
+did not answer.
 
 Example:
   vctl ingress 127.0.0.1:9090 127.0.0.1:9091`),
@@ -63,27 +65,28 @@
 		return newUsageError("want the metrics address of one ingress or more")
 	}
 	states := make([]ingressState, 0, len(args))
-	silent := 0
+	failed := 0
 	for _, arg := range args {
 		address, err := netip.ParseAddrPort(arg)
 		if err != nil {
 			return newUsageError("%q is no ip:port", arg)
 		}
-		s := a.askIngress(ctx, address)
+		s := a.queryIngress(ctx, address)
 		if s.Fault != "" {
-			silent++
+			failed++
 		}
 		states = append(states, s)
 	}
 	if err := a.print(states, "ADDRESS CONFIG STORE-AGE ANSWERED OTHERWISE LINES-DROPPED", listIngresses(states)); err != nil {
 		return err
 	}
-	if silent > 0 {
-		return newRefusal("%d of %d did not answer", silent, len(args))
+	if failed > 0 {
+		return newRefusedError("%d of %d did not answer", failed, len(args))
 	}
 	return nil
 }
 
+// listIngresses returns one row of the table for each ingress.
 func listIngresses(states []ingressState) [][]string {
 	rows := [][]string{}
 	for _, s := range states {
@@ -92,15 +95,16 @@
 			continue
 		}
 		rows = append(rows, []string{
-			s.Address.String(), strconv.FormatUint(s.Version, 10), s.StoreAge.Round(time.Millisecond).String(),
-			strconv.FormatUint(s.Outcomes[outcomeAnswered], 10), orDash(describeOutcomes(s.Outcomes)), strconv.FormatUint(s.Dropped, 10),
+			s.Address.String(), strconv.FormatUint(s.ConfigVersion, 10), s.StoreAge.Round(time.Millisecond).String(),
+			strconv.FormatUint(s.Outcomes[outcomeAnswered], 10), orDash(formatOutcomes(s.Outcomes)), strconv.FormatUint(s.LinesDropped, 10),
 		})
 	}
 	return rows
 }
 
-// describeOutcomes lists what did not get a backend server's answer, such as "overloaded=2".
-func describeOutcomes(outcomes map[string]uint64) string {
+// formatOutcomes lists the number of requests for each outcome other than outcomeAnswered, for example
+// "overloaded=2".
+func formatOutcomes(outcomes map[string]uint64) string {
 	parts := []string{}
 	for _, outcome := range slices.Sorted(maps.Keys(outcomes)) {
 		if outcome != outcomeAnswered {
@@ -110,7 +114,8 @@
 	return strings.Join(parts, ",")
 }
 
-func (a *app) askIngress(ctx context.Context, address netip.AddrPort) ingressState {
+// queryIngress reads the state of an ingress from its metrics; a failure is reported in Fault.
+func (a *app) queryIngress(ctx context.Context, address netip.AddrPort) ingressState {
 	ctx, cancel := context.WithTimeout(ctx, a.timeout)
 	defer cancel()
 	families, err := readMetrics(ctx, address)
@@ -118,11 +123,11 @@
 		return ingressState{Address: address, Fault: err.Error()}
 	}
 	s := ingressState{
-		Address:  address,
-		Version:  uint64(sumMetric(families[metricVersion])),
-		StoreAge: time.Duration(sumMetric(families[metricStoreAge]) * float64(time.Second)),
-		Dropped:  uint64(sumMetric(families[metricDropped])),
-		Outcomes: map[string]uint64{},
+		Address:       address,
+		ConfigVersion: uint64(sumMetric(families[metricConfigVersion])),
+		StoreAge:      time.Duration(sumMetric(families[metricStoreAge]) * float64(time.Second)),
+		LinesDropped:  uint64(sumMetric(families[metricLinesDropped])),
+		Outcomes:      map[string]uint64{},
 	}
 	for _, m := range families[metricRequests].GetMetric() {
 		for _, label := range m.GetLabel() {
@@ -151,7 +156,7 @@
 	return parser.TextToMetricFamilies(io.LimitReader(response.Body, maxMetricsBytes))
 }
 
-// sumMetric adds up the counters or gauges of a family.
+// sumMetric returns the sum of the counters or gauges of a family.
 func sumMetric(family *dto.MetricFamily) float64 {
 	sum := 0.0
 	for _, m := range family.GetMetric() {
--- a/vctl/cmds/ingress_test.go
+++ b/vctl/cmds/ingress_test.go
@@ -25,8 +25,9 @@
 verbenaroad_request_seconds_count{outcome="overloaded",route="a"} 2
 `
 
-// A maker's key is refused at one of several ingresses. The engineer on call compares
-// them: the one whose store has not answered for seconds has an older configuration.
+// One of several ingresses is cut off from the store and, with an older configuration, refuses a
+// team's new key. The operator must see its configuration version and store age; an ingress that does
+// not answer must not hide the others.
 func TestIngressesAreCompared(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/vctl/cmds/label.go
+++ b/vctl/cmds/label.go
@@ -17,8 +17,8 @@
 func (a *app) newLabel() *ffcli.Command {
 	change := &admapi.LabelChange{}
 	flags := a.newFlags("label")
-	flags.StringVar(&change.ChangeID, "change-id", "", "`id` of the change; give the printed one again when the outcome was unknown")
-	flags.Uint64Var(&change.Base, "base", 0, "`revision` that the change was made for; 0: the one in force")
+	flags.StringVar(&change.ChangeID, "change-id", "", "`id` of the change; for a retry after an unknown outcome, the id that was printed")
+	flags.Uint64Var(&change.Base, "base", 0, "`revision` that the change is based on; 0: the one in force")
 	return a.newCommand(ffcli.Command{
 		Name:       "label",
 		ShortUsage: "vctl label [flags] team <name> | pipeline <name>/<stage>  <key>=<value>... <key>-...",
@@ -45,12 +45,12 @@
 	if err != nil {
 		return newUsageError("%v", err)
 	}
-	_, err = a.sendChange(ctx, request{method: http.MethodPost, path: "/admin/v1/labels", body: body, command: true}, change.ChangeID)
+	_, err = a.sendChange(ctx, request{method: http.MethodPost, path: "/admin/v1/labels", body: body, mutates: true}, change.ChangeID)
 	return err
 }
 
-// tellChangeID adds the id with which to ask again to an unknown outcome.
-func tellChangeID(err error, changeID string) error {
+// addChangeID adds the change id for a retry to the error of a change whose outcome is unknown.
+func addChangeID(err error, changeID string) error {
 	var exit *exitError
 	if errors.As(err, &exit) && exit.code == ExitUnknown {
 		exit.detail += "\nask again with --change-id " + changeID
@@ -58,9 +58,10 @@
 	return err
 }
 
+// parseLabels fills the change from arguments of the form "team kranj tier=workshop old-".
 func parseLabels(change *admapi.LabelChange, args []string) error {
-	const least = 3 // kind, name and one label
-	if len(args) < least {
+	const minArgs = 3 // kind, name and one label
+	if len(args) < minArgs {
 		return newUsageError("label: want a kind, a name and labels")
 	}
 	change.Kind = config.Kind(args[0])
@@ -70,13 +71,13 @@
 	}
 	change.Set = config.Labels{}
 	for _, arg := range args[2:] {
-		key, value, set := strings.Cut(arg, "=")
-		removed, remove := strings.CutSuffix(arg, "-")
+		key, value, isSet := strings.Cut(arg, "=")
+		removedKey, isRemoval := strings.CutSuffix(arg, "-")
 		switch {
-		case set && key != "":
+		case isSet && key != "":
 			change.Set[key] = value
-		case remove && !set && removed != "":
-			change.Remove = append(change.Remove, removed)
+		case isRemoval && !isSet && removedKey != "":
+			change.Remove = append(change.Remove, removedKey)
 		default:
 			return newUsageError("label: %q: want key=value or key-", arg)
 		}
--- a/vctl/cmds/page_test.go
+++ b/vctl/cmds/page_test.go
@@ -15,7 +15,8 @@
 	"verbenaroad.example/vctl/cmds"
 )
 
-// findCommands returns the command lines of vctl on a page: indented lines, with or without a prompt.
+// findCommands returns the vctl command lines of a documentation page: indented lines, with or without
+// a prompt.
 func findCommands(t *testing.T, page string) []string {
 	t.Helper()
 	text, err := os.ReadFile(page)
@@ -23,13 +24,13 @@
 	command := regexp.MustCompile(`(?m)^ {4,}(?:\$ )?vctl ([a-z].*)$`)
 	var found []string
 	for _, match := range command.FindAllStringSubmatch(string(text), -1) {
-		// A line without a prompt is a command; with "vctl:" it is what vctl printed.
+		// A line with "vctl:" is output of vctl, which the expression does not match.
 		found = append(found, match[1])
 	}
 	return found
 }
 
-// splitLine splits as a shell does, as far as the pages need it.
+// splitLine splits a command line into arguments. Of the shell's quoting it knows double quotes only.
 func splitLine(line string) []string {
 	word := regexp.MustCompile(`"[^"]*"|[^\s"]+`)
 	args := word.FindAllString(line, -1)
@@ -39,14 +40,15 @@
 	return args
 }
 
-// refuseAll answers every request, so that each command gets as far as its own checks let it.
-func refuseAll(w http.ResponseWriter, _ *http.Request) {
+// answerNotFound refuses every request, so that a command fails with the usage code only if its own
+// checks of the command line fail.
+func answerNotFound(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusNotFound)
 	_, _ = io.WriteString(w, `{"code":4006,"name":"not-found","outcome":"not-run"}`)
 }
 
-// TestPagesParse runs every vctl line of the pages as far as the server's
-// answer: a subcommand, flag or argument that is none ends with the usage code.
+// A documentation page shows a vctl command line with a subcommand, flag or argument that does not
+// exist. The test runs every command line of the pages; none may end with the usage code.
 func TestPagesParse(t *testing.T) {
 	for _, page := range []string{"OPERATING.md", "CONFIGURATION.md", "CALLER-API.md", "decisions/drain-command.md"} {
 		lines := findCommands(t, "../../docs/"+page)
@@ -60,8 +62,8 @@
 }
 
 func checkLine(t *testing.T, line string) {
-	listening := httptest.NewServer(http.HandlerFunc(refuseAll))
-	defer listening.Close()
+	httpServer := httptest.NewServer(http.HandlerFunc(answerNotFound))
+	defer httpServer.Close()
 	directory := t.TempDir()
 	args := splitLine(strings.Split(line, "  ")[0])
 	for i, arg := range args {
@@ -70,19 +72,19 @@
 			args[i] = filepath.Join(directory, "documents.toml")
 			is.New(t).NoErr(os.WriteFile(args[i], []byte(operator+team), 0o600))
 		case i > 0 && args[i-1] == "--server":
-			args[i] = listening.Listener.Addr().String()
+			args[i] = httpServer.Listener.Addr().String()
 		case i > 0 && args[i-1] == "--ca-file":
-			args[i-1], args[i] = "--timeout", "10s" // the stand-in speaks plain HTTP
+			args[i-1], args[i] = "--timeout", "10s" // the test server speaks plain HTTP
 		}
 	}
-	t.Setenv("VCTL_SERVER", listening.Listener.Addr().String())
+	t.Setenv("VCTL_SERVER", httpServer.Listener.Addr().String())
 	r := run(t, args...)
 	if r.code == cmds.ExitUsage {
 		t.Errorf("vctl %s: %s", line, r.err)
 	}
 }
 
-// An operator mistypes a subcommand; the answer names what it does not know.
+// An operator mistypes a subcommand; the error message must contain the mistyped word.
 func TestUnknownSubcommandIsNamed(t *testing.T) {
 	is := is.New(t)
 	r := run(t, "nonsense")
--- a/vctl/cmds/print.go
+++ b/vctl/cmds/print.go
@@ -10,7 +10,7 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// print writes the answer as JSON, or as the table that rows gives.
+// print prints the answer as JSON, or the rows as a table, depending on --output.
 func (a *app) print(answer any, header string, rows [][]string) error {
 	if a.output == outputJSON {
 		return a.printJSON(answer)
@@ -24,7 +24,7 @@
 	encoder.SetIndent("", "  ")
 	err := encoder.Encode(answer)
 	if err != nil {
-		return newRefusal("the answer can't be written: %v", err)
+		return newRefusedError("the answer can't be written: %v", err)
 	}
 	return nil
 }
@@ -53,6 +53,7 @@
 	}
 }
 
+// orDash returns text, or "-" for an empty cell of a table.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
@@ -60,23 +61,24 @@
 	return text
 }
 
-// fail turns a refusal into the exit code, after writing what it tells.
-func (a *app) fail(err error) error {
-	var r *refusal
-	if !errors.As(err, &r) {
+// reportError prints the problems or the conflicting changes of an *apiError and returns it as an
+// *exitError. It returns every other error, and nil, unchanged.
+func (a *app) reportError(err error) error {
+	var refused *apiError
+	if !errors.As(err, &refused) {
 		return err
 	}
-	exit := &exitError{code: r.exitCode(), detail: r.Error()}
+	exit := &exitError{code: refused.exitCode(), detail: refused.Error()}
 	if a.output == outputJSON {
-		_ = a.printJSON(r.body)
+		_ = a.printJSON(refused.body)
 		return exit
 	}
-	for _, p := range r.body.Problems {
+	for _, p := range refused.body.Problems {
 		_, _ = fmt.Fprintln(a.streams.Err, p.String())
 	}
-	if exit.code == ExitConflict && r.body.Revision > 0 {
-		a.printLinef("revision %d is in force; changed since the base:", r.body.Revision)
-		a.printChanges(r.body.Changes, r.body.ChangesOmitted)
+	if exit.code == ExitConflict && refused.body.Revision > 0 {
+		a.printLinef("revision %d is in force; changed since the base:", refused.body.Revision)
+		a.printChanges(refused.body.Changes, refused.body.ChangesOmitted)
 	}
 	return exit
 }
--- a/vctl/cmds/status.go
+++ b/vctl/cmds/status.go
@@ -16,7 +16,7 @@
 	return a.newCommand(ffcli.Command{
 		Name:       "status",
 		ShortUsage: "vctl status [flags]",
-		ShortHelp:  "show instances, committed capacity and stages as one entry sees them",
+		ShortHelp:  "show instances, committed capacity and stages as one entry reports them",
 		LongHelp: strings.TrimSpace(`
 Example:
   vctl status --server 127.0.0.1:8081`),
@@ -31,7 +31,7 @@
 	var s admapi.Status
 	err := a.send(ctx, request{method: http.MethodGet, path: "/admin/v1/status"}, &s)
 	if err != nil {
-		return a.fail(err)
+		return a.reportError(err)
 	}
 	if a.output == outputJSON {
 		return a.printJSON(s)
@@ -60,8 +60,8 @@
 	var rows [][]string
 	for _, p := range pools {
 		rows = append(rows, []string{
-			p.Name, p.Window.Value().String(), number(p.Committed), number(p.Used), number(p.Idle),
-			number(p.Beyond), number(p.CommittedSpend), number(p.BeyondSpend),
+			p.Name, p.Window.Value().String(), formatNumber(p.Committed), formatNumber(p.Used), formatNumber(p.Idle),
+			formatNumber(p.Beyond), formatNumber(p.CommittedSpend), formatNumber(p.BeyondSpend),
 		})
 	}
 	a.printLinef("")
@@ -71,7 +71,7 @@
 func (a *app) printTeams(teams []admapi.TeamUsage) {
 	var rows [][]string
 	for _, t := range teams {
-		rows = append(rows, []string{t.Pool, t.Stage, t.Team, number(t.Used), number(t.Beyond)})
+		rows = append(rows, []string{t.Pool, t.Stage, t.Team, formatNumber(t.Used), formatNumber(t.Beyond)})
 	}
 	a.printLinef("")
 	a.printTable("POOL STAGE TEAM USED BEYOND", rows)
@@ -81,7 +81,7 @@
 	var rows [][]string
 	for _, s := range stages {
 		rows = append(rows, []string{
-			s.Stage, strconv.FormatUint(s.Runs, 10), number(s.Cost), strconv.FormatUint(s.Tokens, 10),
+			s.Stage, strconv.FormatUint(s.Runs, 10), formatNumber(s.Cost), strconv.FormatUint(s.Tokens, 10),
 			s.Busy.Value().String(), s.Queued.Value().String(),
 		})
 	}
@@ -98,6 +98,6 @@
 	a.printTable("RESULT REQUESTS", rows)
 }
 
-func number(v float64) string {
+func formatNumber(v float64) string {
 	return fmt.Sprintf("%.2f", v)
 }
