--- a/agent/cmds/serve.go
+++ b/agent/cmds/serve.go
@@ -31,10 +31,11 @@
 )
 
 const (
-	// silenceFactor times the heartbeat interval is how long a session may be silent before it is
-	// closed.
+	// silenceFactor is the number of heartbeat intervals without any data from the peer after which
+	// a session is closed.
 	silenceFactor = 3.5
-	// maxRememberedAttempts and maxCachedAnswers limit the memory for claims; see claim.GuardLimits.
+	// maxRememberedAttempts and maxCachedAnswers limit the memory for claims; see
+	// claim.GuardLimits.
 	maxRememberedAttempts = 100_000
 	maxCachedAnswers      = 64
 	// closeTimeout limits the time to close the metrics server and the tracer.
@@ -135,8 +136,8 @@
 		Link: link.Options{
 			Hello:             a.newHello(),
 			TLS:               tlsConfig,
-			HeartbeatInterval: s.Peers.BeatEvery,
-			SilenceTimeout:    time.Duration(silenceFactor * float64(s.Peers.BeatEvery)),
+			HeartbeatInterval: s.Peers.HeartbeatInterval,
+			SilenceTimeout:    time.Duration(silenceFactor * float64(s.Peers.HeartbeatInterval)),
 			NewHeartbeat:      a.newHeartbeat,
 			OnHeartbeat:       a.handleHeartbeat,
 		},
@@ -182,7 +183,7 @@
 	a.follower.OnPeerHeartbeat(session.Peer().GetName(), heartbeat, notBefore)
 }
 
-// FetchChunks fetches configuration from the entry that is the given peer.
+// FetchChunks fetches chunks of the configuration from a peer, which is an entry.
 func (a *Agent) FetchChunks(ctx context.Context, peer string, fetch *wire.Fetch) (*wire.Chunks, error) {
 	return procs.FetchChunks(ctx, a.server.GetSession(peer), fetch)
 }
--- a/agent/cmds/settings.go
+++ b/agent/cmds/settings.go
@@ -15,17 +15,17 @@
 type Peers struct {
 	// Listen is the address for the sessions of entries.
 	Listen netip.AddrPort
-	// BeatEvery is the time between two heartbeats; a session that is silent for 3.5 times as long is
-	// closed.
-	BeatEvery time.Duration
-	// Linger is the shortest time between the announcement of a stop and the stop.
+	// HeartbeatInterval is the time between two heartbeats. A session without any data for 3.5
+	// times as long is closed.
+	HeartbeatInterval time.Duration
+	// Linger is the shortest time from the announcement of a stop to the stop.
 	Linger time.Duration
 }
 
 // Register declares the keys of the section.
 func (p *Peers) Register(fs *flag.FlagSet) {
 	fs.TextVar(&p.Listen, "peers.listen", netip.AddrPort{}, "`ip:port` for the sessions of entries")
-	fs.DurationVar(&p.BeatEvery, "peers.beat-every", time.Second, "`time` between two heartbeats; a session that is silent for three and a half times as long is closed")
+	fs.DurationVar(&p.HeartbeatInterval, "peers.beat-every", time.Second, "`time` between two heartbeats; a session without any data for three and a half times as long is closed")
 	fs.DurationVar(&p.Linger, "peers.linger", time.Second, "shortest `time` from the announcement of a stop to the stop")
 }
 
@@ -35,7 +35,7 @@
 	if !p.Listen.IsValid() {
 		faults = append(faults, errs.New("peers.listen: must be set to ip:port"))
 	}
-	if p.BeatEvery <= 0 {
+	if p.HeartbeatInterval <= 0 {
 		faults = append(faults, errs.New("peers.beat-every: must be above 0"))
 	}
 	return faults
@@ -118,7 +118,7 @@
 	Backend  Backend
 }
 
-// Sections returns all tables, for loading and for checks of example files.
+// Sections returns all tables, for loading them and for tests of example files.
 func (s *Settings) Sections() []setup.Section {
 	return []setup.Section{
 		&s.Log, &s.Trace, &s.Instance, &s.Platform, &s.Stop,
--- a/agent/cmds/settings_test.go
+++ b/agent/cmds/settings_test.go
@@ -18,17 +18,17 @@
 
 const example = "../example.toml"
 
-func load(path string, more ...string) (setup.Result, error) {
+func load(path string, flags ...string) (setup.Result, error) {
 	settings := &cmds.Settings{}
 	return setup.Load(settings.Sections(), setup.Options{
 		Program: "agent",
-		Args:    append([]string{"--config", path}, more...),
+		Args:    append([]string{"--config", path}, flags...),
 		Output:  io.Discard,
 	})
 }
 
-// A setting is added to the code but not to the example file, the example file shows another value
-// than the default, or a key of the example file is not a setting.
+// Guards against a setting that is missing in the example file, an example value that differs from
+// the default, and a key of the example file that is not a setting.
 func TestExampleListsEveryKey(t *testing.T) {
 	is := is.New(t)
 	result, err := load(example, "--check-config")
@@ -56,14 +56,15 @@
 	})
 }
 
+// toText returns a value as in a TOML file, without quotes.
 func toText(value any) string {
 	text, _ := toml.Marshal(map[string]any{"v": value})
 	return strings.Trim(strings.TrimPrefix(strings.TrimSpace(string(text)), "v = "), "'\"")
 }
 
-// Loading that stops at the first fault makes an operator fix a settings file one fault at a time.
-// All faults are reported at once, one per line, each with its key, and with file and line if the
-// file has the key.
+// Guards against an operator having to fix a settings file one fault at a time. All faults are
+// reported at once, one per line, each with its key, and with file and line if the file has the
+// key.
 func TestAllFaultsAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile(example)
@@ -76,32 +77,32 @@
 		`region = "osrednja"`, `zone = "osrednja"`,
 		`share = 1.0`, `share = 7.5`,
 	).Replace(string(text))
-	path := filepath.Join(t.TempDir(), "broken.toml")
+	path := filepath.Join(t.TempDir(), "faulty.toml")
 	is.NoErr(os.WriteFile(path, []byte(faulty), 0o600))
 	_, err = load(path)
 	is.True(err != nil)
 	lines := strings.Split(faulty, "\n")
-	at := func(text string) string {
+	position := func(prefix string) string {
 		for i, line := range lines {
-			if strings.HasPrefix(line, text) {
+			if strings.HasPrefix(line, prefix) {
 				return path + ":" + strconv.Itoa(i+1) + ": "
 			}
 		}
-		return "no line " + text
+		return "no line with the prefix " + prefix
 	}
 	want := []string{
-		at("zone") + "instance.zone: unknown key",
-		at("store = ") + `platform.store: "kv.local:8500": want ip:port with an IP number; host names are refused`,
-		at("list-every") + `platform.list-every: "2": want a duration with its unit, such as 250ms or 2s`,
-		at("level") + `log.level: "loud" is none of debug, info, warn, error`,
-		at("share") + "trace.share: 7.5 is not from 0 to 1",
+		position("zone") + "instance.zone: unknown key",
+		position("store = ") + `platform.store: "kv.local:8500": want ip:port with an IP number; host names are refused`,
+		position("list-every") + `platform.list-every: "2": want a duration with its unit, such as 250ms or 2s`,
+		position("level") + `log.level: "loud" is none of debug, info, warn, error`,
+		position("share") + "trace.share: 7.5 is not from 0 to 1",
 		"instance.region: must be set",
-		at("grace") + "stop.grace: must not be negative",
+		position("grace") + "stop.grace: must not be negative",
 	}
 	is.Equal(err.Error(), strings.Join(want, "\n"))
 }
 
-// Sessions without TLS are offered on an address that other machines can reach.
+// Guards against sessions without TLS on an address that other machines can reach.
 func TestListenBeyondLoopbackRequiresTLS(t *testing.T) {
 	is := is.New(t)
 	_, err := load(example, "--peers.listen", "10.1.2.3:7000")
@@ -111,7 +112,7 @@
 	is.NoErr(err)
 }
 
-// An example of a deployment in deploy/ has settings that the agent rejects.
+// Guards against settings of an example deployment in deploy/ that the agent rejects.
 func TestDeployments(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("../../deploy/*/settings/agent*.toml")
--- a/agent/services/claims/manager.go
+++ b/agent/services/claims/manager.go
@@ -153,8 +153,8 @@
 		return err
 	}
 	if stored == nil {
-		// The record was removed after its retention or lost with the service's data. There is nothing
-		// left to settle.
+		// The record was removed after its retention or lost with the service's data. There is
+		// nothing left to settle.
 		m.log.Error("claim-gone", zap.String("key", write.Key), zap.String("attempt", write.Attempt))
 		return nil
 	}
--- a/agent/services/gate/gate.go
+++ b/agent/services/gate/gate.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxInterval is the longest time between two updates of the queue. It limits how late an expiry
-	// is found when no event wakes the loop.
+	// maxInterval is the longest time between two updates of the queue. It limits how late an
+	// expiry is found when no event wakes the loop.
 	maxInterval = 250 * time.Millisecond
 	// minInterval is the shortest interval that the timer of the loop is set to.
 	minInterval = time.Millisecond
@@ -42,7 +42,7 @@
 	startedAt  time.Time
 	// verdict receives nil when the slot is granted, or the refusal.
 	verdict chan *codes.Result
-	// cancel ends the run so that a higher class gets the slot; nil until SetCancel.
+	// cancel ends the run so that a call of higher priority gets the slot; nil until SetCancel.
 	cancel context.CancelCauseFunc
 	// preempted is set once the gate has called cancel. The duration of such a run is not a service
 	// time.
@@ -148,8 +148,8 @@
 	g.grantFreeSlots(now)
 }
 
-// SetCancel sets the function with which the gate cancels the run when a higher class needs the
-// slot.
+// SetCancel sets the function with which the gate cancels the run when a call of higher priority
+// needs the slot.
 func (g *Gate) SetCancel(t *Ticket, cancel context.CancelCauseFunc) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -177,8 +177,8 @@
 	return g.queue.Load(time.Now())
 }
 
-// preempt cancels runs of a lower class that would make a call of a higher class miss its deadline.
-// It is called under the lock.
+// preempt cancels runs of lower priority that would make a call of higher priority miss its
+// deadline. It is called under the lock.
 func (g *Gate) preempt(now time.Time) {
 	for {
 		item, ok := g.queue.Preempt(now)
--- a/agent/services/gate/times.go
+++ b/agent/services/gate/times.go
@@ -14,9 +14,9 @@
 	minRuns = 8
 	// maxBuckets limits the number of buckets; the runs of further buckets have no estimate.
 	maxBuckets = 1024
-	// freshFor is how long an estimate stands after its last run; after that it halves in every
-	// halfLife. Without this decay the estimates of a slow minute would last: calls would be refused
-	// as too late to start, so no run would show that the backend server is fast again.
+	// freshFor is how long an estimate stays unchanged after its last run. After that it halves
+	// every halfLife. Without this decay the estimates of a slow minute would last: calls would be
+	// refused as too late to start, so no run would show that the backend server is fast again.
 	freshFor = 2 * time.Second
 	halfLife = 2 * time.Second
 )
@@ -70,7 +70,7 @@
 	}
 	if !e.updatedAt.IsZero() && now.Sub(e.updatedAt) > freshFor+halfLife {
 		// The estimate is too old to continue from: a decayed value would need many runs to rise
-		// again. It starts anew with this run.
+		// again. It restarts from this run.
 		*e = estimate{timePerCost: float64(took) / cost}
 	}
 	e.updatedAt = now
--- a/agent/services/intake/intake.go
+++ b/agent/services/intake/intake.go
@@ -23,22 +23,21 @@
 )
 
 const (
-	// revisionTimeout limits how long a call that was decided under a newer configuration waits for
+	// revisionTimeout limits how long a call that was routed under a newer configuration waits for
 	// that configuration.
 	revisionTimeout = 2 * time.Second
 	// firstFrameTimeout limits how long a stream may be open without its first frame.
 	firstFrameTimeout = 10 * time.Second
-	// notReadyRetryAfter is the retry delay that a call gets when it is refused because its
-	// configuration has not arrived yet.
+	// notReadyRetryAfter is the Retry-After of a call that is refused because its configuration has
+	// not arrived yet.
 	notReadyRetryAfter = 100 * time.Millisecond
 )
 
-// Admission admits work unless the instance is draining, and keeps track of the work that has not
-// ended.
+// Admission decides which calls run while the process is stopping.
 type Admission interface {
-	// AdmitWork reports whether the work may start.
+	// AdmitWork reports whether a call may run. A call that may run delays the stop until EndWork
+	// is called with its id.
 	AdmitWork(id string) bool
-	// EndWork records that the work has ended.
 	EndWork(id string)
 }
 
@@ -84,7 +83,7 @@
 	}
 }
 
-// runStream serves one stream, which carries one call after the other. The call in flight is
+// runStream serves one stream, which carries one call after another. The call in flight is
 // canceled when the stream ends or the entry closes it.
 func (i *Intake) runStream(ctx context.Context, session *link.Session, stream net.Conn) {
 	defer func() { _ = stream.Close() }()
@@ -122,8 +121,8 @@
 		attribute.Int("attempt", int(c.call.GetAttempt())),
 	)
 	defer span.End()
-	// The remaining time was measured when the call was written. Since then it has shrunk by the
-	// one-way delay of the session.
+	// The remaining time was measured when the entry wrote the call. Since then it has decreased by
+	// the one-way delay of the session.
 	remaining := time.Duration(c.call.GetRemainingNanos()) - session.Delay()
 	deadline := time.Now().Add(remaining)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -171,9 +170,9 @@
 	return i.checkRevision(ctx, call)
 }
 
-// checkRevision refuses a call that was not decided under the configuration that is in force here.
-// An entry that has missed a change could otherwise send work to a place where a new rule forbids
-// it; its calls carry a lower revision.
+// checkRevision refuses a call that was not routed under the configuration in force in this agent.
+// An entry that has missed a change, and therefore sends a lower revision, could otherwise send
+// work to an agent that a new rule excludes.
 func (i *Intake) checkRevision(ctx context.Context, call *wire.Call) *codes.Result {
 	waitCtx, cancel := context.WithTimeout(ctx, revisionTimeout)
 	defer cancel()
@@ -254,8 +253,8 @@
 	}
 }
 
-// writeEnd writes the end record of the call with the load and the revision of this agent, which
-// every answer carries.
+// writeEnd completes the end record with the load and the revision of this agent, which every end
+// record carries, and writes it.
 func (i *Intake) writeEnd(c *callStream, end *wire.End) {
 	call := c.call
 	end.RequestId = call.GetRequestId()
--- a/agent/services/intake/stream.go
+++ b/agent/services/intake/stream.go
@@ -27,7 +27,8 @@
 // it also keeps the answer.
 type sink struct {
 	callStream *callStream
-	// keep is set for non-idempotent runs: their answer is needed even if the caller has disconnected.
+	// keep is set for non-idempotent runs: their answer is needed even if the caller has
+	// disconnected.
 	keep bool
 	// kept is the start of the answer, up to the first write that takes it beyond
 	// claim.MaxAnswerBytes.
@@ -74,7 +75,7 @@
 	i.options.Claims.FinishAttempt(context.WithoutCancel(ctx), call.GetClaimAttempt(), outcome, answer)
 }
 
-// preemptionCause returns the result of a run that the gate preempted: the cause of the
+// preemptionCause replaces the result of a run that the gate preempted by the cause of the
 // cancellation, with the outcome "ran". It returns any other result unchanged.
 func preemptionCause(ctx context.Context, result *codes.Result) *codes.Result {
 	var cause *codes.Result
@@ -85,8 +86,8 @@
 }
 
 // deadlineCause replaces the refusal of a call whose deadline passed while it waited for a slot.
-// The gate only observes that the context ended and answers "canceled", which would be wrong for a
-// caller that is still waiting. It returns any other refusal unchanged.
+// The gate only observes that the context ended and returns "canceled", which would be wrong for a
+// caller that is still waiting. deadlineCause returns any other refusal unchanged.
 func deadlineCause(ctx context.Context, refusal *codes.Result) *codes.Result {
 	if refusal.Code == codes.Canceled && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		expired := codes.NewResult(codes.DeadlineExceeded, "the deadline passed while the call waited")
@@ -129,7 +130,7 @@
 	return fmt.Sprintf("%s-%d", call.GetStage(), call.GetAttempt())
 }
 
-// counters count the calls of an intake by their end, and the tokens of their answers.
+// counters count the calls of an intake by how they ended, and the tokens of their answers.
 type counters struct {
 	calls   atomic.Uint64
 	ok      atomic.Uint64
