--- a/entry/routers/admin/admin_test.go
+++ b/entry/routers/admin/admin_test.go
@@ -90,8 +90,8 @@
 	return loaded.Snapshot
 }
 
-// GetLoaded returns the configuration in force in the process. Unless the process is stale or has just
-// started, that is the one in the key-value service, also while the service is down.
+// GetLoaded returns the configuration in force in the process. Unless the process is stale or has
+// just started, that is the one in the key-value service, also while the service is down.
 func (s *system) GetLoaded() *config.Loaded {
 	if s.stale != nil {
 		return s.stale
--- a/entry/routers/admin/drain_test.go
+++ b/entry/routers/admin/drain_test.go
@@ -15,7 +15,7 @@
 	"verbenaroad.example/share/services/store"
 )
 
-// instances are the instances that an entry knows.
+// instances is a fake of the last instance list of an entry.
 type instances []member.Instance
 
 func (i instances) FindInstances() []member.Instance { return i }
--- a/entry/routers/admin/guard.go
+++ b/entry/routers/admin/guard.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// guard returns the HTTP handler of a route. It authorizes the operator before the route handles the
-// request, and logs the request afterwards.
+// guard returns the HTTP handler of a route. It authorizes the operator before the route handles
+// the request, and logs the request afterwards.
 func (r *Router) guard(t route) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		started := time.Now()
@@ -87,8 +87,8 @@
 	return rand.Text()
 }
 
-// authorize sets the operator of a call. It returns an error if the token is not valid or the operator
-// lacks the role.
+// authorize sets the operator of a call. It returns an error if the token is not valid or the
+// operator lacks the role.
 func (r *Router) authorize(c *call, role config.Role) error {
 	token, found := strings.CutPrefix(c.request.Header.Get("Authorization"), "Bearer ")
 	if !found || token == "" {
--- a/entry/routers/admin/queries.go
+++ b/entry/routers/admin/queries.go
@@ -11,8 +11,8 @@
 )
 
 func (r *Router) getChange(w http.ResponseWriter, c *call) {
-	move, err := r.options.Lookups.GetAcceptedChange(c.request.Context(), c.request.PathValue("id"))
-	c.write(w, move, err)
+	accepted, err := r.options.Lookups.GetAcceptedChange(c.request.Context(), c.request.PathValue("id"))
+	c.write(w, accepted, err)
 }
 
 func (r *Router) getConfig(w http.ResponseWriter, c *call) {
@@ -26,8 +26,8 @@
 }
 
 func (r *Router) getHistory(w http.ResponseWriter, c *call) {
-	moves, err := r.options.Lookups.FindAcceptedChanges(c.request.Context())
-	c.write(w, admapi.History{Changes: moves}, err)
+	changes, err := r.options.Lookups.FindAcceptedChanges(c.request.Context())
+	c.write(w, admapi.History{Changes: changes}, err)
 }
 
 func (r *Router) getStatus(w http.ResponseWriter, c *call) {
--- a/entry/routers/caller/caller.go
+++ b/entry/routers/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is the HTTP router of the API for callers. It serves requests of pipelines and calls
-// of plain services.
+// Package caller is the HTTP router of the API for callers. It serves requests of pipelines and
+// calls of plain services.
 package caller
 
 import (
@@ -96,9 +96,9 @@
 	})
 }
 
-// isCanonicalPath reports whether the path is in canonical form, with or without a trailing slash. The
-// mux redirects all other paths, and a client that follows the redirect may send a non-idempotent
-// request a second time.
+// isCanonicalPath reports whether the path is in canonical form, with or without a trailing slash.
+// The mux redirects all other paths, and a client that follows the redirect may send a
+// non-idempotent request a second time.
 func isCanonicalPath(requestPath string) bool {
 	if !strings.HasPrefix(requestPath, "/") {
 		return false
@@ -120,8 +120,8 @@
 	body     []byte
 }
 
-// handler serves one request. It returns nil if it has written the answer, else the result with which
-// the request ends. finish writes that result unless its detail is sentInEndEvent.
+// handler serves one request. It returns nil if it has written the answer, else the result with
+// which the request ends. finish writes that result unless its detail is sentInEndEvent.
 type handler func(ctx context.Context, x *exchange) *codes.Result
 
 // serveUnknownRoute answers a request whose method or path is not part of the API.
@@ -243,8 +243,8 @@
 	return nil
 }
 
-// deadlineAt returns the time by which the request must be answered. limit is the default duration of
-// the pipeline or service; a caller can shorten it but not extend it.
+// deadlineAt returns the time by which the request must be answered. limit is the default duration
+// of the pipeline or service; a caller can shorten it but not extend it.
 func (x *exchange) deadlineAt(limit time.Duration) time.Time {
 	if x.deadline > 0 && (limit <= 0 || x.deadline < limit) {
 		limit = x.deadline
--- a/entry/routers/caller/results.go
+++ b/entry/routers/caller/results.go
@@ -38,7 +38,7 @@
 	return body
 }
 
-// writeResult writes a result as an ErrorBody. If the result says how long to wait before a retry, the
+// writeResult writes a result as an ErrorBody. If the result has a retry delay, the
 // answer has a Retry-After header.
 func (r *Router) writeResult(x *exchange, result *codes.Result) {
 	if result.RetryAfter > 0 {
--- a/entry/routers/caller/routes.go
+++ b/entry/routers/caller/routes.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// streamPipeline forwards the events of the last stage as they arrive. The HTTP status cannot change
-// after the first event, so the result is sent in a final end event.
+// streamPipeline forwards the events of the last stage as they arrive. The HTTP status cannot
+// change after the first event, so the result is sent in a final end event.
 func (r *Router) streamPipeline(ctx context.Context, x *exchange, q *walk.Request) *codes.Result {
 	stream := &eventWriter{exchange: x}
 	q.Sink = stream
@@ -89,7 +89,8 @@
 	return &codes.Result{Code: result.Code, Outcome: result.Outcome, Detail: sentInEndEvent}
 }
 
-// sentInEndEvent is the detail that tells finish not to write the result again.
+// sentInEndEvent is the detail of a result that was sent in the end event. finish does not write
+// such a result again.
 const sentInEndEvent = "sent in the end event"
 
 // serveService runs one call of a plain service and forwards its answer.
--- a/entry/routers/caller/world_test.go
+++ b/entry/routers/caller/world_test.go
@@ -37,8 +37,8 @@
 	endlessEventBytes = 32 << 10
 )
 
-// world is the caller API of an entry, served by nbhttp, and one agent that a session connects to the
-// entry.
+// world is the caller API of an entry, served by nbhttp, and one agent that a session connects to
+// the entry.
 type world struct {
 	server  *httpd.Server
 	router  *caller.Router
