--- a/entry/cmds/adopter.go
+++ b/entry/cmds/adopter.go
@@ -14,8 +14,8 @@
 	follower *follow.Follower
 }
 
-// Submit submits one change. If the change is known to be accepted, Submit puts the configuration that
-// results from it in force.
+// Submit submits one change. If the change is known to be accepted, Submit puts the configuration
+// that results from it in force.
 func (a *adoptingWriter) Submit(ctx context.Context, s head.Submission) head.Answer {
 	answer := a.Writer.Submit(ctx, s)
 	if answer.Loaded != nil {
--- a/entry/cmds/operators.go
+++ b/entry/cmds/operators.go
@@ -21,8 +21,8 @@
 		Lookups:         lookup.NewService(reader, e.follower),
 		Snapshots:       e.follower,
 		Statuses:        e.newStatusService(),
-		Drains:          change.NewDrainService(changes, e.board),
-		Explanations:    explan.NewService(e.follower, e.fleet, e.board),
+		Drains:          change.NewDrainService(changes, e.instanceView),
+		Explanations:    explan.NewService(e.follower, e.fleet, e.instanceView),
 		Claims:          settle.NewService(e.port, e.fleet, e.log),
 		BootstrapSHA256: e.settings.Admin.BootstrapSHA256,
 		Log:             e.logAdminRequest,
@@ -32,7 +32,7 @@
 func (e *Entry) newStatusService() *status.Service {
 	return status.NewService(status.Options{
 		Self:          e.settings.Instance.Name,
-		View:          e.board,
+		View:          e.instanceView,
 		Configuration: e.follower,
 		Accounts:      e.policy,
 		Ready:         e.checkReady,
--- a/entry/cmds/serve.go
+++ b/entry/cmds/serve.go
@@ -38,15 +38,15 @@
 )
 
 const (
-	// silenceFactor is the number of heartbeat intervals for which a session may be silent before it
-	// is closed.
+	// silenceFactor is the number of heartbeat intervals without any data from the peer after which
+	// a session is closed.
 	silenceFactor = 3.5
 	// closeTimeout limits the time to close the servers and the tracer after the drain.
 	closeTimeout = 2 * time.Second
 	// entryCountInterval is the interval at which the limits are divided among the live entries.
 	entryCountInterval = time.Second
-	// adminWriteBuffer is the size limit in bytes of the data that waits for one client of the admin
-	// API. The documents of 19,000 teams fit into it.
+	// adminWriteBuffer is the size limit in bytes of the data that waits for one client of the
+	// admin API. The documents of 19,000 teams fit into it.
 	adminWriteBuffer = 32 << 20
 )
 
@@ -58,7 +58,7 @@
 	store         *kvapi.Client
 	port          *kvport.Port
 	follower      *follow.Follower
-	board         *status.InstanceView
+	instanceView  *status.InstanceView
 	fleet         *fleet.Fleet
 	policy        *policy.Policy
 	runner        *calls.Runner
@@ -99,7 +99,7 @@
 // files.
 func (e *Entry) build() error {
 	s := e.settings
-	sessionTLS, err := s.Secure.BuildConfig()
+	sessionTLS, err := s.TLS.BuildConfig()
 	if err != nil {
 		return err
 	}
@@ -108,13 +108,13 @@
 	e.stopper = stops.NewStopper(drain.Settings{Grace: s.Stop.Grace, Linger: min(s.Admin.Linger, s.Stop.Grace)})
 	e.policy = policy.NewPolicy(policy.Admission(s.Admission.Mode))
 	e.follower = procs.NewFollower(s.Instance.Name, s.Instance.Domain, e.port, e, e.log)
-	e.board = status.NewInstanceView(e.follower)
+	e.instanceView = status.NewInstanceView(e.follower)
 	e.fleet = fleet.NewFleet(fleet.Options{
 		Self:         e.describeSelf(),
 		ListInterval: s.Platform.ListEvery,
 		Route:        e.routeSettings,
 		List:         roster.NewClient(roster.Options{Address: s.Platform.List, CallTimeout: s.Platform.StoreTimeout}),
-		Watcher:      e.board,
+		Watcher:      e.instanceView,
 		Log:          e.log,
 		Link: link.Options{
 			Hello:             e.newHello(),
@@ -236,7 +236,8 @@
 	})
 }
 
-// serve starts the services, waits until the process may exit, and closes the servers and the tracer.
+// serve starts the services, waits until the process may exit, and closes the servers and the
+// tracer.
 func (e *Entry) serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -267,7 +268,7 @@
 	)
 }
 
-// loopEntries divides limits and committed amounts among the live entries at regular intervals.
+// loopEntries regularly divides limits and committed amounts among the live entries.
 func (e *Entry) loopEntries(ctx context.Context) {
 	ticker := time.NewTicker(entryCountInterval)
 	defer ticker.Stop()
@@ -276,7 +277,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			e.policy.SetEntries(now, e.fleet.CountEntries())
+			e.policy.SetEntryCount(now, e.fleet.CountEntries())
 		}
 	}
 }
--- a/entry/cmds/settings.go
+++ b/entry/cmds/settings.go
@@ -60,7 +60,7 @@
 	fs.TextVar(&a.Listen, "admin.listen", netip.AddrPort{}, "`ip:port` of the operators' API")
 	fs.StringVar(&a.BootstrapSHA256, "admin.bootstrap-sha256", "", "SHA-256 `digest` in hex of the bootstrap token, which is valid while no configuration exists; empty: there is no bootstrap token")
 	a.Server.Register(fs, "admin")
-	fs.DurationVar(&a.Linger, "admin.linger", time.Second, "shortest `time` from announcing a stop to stopping")
+	fs.DurationVar(&a.Linger, "admin.linger", time.Second, "shortest `time` from the announcement of a stop to the stop")
 }
 
 // Check returns the faults of the section.
@@ -80,13 +80,14 @@
 type Routing struct {
 	// Policy is "deadline", or one of the baselines for experiments.
 	Policy string
-	// SubsetSize is the number of agents of a service that the entry keeps sessions to. The subset may
-	// widen to SubsetMax while its agents are busy.
+	// SubsetSize is the number of agents of a service that the entry keeps sessions to. The subset
+	// may widen to SubsetMax while its agents are busy.
 	SubsetSize int
 	SubsetMax  int
 	// RegionRoundTrip is added to the predicted time of a call to another region.
 	RegionRoundTrip time.Duration
-	// HeartbeatInterval is the time between two heartbeats to an agent.
+	// HeartbeatInterval is the time between two heartbeats to an agent. A session without any data
+	// for 3.5 times as long is closed.
 	HeartbeatInterval time.Duration
 }
 
@@ -97,7 +98,7 @@
 	fs.IntVar(&r.SubsetSize, "routing.subset-size", defaults.SubsetSize, "`number` of agents of a service to keep sessions to")
 	fs.IntVar(&r.SubsetMax, "routing.subset-max", defaults.SubsetMax, "largest `number` of agents of a service to keep sessions to while those agents are busy")
 	fs.DurationVar(&r.RegionRoundTrip, "routing.region-round-trip", defaults.RegionRoundTrip, "additional `time` of a call to another region")
-	fs.DurationVar(&r.HeartbeatInterval, "routing.beat-every", time.Second, "`time` between two heartbeats to an agent")
+	fs.DurationVar(&r.HeartbeatInterval, "routing.beat-every", time.Second, "`time` between two heartbeats to an agent; a session without any data for three and a half times as long is closed")
 }
 
 // Check returns the faults of the section.
@@ -126,7 +127,7 @@
 	Instance setup.Instance
 	Platform setup.Platform
 	Stop     setup.Stop
-	Secure   setup.TLS
+	TLS      setup.TLS
 	Metrics  setup.Metrics
 	Callers  Callers
 	Admin    Admin
@@ -139,6 +140,6 @@
 func (s *Settings) Sections() []setup.Section {
 	return []setup.Section{
 		&s.Log, &s.Trace, &s.Instance, &s.Platform, &s.Stop,
-		&s.Secure, &s.Metrics, &s.Callers, &s.Admin, &s.Routing, &s.Admission,
+		&s.TLS, &s.Metrics, &s.Callers, &s.Admin, &s.Routing, &s.Admission,
 	}
 }
--- a/entry/cmds/settings_test.go
+++ b/entry/cmds/settings_test.go
@@ -27,12 +27,12 @@
 	})
 }
 
-// TestExampleHoldsEveryKey fails if a flag is missing from the example, if the example has another
-// value than the default of a flag, or if it has an unknown key.
-func TestExampleHoldsEveryKey(t *testing.T) {
+// Guards against a setting that is missing in the example file, an example value that differs from
+// the default, and a key of the example file that is not a setting.
+func TestExampleListsEveryKey(t *testing.T) {
 	is := is.New(t)
 	result, err := load(example, "--check-config")
-	is.NoErr(err) // no unknown key, every value readable and in range
+	is.NoErr(err) // no unknown key; every value is valid and in range
 	is.True(result.CheckOnly)
 	text, err := os.ReadFile(example)
 	is.NoErr(err)
@@ -48,7 +48,7 @@
 			return
 		}
 		if f.DefValue == "" || f.DefValue == "invalid AddrPort" {
-			return // the example shows a value that must be set
+			return // there is no default; the example shows a value for a setting that must be set
 		}
 		parsed := *f
 		is.NoErr(parsed.Value.Set(toText(value)))
@@ -62,9 +62,9 @@
 	return strings.Trim(strings.TrimPrefix(strings.TrimSpace(string(text)), "v = "), "'\"")
 }
 
-// Guards against settings that an operator has to fix one fault at a time. If a settings file has
-// several faults, all are reported at once, one per line, each with the key, and with file and line
-// if the file sets the key.
+// Guards against an operator having to fix a settings file one fault at a time. All faults are
+// reported at once, one per line, each with its key, and with file and line if the file has the
+// key.
 func TestAllFaultsAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile(example)
@@ -102,7 +102,9 @@
 	is.Equal(err.Error(), strings.Join(want, "\n"))
 }
 
-func TestAdminBeyondLoopbackNeedsACertificate(t *testing.T) {
+// Guards against operators' tokens that are sent over a network without encryption, and against a
+// certificate without its key.
+func TestListenBeyondLoopbackRequiresTLS(t *testing.T) {
 	is := is.New(t)
 	_, err := load(example, "--admin.listen", "10.1.2.3:8081")
 	is.True(err != nil)
@@ -112,7 +114,7 @@
 	is.True(strings.HasSuffix(err.Error(), "callers.cert: goes together with callers.key"))
 }
 
-// TestDeployments checks the settings of entries in the example deployments under deploy/.
+// Guards against settings of an example deployment in deploy/ that the entry rejects.
 func TestDeployments(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("../../deploy/*/settings/entry*.toml")
--- a/entry/main.go
+++ b/entry/main.go
@@ -1,5 +1,5 @@
-// Command entry receives the requests of callers, runs them through the stages of their pipelines, and
-// forwards calls of plain services. It also serves the admin API.
+// Command entry receives the requests of callers, runs them through the stages of their pipelines,
+// and forwards calls of plain services. It also serves the admin API.
 package main
 
 import (
--- a/entry/services/calls/attempt.go
+++ b/entry/services/calls/attempt.go
@@ -32,7 +32,7 @@
 			Exclude:  s.excluded,
 		})
 		if refusal != nil {
-			return nil, refusal.WithRetryAfter(retryHint)
+			return nil, refusal.WithRetryAfter(retryAfter)
 		}
 		chosen = &choice
 	}
@@ -66,7 +66,7 @@
 		return
 	}
 	r.config.OnPeerRevision(agent, end.GetRevision())
-	wait, cancel := context.WithTimeout(ctx, retryHint)
+	wait, cancel := context.WithTimeout(ctx, retryAfter)
 	defer cancel()
 	_ = r.config.WaitRevision(wait, end.GetRevision())
 }
@@ -230,28 +230,28 @@
 // was written, no matter which side closed the stream.
 func (e *exchange) streamFailure(ctx context.Context, err error) *codes.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return codes.NewResult(codes.DeadlineExceeded, "the deadline passed").WithRetryAfter(retryHint)
+		return codes.NewResult(codes.DeadlineExceeded, "the deadline passed").WithRetryAfter(retryAfter)
 	}
 	if ctx.Err() != nil {
 		return codes.NewResult(codes.Canceled, "the caller went away")
 	}
-	return codes.NewResult(codes.BackendLost, err.Error()).WithRetryAfter(retryHint)
+	return codes.NewResult(codes.BackendLost, err.Error()).WithRetryAfter(retryAfter)
 }
 
 // asDeadlineExceeded replaces an agent's "canceled" by "deadline exceeded" once the deadline has
 // passed. At the deadline this entry closes the stream, and the agent's end record may still
-// arrive: it says "canceled" although the caller did not cancel and is still waiting.
+// arrive. Its result is "canceled", although the caller did not cancel and is still waiting.
 func asDeadlineExceeded(ctx context.Context, result *codes.Result) *codes.Result {
 	if result.Code != codes.Canceled || !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return result
 	}
 	exceeded := codes.NewResult(codes.DeadlineExceeded, "the deadline passed: "+result.Detail)
-	return exceeded.WithOutcome(result.Outcome).WithRetryAfter(retryHint)
+	return exceeded.WithOutcome(result.Outcome).WithRetryAfter(retryAfter)
 }
 
 // asBackendLost replaces an agent's NoBackend, which concerns that agent's backend server only, by
-// BackendLost, so that the call is sent to another agent. NoBackend from here means that no agent is
-// available.
+// BackendLost, so that the call is sent to another agent. A NoBackend result of the entry itself
+// means that no agent is available.
 func asBackendLost(result *codes.Result) *codes.Result {
 	if result.Code != codes.NoBackend {
 		return result
--- a/entry/services/calls/calls.go
+++ b/entry/services/calls/calls.go
@@ -1,6 +1,6 @@
 // Package calls runs one stage: it chooses an agent, sends an attempt, matches the parts and end
-// records that come back to the attempt, and retries if that is allowed. Its input is a stage's
-// call, its output the complete answer or the result that explains why there is none.
+// records that come back to the attempt, and retries if that is allowed. It returns the complete
+// answer, or the result that explains why there is none.
 package calls
 
 import (
@@ -26,11 +26,11 @@
 	// maxSends is the maximum number of attempts of one stage, including refused ones and waits for
 	// an agent.
 	maxSends = 6
-	// noBackendBackoff is the wait for an agent to become available before the next choice.
+	// noBackendBackoff is the pause before the next choice if no agent is available.
 	noBackendBackoff = 50 * time.Millisecond
-	// retryHint is the Retry-After of results for which no better estimate exists. It also limits the
-	// wait for a newer configuration.
-	retryHint = time.Second
+	// retryAfter is the Retry-After of results for which no better estimate exists. It also limits
+	// the wait for a newer configuration.
+	retryAfter = time.Second
 )
 
 // Fleet chooses agents; *fleet.Fleet implements it.
@@ -81,15 +81,15 @@
 	Body     []byte
 	Stream   bool
 	Prefixes []route.Prefix
-	// Idempotent calls may be retried; others are sent once, to Chosen.
+	// Idempotent is set for calls that may be retried. Other calls are sent once, to Chosen.
 	Idempotent bool
 	// The fields ClaimKey to Chosen are set for non-idempotent calls.
 	ClaimKey     string
 	ClaimAttempt string
 	BodyDigest   string
 	Chosen       *fleet.Attempt
-	// Sink, if set, receives the parts of the answer as they arrive. No other attempt may follow once
-	// the first part is written.
+	// Sink, if set, receives the parts of the answer as they arrive. No other attempt may follow
+	// once the first part is written.
 	Sink io.Writer
 }
 
@@ -154,7 +154,8 @@
 	firstPart time.Time
 }
 
-// Run returns the call's complete answer, or the final result as soon as no other attempt may follow.
+// Run returns the call's complete answer, or the final result as soon as no other attempt may
+// follow.
 func (r *Runner) Run(ctx context.Context, call *Call) (*Answer, *codes.Result) {
 	ctx, span := r.tracer.Start(ctx, "entry.stage", attribute.String("stage", call.Stage))
 	defer span.End()
--- a/entry/services/calls/calls_test.go
+++ b/entry/services/calls/calls_test.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// Guards against calls that keep failing while one backend server is down: its agent refuses at once,
-// so it has no calls outstanding and would be chosen first each time.
+// Guards against calls that keep failing while one backend server is down: its agent refuses at
+// once, so it has no calls outstanding and would be chosen first each time.
 func TestRunCountsAgentWithoutBackendAsFaulty(t *testing.T) {
 	is := is.New(t)
 	runner, f := newRunner(t, &agent{data: []byte("whole"), reply: func(attempt uint32) *wire.End {
@@ -192,8 +192,8 @@
 	is.Equal(f.results[0].Code, codes.NoBackend) // the router ejects the agent at once
 }
 
-// Guards against a batch call that fails although it was accepted, because urgent work preempted it.
-// The call is retried, and its answer is complete.
+// Guards against a batch call that fails although it was accepted, because urgent work preempted
+// it. The call is retried, and its answer is complete.
 func TestRunRetriesPreemptedCall(t *testing.T) {
 	is := is.New(t)
 	runner, _ := newRunner(t, &agent{data: []byte("whole"), reply: func(attempt uint32) *wire.End {
--- a/entry/services/calls/counts.go
+++ b/entry/services/calls/counts.go
@@ -15,12 +15,13 @@
 	retries atomic.Uint64
 	resends atomic.Uint64
 	dropped atomic.Uint64
-	// crossBytes counts the bytes of calls' bodies sent to other regions and of answers received from
-	// there.
+	// crossBytes counts the bytes of calls' bodies sent to other regions and of answers received
+	// from there.
 	crossBytes atomic.Uint64
 
 	lock sync.Mutex
-	// stages holds the use of each stage of each service, by "service/stage", guarded by lock.
+	// stages holds the resource use of each stage of each service, by "service/stage", guarded by
+	// lock.
 	stages map[string]*StageUse
 }
 
@@ -29,8 +30,8 @@
 	Runs   uint64  `json:"runs"`
 	Cost   float64 `json:"cost"`
 	Tokens uint64  `json:"tokens"`
-	// BusySeconds is the time that calls took at backend servers, QueueSeconds their time in agents'
-	// queues.
+	// BusySeconds is the time that calls took at backend servers, QueueSeconds their time in
+	// agents' queues.
 	BusySeconds  float64 `json:"busy-seconds"`
 	QueueSeconds float64 `json:"queue-seconds"`
 }
--- a/entry/services/change/change.go
+++ b/entry/services/change/change.go
@@ -35,8 +35,8 @@
 	inForce InForce
 }
 
-// NewService returns a service that submits changes to the writer. inForce returns the process's own
-// configuration.
+// NewService returns a service that submits changes to the writer. inForce returns the process's
+// own configuration.
 func NewService(writer Writer, inForce InForce) *Service {
 	return &Service{writer: writer, inForce: inForce}
 }
@@ -44,8 +44,8 @@
 // Author identifies who makes a change, as authenticated by this process from the operator's token.
 type Author struct {
 	Operator string
-	// TokenSHA256 is checked again against the configuration that the change is based on. It is empty
-	// for the bootstrap token.
+	// TokenSHA256 is checked again against the configuration that the change is based on. It is
+	// empty for the bootstrap token.
 	TokenSHA256 string
 	// Bootstrap, if set, permits the change only while no configuration exists.
 	Bootstrap bool
@@ -85,8 +85,8 @@
 }
 
 // submit submits a change, and continues if the operator's connection breaks: a change that stopped
-// between the swap and the read of its result would have no verdict to return when the operator asks
-// again.
+// between the swap and the read of its result would have no verdict to return when the operator
+// asks again.
 func (s *Service) submit(ctx context.Context, author Author, submission head.Submission) head.Answer {
 	submission.Operator = author.Operator
 	submission.TokenSHA256 = author.TokenSHA256
@@ -97,8 +97,8 @@
 	return s.writer.Submit(ctx, submission)
 }
 
-// SetLabels changes the labels of a team or a stage, based on the documents that the key-value
-// service holds now.
+// SetLabels changes the labels of a team or a stage, based on the current documents in the
+// key-value service.
 func (s *Service) SetLabels(ctx context.Context, author Author, l admapi.LabelChange) head.Answer {
 	loaded, err := s.writer.LoadHead(ctx)
 	if inForce := s.inForce.GetLoaded(); err == nil && isOlder(loaded, inForce) {
--- a/entry/services/change/drain.go
+++ b/entry/services/change/drain.go
@@ -35,7 +35,7 @@
 	return false
 }
 
-// Instances returns the instances that the entry knows.
+// Instances returns the instances on the last instance list.
 type Instances interface {
 	FindInstances() []member.Instance
 }
@@ -87,7 +87,8 @@
 	return ""
 }
 
-// countOthers returns the number of other agents of the service that are neither leaving nor drained.
+// countOthers returns the number of other agents of the service that are neither leaving nor
+// drained.
 func (d *DrainService) countOthers(all []member.Instance, service, instance string) int {
 	loaded := d.changes.inForce.GetLoaded()
 	others := 0
--- a/entry/services/direct/claimed.go
+++ b/entry/services/direct/claimed.go
@@ -18,8 +18,8 @@
 const (
 	// tombstoneTimeout is the time limit of a tombstone request to an agent.
 	tombstoneTimeout = 300 * time.Millisecond
-	// retryHint is the Retry-After of results after which the caller may retry.
-	retryHint = time.Second
+	// retryAfter is the Retry-After of results that the caller may retry.
+	retryAfter = time.Second
 	// releaseTimeout is the time limit for releasing a key after the caller got its answer.
 	releaseTimeout = 5 * time.Second
 )
@@ -42,10 +42,10 @@
 
 // runClaimed claims the key, runs the call and settles the claim.
 //
-// An agent that is stopping, or has a newer configuration, refuses the attempt although another agent
-// could run it. Without a resubmission the caller would have to retry its call at every planned stop
-// and every configuration change. The attempt did not run; its claim is released first, so that it
-// never can, and a new submission follows.
+// An agent that is stopping, or has a newer configuration, refuses the attempt although another
+// agent could run it. Without a resubmission the caller would have to retry its call at every
+// planned stop and every configuration change. Since the attempt did not run, its claim is
+// released, so that the attempt can never run, and a new submission follows.
 func (c *Caller) runClaimed(ctx context.Context, snapshot *config.Snapshot, q *Request) (*Answer, *codes.Result) {
 	excluded := []string{}
 	for resends := 0; ; resends++ {
@@ -70,8 +70,9 @@
 	}
 }
 
-// newSubmission chooses an agent. A refusal of a later submission is "not run" as well, since each
-// earlier attempt did not run and its claim was released.
+// newSubmission chooses an agent and returns the submission for it. A refusal has the outcome "not
+// run" also after earlier submissions, since their attempts did not run and their claims were
+// released.
 func (c *Caller) newSubmission(snapshot *config.Snapshot, q *Request, resends int, excluded []string) (*submission, *codes.Result) {
 	call := c.newCall(q)
 	chosen, refusal := c.options.Agents.ChooseAgent(time.Now(), fleet.ChooseOptions{
@@ -83,7 +84,7 @@
 		Exclude:  excluded,
 	})
 	if refusal != nil {
-		return nil, refusal.WithRetryAfter(retryHint)
+		return nil, refusal.WithRetryAfter(retryAfter)
 	}
 	s := &submission{caller: c, request: q, chosen: &chosen, agent: chosen.Choice.Name, attempt: attemptID(q, resends)}
 	s.claim = claim.NewSubmission(claim.Request{
@@ -95,13 +96,13 @@
 			Incarnation: chosen.Choice.Incarnation,
 		},
 		Deadline:   q.Deadline,
-		RetryAfter: retryHint,
+		RetryAfter: retryAfter,
 	})
 	return s, nil
 }
 
-// attemptID returns a different id for each submission of one request, since an agent never starts an
-// attempt that it has refused.
+// attemptID returns a different id for each submission of one request, since an agent never starts
+// an attempt that it has refused.
 func attemptID(q *Request, resends int) string {
 	if resends == 0 {
 		return q.ID
@@ -123,7 +124,7 @@
 	return decision.Action == retry.ActionResend
 }
 
-// run steps the submission, carrying out its actions, until no action is left.
+// run steps the submission and carries out its actions until no action is left.
 func (s *submission) run(ctx context.Context) {
 	actions := s.claim.Step(time.Now(), claim.Started{})
 	for len(actions) > 0 {
--- a/entry/services/direct/direct.go
+++ b/entry/services/direct/direct.go
@@ -53,8 +53,8 @@
 // Agents chooses agents and sends them tombstone requests; *fleet.Fleet implements it.
 type Agents interface {
 	ChooseAgent(now time.Time, options fleet.ChooseOptions) (fleet.Attempt, *codes.Result)
-	// RequestTombstone asks an agent to tombstone an attempt unless it has started, and for its
-	// state.
+	// RequestTombstone tombstones an attempt that has not started, so that the agent never starts
+	// it, and returns the attempt's state.
 	RequestTombstone(ctx context.Context, name string, ask *wire.Ask) (*wire.Told, error)
 }
 
@@ -84,8 +84,8 @@
 	return &Caller{options: options}
 }
 
-// FindRoute returns the first route that matches the method and path, or nil. A route whose path ends
-// in a slash also matches all paths that begin with it.
+// FindRoute returns the first route that matches the method and path, or nil. A route whose path
+// ends in a slash also matches all paths that begin with it.
 func FindRoute(service *config.Service, method, path string) *config.ServiceRoute {
 	for n := range service.Routes {
 		route := &service.Routes[n]
@@ -157,7 +157,7 @@
 	}
 }
 
-// stageLabels returns the labels by which rules match direct calls, in place of those of a stage.
+// stageLabels returns the labels that rules match for direct calls, which have no stage.
 func stageLabels(q *Request) config.Labels {
 	return config.Labels{"service": q.Service.Name, "kind": string(q.Service.Kind)}
 }
@@ -182,8 +182,8 @@
 	c.options.Policy.AddUse(time.Now(), snapshot, q.Service.Name, use)
 }
 
-// digestOf hashes the service, method, path, content type and body, so that the same key with any
-// other call is a conflict.
+// digestOf hashes the service, method, path, content type and body, so that a key that is reused
+// for a different call is detected as a conflict.
 func digestOf(q *Request) string {
 	sum := sha256.New()
 	for _, part := range []string{q.Service.Name, q.Method, q.Path, q.ContentType} {
--- a/entry/services/explan/explan.go
+++ b/entry/services/explan/explan.go
@@ -28,7 +28,7 @@
 	Explain(now time.Time, options fleet.ChooseOptions) ([]route.Explanation, error)
 }
 
-// Instances returns the instances that the entry knows.
+// Instances returns the instances on the last instance list.
 type Instances interface {
 	FindInstances() []member.Instance
 }
@@ -36,7 +36,8 @@
 // Query selects the calls to explain.
 type Query struct {
 	Team string
-	// Pipeline is the pipeline's name. For direct calls Service is set instead and takes precedence.
+	// Pipeline is the pipeline's name. For direct calls Service is set instead and takes
+	// precedence.
 	Pipeline string
 	Service  string
 	// Stage limits the explanation to one stage of the pipeline; empty means all stages.
@@ -192,8 +193,8 @@
 	return config.Duration(d.Round(time.Microsecond))
 }
 
-// rank sorts the servers that could be chosen first, by ascending score, and numbers them; the others
-// follow by name.
+// rank sorts the servers that could be chosen first, by ascending score, and numbers them; the
+// others follow by name.
 func rank(servers []admapi.ServerExplanation) {
 	slices.SortFunc(servers, func(a, b admapi.ServerExplanation) int {
 		if a.Eligible != b.Eligible {
--- a/entry/services/explan/explan_test.go
+++ b/entry/services/explan/explan_test.go
@@ -16,7 +16,7 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// world is a fake entry that knows three agents of one service.
+// world is a fake entry with three agents of one service.
 type world struct {
 	snapshot  *config.Snapshot
 	instances []member.Instance
--- a/entry/services/fleet/fleet.go
+++ b/entry/services/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet keeps sessions to the agents that the routers want, and chooses the agent and
-// session for each attempt. Its input is the instance list, heartbeats and results of attempts.
+// Package fleet keeps sessions to the agents that the routers select, and chooses the agent and
+// session for each attempt. Its decisions are based on the instance list, heartbeats and the
+// results of attempts.
 package fleet
 
 import (
@@ -52,7 +53,7 @@
 	Link link.Options
 	// ListInterval is the interval at which the list is read.
 	ListInterval time.Duration
-	// Route returns a router's settings for a service.
+	// Route returns the settings of a service's router.
 	Route   func(service string) route.Settings
 	List    List
 	Watcher Watcher
@@ -113,7 +114,7 @@
 	Caller   config.Labels
 	Stage    config.Labels
 	Budget   time.Duration
-	// Priority is the call's class. Agents run higher classes first.
+	// Priority is the call's priority. Agents run calls of higher priority first.
 	Priority config.Priority
 	Prefixes []route.Prefix
 	Exclude  []string
@@ -167,11 +168,12 @@
 	return admissionWait(options.Priority, choice), choice.ServiceTime, nil
 }
 
-// admissionWait returns the queue delay that admission assumes for a class. The entry's backlog
-// includes lower classes, which agents run later: urgent work would be refused because of batch
-// work that it overtakes. Urgent work queued ahead is not counted either: agents refuse early what
-// cannot start in time. For normal work the delay is the lower one of the entry's estimate and the
-// agent's report.
+// admissionWait returns the queue delay that admission assumes for a call of the given priority.
+// For batch calls it is the entry's own estimate, which includes calls of every priority. With that
+// estimate, urgent calls would be refused because of batch calls that they overtake in the agents'
+// queues. For urgent calls the delay is 0, so that even urgent calls queued ahead are not counted:
+// agents refuse early the calls that cannot start in time. For normal calls it is the lower one of
+// the entry's estimate and the agent's report.
 func admissionWait(priority config.Priority, choice route.Choice) time.Duration {
 	switch priority {
 	case config.PriorityUrgent:
--- a/entry/services/fleet/peers.go
+++ b/entry/services/fleet/peers.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// redialBase and redialMax set the backoff between two connection attempts to one agent. It doubles
-	// with each failure up to redialMax, and jitter is applied to it. redialBase is also the interval at
-	// which a session that is no longer wanted is checked for running calls.
+	// redialBase and redialMax set the backoff between two connection attempts to one agent. It
+	// doubles with each failure up to redialMax, and jitter is applied to it. redialBase is also
+	// the interval at which a session that is no longer wanted is checked for running calls.
 	redialBase = 100 * time.Millisecond
 	redialMax  = 5 * time.Second
 	// fetchTimeout is the time limit for answering one fetch.
@@ -80,7 +80,7 @@
 	}
 }
 
-// updatePeers adds the listed agents and removes unlisted ones without a session.
+// updatePeers adds and updates the listed agents and removes unlisted ones without a session.
 func (f *Fleet) updatePeers(agents []member.Instance) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// listServices returns all services, including those of the given agents.
+// listServices adds the services of the given agents and returns all services.
 func (f *Fleet) listServices(agents []member.Instance) []*service {
 	for _, instance := range agents {
 		f.getService(instance.Service)
@@ -149,8 +149,8 @@
 
 func (f *Fleet) runDial(ctx context.Context, instance member.Instance) {
 	options := f.options.Link
-	options.OnHeartbeat = f.onHeartbeat
-	options.OnDown = f.onSessionDown
+	options.OnHeartbeat = f.handleHeartbeat
+	options.OnDown = f.removeSession
 	session, err := link.Dial(ctx, instance.Address, options)
 	f.lock.Lock()
 	p := f.peers[instance.Name]
@@ -174,8 +174,8 @@
 	go f.runServe(session)
 	f.onSession(instance, route.SessionUp, session.Peer().GetIncarnation())
 	if session.IsClosed() {
-		// The session ended before p.session was set, so onSessionDown had nothing to clear.
-		f.onSessionDown(session, ErrFleet.New("ended while it came up"))
+		// The session ended before p.session was set, so removeSession had nothing to clear.
+		f.removeSession(session, ErrFleet.New("session ended before it was registered"))
 	}
 }
 
@@ -208,10 +208,10 @@
 	s.router.OnSession(time.Now(), instance.Name, state, incarnation)
 }
 
-// onSessionDown removes an ended session and wakes the control loop to connect again at once. The
-// router doesn't choose the agent until it is connected again, but doesn't count a fault of the
-// agent.
-func (f *Fleet) onSessionDown(session *link.Session, reason error) {
+// removeSession removes an ended session and wakes the control loop so that it connects again
+// without delay. The router does not choose the agent until it is connected again, but does not
+// count the end of the session as a fault of the agent.
+func (f *Fleet) removeSession(session *link.Session, reason error) {
 	name := session.Peer().GetName()
 	f.lock.Lock()
 	p := f.peers[name]
@@ -232,8 +232,9 @@
 	f.wakeLoop()
 }
 
-// onHeartbeat passes a heartbeat to the watcher, and its load report and leaving mark to the router.
-func (f *Fleet) onHeartbeat(session *link.Session, heartbeat *wire.Beat, notBefore time.Time) {
+// handleHeartbeat passes a heartbeat to the watcher, and its load report and leaving flag to the
+// router.
+func (f *Fleet) handleHeartbeat(session *link.Session, heartbeat *wire.Beat, notBefore time.Time) {
 	name := session.Peer().GetName()
 	f.options.Watcher.OnPeerHeartbeat(name, heartbeat, notBefore)
 	s := f.getService(session.Peer().GetService())
@@ -286,7 +287,7 @@
 	}
 }
 
-// FetchChunks requests configuration from an agent.
+// FetchChunks requests chunks of the configuration from an agent.
 func (f *Fleet) FetchChunks(ctx context.Context, name string, fetch *wire.Fetch) (*wire.Chunks, error) {
 	session := f.getSession(name)
 	if session == nil {
@@ -295,8 +296,8 @@
 	return link.FetchChunks(ctx, session, fetch)
 }
 
-// RequestTombstone asks an agent to tombstone a claimed attempt unless it has started, and for its
-// state.
+// RequestTombstone asks an agent to tombstone a claimed attempt that has not started, so that the
+// agent never starts it, and returns the attempt's state.
 func (f *Fleet) RequestTombstone(ctx context.Context, name string, ask *wire.Ask) (*wire.Told, error) {
 	session := f.getSession(name)
 	if session == nil {
--- a/entry/services/fleet/report.go
+++ b/entry/services/fleet/report.go
@@ -44,7 +44,7 @@
 	Delay     time.Duration
 }
 
-// FindPeers returns the agents that the fleet knows, in no particular order.
+// FindPeers returns all listed agents and unlisted ones with a session, in no particular order.
 func (f *Fleet) FindPeers() []PeerState {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/entry/services/lookup/lookup.go
+++ b/entry/services/lookup/lookup.go
@@ -32,8 +32,8 @@
 	return &Service{heads: heads, snapshots: snapshots}
 }
 
-// FindDocuments returns the documents in force of the given kind and name. An empty kind selects all
-// documents, an empty name all of the kind.
+// FindDocuments returns the documents in force of the given kind and name. An empty kind selects
+// all documents, an empty name all of the kind.
 func (s *Service) FindDocuments(kind config.Kind, name string) (admapi.Config, error) {
 	snapshot := s.snapshots.Snapshot()
 	if snapshot == nil {
--- a/entry/services/policy/policy.go
+++ b/entry/services/policy/policy.go
@@ -55,8 +55,9 @@
 	}
 }
 
-// SetEntries divides limits and committed amounts among the live entries.
-func (p *Policy) SetEntries(now time.Time, entries int) {
+// SetEntryCount sets the number of live entries and divides limits and committed amounts among
+// them.
+func (p *Policy) SetEntryCount(now time.Time, entries int) {
 	p.admitLock.Lock()
 	p.admitter.SetEntries(entries)
 	p.admitLock.Unlock()
@@ -65,7 +66,8 @@
 	p.ledger.SetShare(now, 1/float64(max(entries, 1)))
 }
 
-// DecideAdmission admits a request with each stage's part of the deadline, or refuses it as not run.
+// DecideAdmission admits a request with each stage's part of the deadline, or refuses it as not
+// run.
 func (p *Policy) DecideAdmission(now time.Time, request admit.Request) admit.Decision {
 	p.admitLock.Lock()
 	defer p.admitLock.Unlock()
@@ -128,8 +130,8 @@
 	return b
 }
 
-// CheckSpend refuses a call that would exceed the committed amount of the service's pool, unless its
-// priority permits that.
+// CheckSpend refuses a call that would exceed the committed amount of the service's pool, unless
+// its priority permits that.
 func (p *Policy) CheckSpend(now time.Time, snapshot *config.Snapshot, service string, priority config.Priority, cost float64) *codes.Result {
 	pool := poolOf(snapshot, service)
 	if pool == "" || p.admission == AdmissionOff {
--- a/entry/services/settle/settle.go
+++ b/entry/services/settle/settle.go
@@ -17,23 +17,24 @@
 const (
 	// tombstoneTimeout is the time limit of a tombstone request to the agent.
 	tombstoneTimeout = 2 * time.Second
-	// retryHint is the Retry-After when the key-value service did not answer a read or a write.
-	retryHint = time.Second
+	// retryAfter is the Retry-After of a result after a read or write that the key-value service
+	// did not answer.
+	retryAfter = time.Second
 )
 
 // Claims reads and writes claims in the key-value service.
 type Claims interface {
 	// GetClaim returns nil if the key has no claim.
 	GetClaim(ctx context.Context, key string) (*claim.Stored, error)
-	// SwapClaim reports whether it replaced the record. After an error the record may have been
-	// replaced or not.
+	// SwapClaim reports whether it replaced the record. After an error the record may or may not
+	// have been replaced.
 	SwapClaim(ctx context.Context, key string, record claim.Record, index uint64) (bool, error)
 }
 
 // Agents sends requests to agents.
 type Agents interface {
-	// RequestTombstone asks an agent to tombstone an attempt unless it has started, and for its
-	// state.
+	// RequestTombstone tombstones an attempt that has not started, so that the agent never starts
+	// it, and returns the attempt's state.
 	RequestTombstone(ctx context.Context, name string, ask *wire.Ask) (*wire.Told, error)
 }
 
@@ -61,7 +62,7 @@
 func (s *Service) readClaim(ctx context.Context, team, key string) (*claim.Stored, error) {
 	stored, err := s.claims.GetClaim(ctx, claim.Key(team, key))
 	if err != nil {
-		return nil, codes.NewResult(codes.StoreUnavailable, "the claim could not be read").WithRetryAfter(retryHint)
+		return nil, codes.NewResult(codes.StoreUnavailable, "the claim could not be read").WithRetryAfter(retryAfter)
 	}
 	if stored == nil {
 		return nil, codes.NewResult(codes.NotFound, "the team has no claim of this key")
@@ -69,9 +70,10 @@
 	return stored, nil
 }
 
-// ResolveClaim settles an open claim with the outcome that the operator found. The agent receives a
-// tombstone request first: an agent that has not started the attempt then never will, and if it is
-// running the attempt or has its answer, no operator is needed and the resolution is refused.
+// ResolveClaim settles an open claim with the outcome that the operator found. It first sends the
+// agent a tombstone request. An agent that has not started the attempt then never starts it. If the
+// agent is running the attempt or has its answer, no operator is needed and the resolution is
+// refused.
 func (s *Service) ResolveClaim(ctx context.Context, operator, team, key string, r admapi.ClaimResolution) (admapi.Claim, error) {
 	stored, err := s.readClaim(ctx, team, key)
 	if err != nil {
@@ -116,7 +118,7 @@
 	swapped, err := s.claims.SwapClaim(ctx, key, record, index)
 	if err != nil {
 		detail := "the write's answer was lost; look at the claim before you ask again"
-		return codes.NewResult(codes.ChangeUnknown, detail).WithRetryAfter(retryHint)
+		return codes.NewResult(codes.ChangeUnknown, detail).WithRetryAfter(retryAfter)
 	}
 	if !swapped {
 		return codes.NewResult(codes.ConfigConflict, "the claim moved meanwhile; look at it again")
@@ -138,7 +140,7 @@
 }
 
 // newRefusal returns the result of a refused resolution. Its outcome is "not run" because the
-// resolution did not take effect; it says nothing about the attempt.
+// resolution did not take effect; it does not describe the attempt.
 func newRefusal(reported claim.ReportedState, err error) error {
 	code := codes.OutcomeNotKnown
 	if reported == claim.ReportedRunning || reported == claim.ReportedDone {
--- a/entry/services/settle/settle_test.go
+++ b/entry/services/settle/settle_test.go
@@ -143,8 +143,8 @@
 	down.down = true
 	lost := newWorld(claim.ReportedTombstoned)
 	lost.loseAnswer = true
-	moved := newWorld(claim.ReportedTombstoned)
-	moved.conflict = true
+	changed := newWorld(claim.ReportedTombstoned)
+	changed.conflict = true
 	tests := []struct {
 		name  string
 		world *world
@@ -155,7 +155,7 @@
 		{"settled already", done, "order-1", codes.ConfigConflict},
 		{"service down", down, "order-1", codes.StoreUnavailable},
 		{"answer lost", lost, "order-1", codes.ChangeUnknown},
-		{"claim changed by another write", moved, "order-1", codes.ConfigConflict},
+		{"claim changed by another write", changed, "order-1", codes.ConfigConflict},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/entry/services/stages/stages.go
+++ b/entry/services/stages/stages.go
@@ -1,6 +1,6 @@
-// Package stages builds the call of each kind of stage from the pipeline's state and adds the stage's
-// answer to that state. The calls are OpenAI-style embeddings, rerank and completions, and a vector
-// search.
+// Package stages builds the call of each kind of stage from the pipeline's state and adds the
+// stage's answer to that state. The calls are OpenAI-style embeddings, rerank and completions, and
+// a vector search.
 package stages
 
 import (
--- a/entry/services/status/view.go
+++ b/entry/services/status/view.go
@@ -67,7 +67,8 @@
 	return v.next.AnswerFetch(fetch)
 }
 
-// FindInstances returns the instances of the last list by descending role, then by service and name.
+// FindInstances returns the instances of the last list by descending role, then by service and
+// name.
 func (v *InstanceView) FindInstances() []member.Instance {
 	v.lock.Lock()
 	defer v.lock.Unlock()
--- a/entry/services/sweep/sweep_test.go
+++ b/entry/services/sweep/sweep_test.go
@@ -40,8 +40,9 @@
 
 func (s snapshots) Snapshot() *config.Snapshot { return s.snapshot }
 
-// Guards against a second run of a call whose outcome is unknown: if its open claim were deleted like
-// the settled ones, a caller that retries with the same key a day later would run the call again.
+// Guards against a second run of a call whose outcome is unknown: if its open claim were deleted
+// like the settled ones, a caller that retries with the same key a day later would run the call
+// again.
 func TestOnlySettledClaimsAgeOut(t *testing.T) {
 	old := time.Now().Add(-48 * time.Hour)
 	cases := map[string]struct {
--- a/entry/services/walk/walk.go
+++ b/entry/services/walk/walk.go
@@ -1,6 +1,5 @@
-// Package walk runs a request through the stages of its pipeline under one deadline. Its input is a
-// pipeline and the request's input, its output the complete answer of the last stage or the final
-// result.
+// Package walk runs a request through the stages of its pipeline under one deadline. It returns the
+// complete answer of the pipeline, or the final result if a stage fails.
 package walk
 
 import (
@@ -27,8 +26,8 @@
 	bytesPerToken = 4
 	unitTokens    = 256
 	baseCost      = 0.1
-	// longPrefix and shortPrefix are the lengths, in bytes, of the prompt prefixes that are hashed to
-	// find agents that have served the same prefix.
+	// longPrefix and shortPrefix are the lengths, in bytes, of the prompt prefixes that are hashed
+	// to find agents that have served the same prefix.
 	longPrefix  = 2048
 	shortPrefix = 512
 )
@@ -47,14 +46,14 @@
 	Deadline  time.Time
 	Input     string
 	MaxTokens int
-	// Sink receives the last stage's stream as it arrives. If it is nil, the stream is collected in
-	// the Answer.
+	// Sink receives the last stage's stream: as it arrives, or, for a batch request, in one write
+	// when it is complete. If Sink is nil, the stream is collected in the Answer.
 	Sink io.Writer
 }
 
 // buffersAnswer reports whether the answer is written to the caller only once it is complete. This
-// is so for batch requests: higher classes may preempt them while they run, and a call whose first
-// parts were already written could not be retried, so its answer would stay incomplete.
+// applies to batch requests: calls of higher priority may preempt them while they run, and a call
+// whose first parts were already written could not be retried, so its answer would stay incomplete.
 func (q *Request) buffersAnswer() bool { return q.Priority == config.PriorityBatch }
 
 // StageReport holds the time and the number of attempts of one stage.
@@ -85,8 +84,8 @@
 	return &Walker{runner: runner, policy: p, predictor: predictor, config: configuration}
 }
 
-// Run runs the request through every stage. As soon as a stage fails for good it returns the final
-// result instead.
+// Run runs the request through every stage and returns the answer, or the final result of the first
+// stage that fails.
 func (w *Walker) Run(ctx context.Context, q *Request) (*Answer, *codes.Result) {
 	ctx, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
@@ -109,8 +108,8 @@
 	return answer, nil
 }
 
-// asPartlyRun sets the outcome of a stage's "not run" result to "ran" if earlier stages are done,
-// since the request as a whole did run in part.
+// asPartlyRun sets the outcome of a stage's "not run" result to "ran" if earlier stages have
+// completed, since the request has then run in part.
 func asPartlyRun(done int, result *codes.Result) *codes.Result {
 	if done > 0 && result.Outcome == codes.OutcomeNotRun {
 		return result.WithOutcome(codes.OutcomeRan)
@@ -129,7 +128,8 @@
 	costs  []float64
 }
 
-// admit refuses a request, as not run, if it cannot be done in time or exceeds a limit.
+// admit returns the plan of a request, or refuses it as "not run" if it cannot complete in time or
+// exceeds a limit.
 func (w *Walker) admit(ctx context.Context, q *Request) (*plan, *codes.Result) {
 	snapshot, refusal := w.config.GetUsable(ctx)
 	if refusal != nil {
@@ -173,8 +173,8 @@
 	}
 }
 
-// estimateCost returns a stage's cost in cost units: baseCost, and for a generate stage one unit more
-// for every unitTokens tokens of input and permitted output.
+// estimateCost returns a stage's cost in cost units: baseCost, and for a generate stage one unit
+// more for every unitTokens tokens of input and permitted output.
 func estimateCost(stage *config.Stage, q *Request) float64 {
 	if stage.Kind != config.StageGenerate {
 		return baseCost
@@ -237,9 +237,9 @@
 	return got, nil
 }
 
-// stageBudget returns a stage's part of the time left; time that earlier stages saved is divided
-// among the remaining ones. It only guides the choice of an agent. The stage's deadline remains
-// that of the request, since later stages may make up for a late one.
+// stageBudget returns a stage's part of the remaining time. Time that earlier stages saved is
+// divided among the remaining stages. The budget only guides the choice of an agent. The stage's
+// deadline remains that of the request, since later stages may make up for a late one.
 func (w *Walker) stageBudget(q *Request, p *plan, n int) time.Duration {
 	now := time.Now()
 	shares := w.policy.SplitDeadline(now, q.Deadline.Sub(now), p.stages[n:])
@@ -254,8 +254,8 @@
 	return nil
 }
 
-// observeStageTime records the stage's service time. A stage that timed out at the deadline counts
-// with the time until then less the predicted queue delay; without it the slowest calls would be
+// observeStageTime records the stage's service time. For a stage that timed out at the deadline it
+// records the time until then minus the predicted queue delay; otherwise the slowest calls would be
 // missing from the estimate.
 func (w *Walker) observeStageTime(p *plan, n int, started time.Time, got *calls.Answer, result *codes.Result) {
 	now := time.Now()
