--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -21,9 +21,9 @@
 	"verbenaroad.example/ingress/services/flow"
 	"verbenaroad.example/ingress/services/mesh"
 	"verbenaroad.example/ingress/services/meters"
-	"verbenaroad.example/ingress/services/pieces"
 	"verbenaroad.example/ingress/services/reach"
 	"verbenaroad.example/ingress/services/screen"
+	"verbenaroad.example/ingress/services/stages"
 	"verbenaroad.example/ingress/services/state"
 	"verbenaroad.example/platform/heads"
 	"verbenaroad.example/platform/keyval"
@@ -69,8 +69,8 @@
 	mesh          *mesh.Mesh
 	feeder        *mesh.Feeder
 	puller        *mesh.Puller
-	batcher       *pieces.Batcher
-	producer      *pieces.Producer
+	batcher       *stages.Batcher
+	producer      *stages.Producer
 	placer        *assign.Placer
 	dispatcher    *assign.Dispatcher
 	screen        *screen.Screen
@@ -133,7 +133,7 @@
 	})
 	i.puller.Feed = i.feeder
 	client := reach.NewClient(heads.Codec{})
-	i.batcher = pieces.NewBatcher(pieces.BatcherOptions{
+	i.batcher = stages.NewBatcher(stages.BatcherOptions{
 		Pools: pools.Client{HTTP: client, Heads: heads.Codec{}}, Meter: i.meters, Retries: s.Repeats.Settings, Log: i.log,
 		Regions: s.Place.Regions, Region: s.Place.Region,
 		Discard: func(service string, handles []string) { i.producer.Discard(service, handles) },
@@ -145,7 +145,7 @@
 		Peers: i.mesh, Store: i.store, Codec: record.Codec{}, Prober: client, Limit: poison.DefaultLimit,
 		Trials: poison.DefaultTrialSchedule(), Log: i.log,
 	})
-	i.producer = pieces.NewProducer(i.mesh, i.batcher, i.log)
+	i.producer = stages.NewProducer(i.mesh, i.batcher, i.log)
 	i.flow = flow.NewServer(flow.Options{
 		Views: i.book, Sender: client, StageRunner: i.producer, EnginePlacer: i.dispatcher, Screen: i.screen, Meter: i.meters, Log: i.log,
 		Domain: s.Place.Domain, Region: s.Place.Region, Regions: s.Place.Regions, Retries: s.Repeats.Settings,
--- a/ingress/services/flow/flow.go
+++ b/ingress/services/flow/flow.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 
 	"verbenaroad.example/ingress/services/assign"
-	"verbenaroad.example/ingress/services/pieces"
 	"verbenaroad.example/ingress/services/reach"
+	"verbenaroad.example/ingress/services/stages"
 	"verbenaroad.example/ingress/services/state"
 	"verbenaroad.example/share/decide/access"
 	"verbenaroad.example/share/decide/budget"
@@ -41,7 +41,7 @@
 
 // StageRunner produces the results of a request's stages.
 type StageRunner interface {
-	ProduceChain(ctx context.Context, c pieces.Chain) (*pieces.Results, *codes.Result)
+	ProduceChain(ctx context.Context, c stages.Chain) (*stages.Results, *codes.Result)
 }
 
 // EnginePlacer chooses the engine for a request and reserves capacity there.
--- a/ingress/services/flow/places_test.go
+++ b/ingress/services/flow/places_test.go
@@ -16,8 +16,8 @@
 
 	"verbenaroad.example/ingress/services/assign"
 	"verbenaroad.example/ingress/services/flow"
-	"verbenaroad.example/ingress/services/pieces"
 	"verbenaroad.example/ingress/services/reach"
+	"verbenaroad.example/ingress/services/stages"
 	"verbenaroad.example/ingress/services/state"
 	"verbenaroad.example/share/decide/access"
 	"verbenaroad.example/share/decide/budget"
@@ -59,14 +59,14 @@
 	return s.view
 }
 
-func (s *deployment) ProduceChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
+func (s *deployment) ProduceChain(context.Context, stages.Chain) (*stages.Results, *codes.Result) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.viewAfterStages != nil {
 		s.view = s.viewAfterStages
 		s.placer.SetView(s.view)
 	}
-	return pieces.NewResults([]string{"10.0.0.1:1/a"}, func() {}), nil
+	return stages.NewResults([]string{"10.0.0.1:1/a"}, func() {}), nil
 }
 
 func (*deployment) Warm(netip.AddrPort) {}
--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 
 	"verbenaroad.example/ingress/services/assign"
-	"verbenaroad.example/ingress/services/pieces"
 	"verbenaroad.example/ingress/services/reach"
+	"verbenaroad.example/ingress/services/stages"
 	"verbenaroad.example/share/decide/place"
 	"verbenaroad.example/share/models/site"
 	"verbenaroad.example/share/modules/codes"
@@ -106,7 +106,7 @@
 	writer http.ResponseWriter
 	// results are the stage results that the engine fetches; nil if the route has no stages, and
 	// after releaseResults.
-	results *pieces.Results
+	results *stages.Results
 	// keepResults is set after an engine failed to fetch the results within fetchTime. They are
 	// then kept until the first event.
 	keepResults bool
@@ -121,7 +121,7 @@
 	if len(r.route.Stages) == 0 || r.results != nil {
 		return nil
 	}
-	results, failed := r.server.options.StageRunner.ProduceChain(ctx, pieces.Chain{
+	results, failed := r.server.options.StageRunner.ProduceChain(ctx, stages.Chain{
 		AttemptID:     r.AttemptID,
 		RequestDigest: string(r.digest),
 		ItemKey:       r.ItemKey,
--- a/ingress/services/flow/stream_test.go
+++ b/ingress/services/flow/stream_test.go
@@ -16,8 +16,8 @@
 
 	"verbenaroad.example/ingress/services/assign"
 	"verbenaroad.example/ingress/services/flow"
-	"verbenaroad.example/ingress/services/pieces"
 	"verbenaroad.example/ingress/services/reach"
+	"verbenaroad.example/ingress/services/stages"
 	"verbenaroad.example/ingress/services/state"
 	"verbenaroad.example/share/decide/access"
 	"verbenaroad.example/share/decide/budget"
@@ -47,10 +47,10 @@
 // stageRunner counts how often results were produced, and how many are not yet released.
 type stageRunner struct{ runs, held atomic.Int64 }
 
-func (m *stageRunner) ProduceChain(context.Context, pieces.Chain) (*pieces.Results, *codes.Result) {
+func (m *stageRunner) ProduceChain(context.Context, stages.Chain) (*stages.Results, *codes.Result) {
 	m.runs.Add(1)
 	m.held.Add(1)
-	return pieces.NewResults([]string{"10.0.0.1:1/a"}, func() { m.held.Add(-1) }), nil
+	return stages.NewResults([]string{"10.0.0.1:1/a"}, func() { m.held.Add(-1) }), nil
 }
 
 // slowEngines simulates two engines. The first fetches results only after 300 ms. The second
--- a/ingress/services/pieces/backlog.go
+++ b/ingress/services/stages/backlog.go
@@ -1,4 +1,4 @@
-package pieces
+package stages
 
 import (
 	"maps"
--- a/ingress/services/pieces/chain.go
+++ b/ingress/services/stages/chain.go
@@ -1,8 +1,8 @@
-// Package pieces produces the results of a request's stages. It takes the stages of one request
+// Package stages produces the results of a request's stages. It takes the stages of one request
 // and returns the handles of the results that the engine fetches, or the reason why there are
 // none. Each queue has a batcher, the ingress that combines the jobs of all ingresses into calls;
 // the other ingresses send their jobs to it.
-package pieces
+package stages
 
 import (
 	"context"
--- a/ingress/services/pieces/producer_test.go
+++ b/ingress/services/stages/producer_test.go
@@ -1,4 +1,4 @@
-package pieces_test
+package stages_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"verbenaroad.example/ingress/services/pieces"
+	"verbenaroad.example/ingress/services/stages"
 	"verbenaroad.example/ingress/services/state"
 	"verbenaroad.example/share/decide/access"
 	"verbenaroad.example/share/decide/budget"
@@ -61,14 +61,14 @@
 func TestJobDroppedByItsBatcherRunsLocally(t *testing.T) {
 	is := is.New(t)
 	log := zap.NewNop()
-	batcher := pieces.NewBatcher(pieces.BatcherOptions{
+	batcher := stages.NewBatcher(stages.BatcherOptions{
 		Pools: instantPool{}, Meter: noMeter{}, Log: log, Retries: budget.Settings{Ratio: 1, Slack: 10, Window: time.Second},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	batcher.Start(ctx) // starts the ticks, without which no gathered job is sent
 	peers := &stoppingPeer{}
-	producer := pieces.NewProducer(peers, batcher, log)
+	producer := stages.NewProducer(peers, batcher, log)
 	view := &state.View{
 		Table: access.NewTable(&site.Config{Version: 1, Services: []site.Service{{Name: "encoders", Pool: &site.Pool{
 			Slots: 1, MaxBatch: 8, CallTime: time.Millisecond, ItemTime: time.Millisecond, ResultMemoryBytes: 1000, ResultTTL: time.Second,
@@ -77,7 +77,7 @@
 	}
 	batcher.SetView(view)
 	producer.SetView(view)
-	results, failed := producer.ProduceChain(ctx, pieces.Chain{
+	results, failed := producer.ProduceChain(ctx, stages.Chain{
 		AttemptID: "a", ItemCounts: []int{2}, Stages: []site.Stage{{Service: "encoders", ResultBytes: 10}},
 		Target: time.Now().Add(10 * time.Second), Deadline: time.Now().Add(20 * time.Second), Log: log,
 	})
@@ -115,9 +115,9 @@
 func TestStageRunsInTheDomainOfLargeInputs(t *testing.T) {
 	is := is.New(t)
 	log := zap.NewNop()
-	batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log})
+	batcher := stages.NewBatcher(stages.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log})
 	peers := &batcherPeer{domains: map[string]string{}}
-	producer := pieces.NewProducer(peers, batcher, log)
+	producer := stages.NewProducer(peers, batcher, log)
 	spec := &site.Pool{Slots: 1, MaxBatch: 40, ResultMemoryBytes: 1 << 20, ResultTTL: 4 * time.Second}
 	producer.SetView(&state.View{
 		Table: access.NewTable(&site.Config{Version: 1, Services: []site.Service{
@@ -125,7 +125,7 @@
 		}}),
 		Servers: map[string][]site.Server{"retrievers": {{ID: "p", Address: netip.MustParseAddrPort("127.0.0.1:7"), Domain: "b"}}},
 	})
-	_, failed := producer.ProduceChain(context.Background(), pieces.Chain{
+	_, failed := producer.ProduceChain(context.Background(), stages.Chain{
 		AttemptID: "a", ItemCounts: []int{6, 10}, Domain: "a", Log: log,
 		Stages: []site.Stage{{Service: "retrievers", ResultBytes: 60_000}, {Service: "writers", After: []int{0}, ResultBytes: 6_000}},
 		Target: time.Now().Add(10 * time.Second), Deadline: time.Now().Add(20 * time.Second),
@@ -139,8 +139,8 @@
 // would refuse the requests of the next second.
 func TestDroppedJobReportsNoBacklog(t *testing.T) {
 	is := is.New(t)
-	batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: zap.NewNop()})
-	producer := pieces.NewProducer(&stoppingPeer{}, batcher, zap.NewNop())
+	batcher := stages.NewBatcher(stages.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: zap.NewNop()})
+	producer := stages.NewProducer(&stoppingPeer{}, batcher, zap.NewNop())
 	answer := producer.ServeProduce(t.Context(), &wire.Produce{Service: "unknown", Count: 1})
 	is.Equal(answer.GetOutcome(), "no-server")
 	is.Equal(answer.GetOutlook(), nil)
--- a/ingress/services/pieces/queues_test.go
+++ b/ingress/services/stages/queues_test.go
@@ -1,4 +1,4 @@
-package pieces_test
+package stages_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"verbenaroad.example/ingress/services/pieces"
+	"verbenaroad.example/ingress/services/stages"
 	"verbenaroad.example/ingress/services/state"
 	"verbenaroad.example/share/decide/access"
 	"verbenaroad.example/share/decide/batch"
@@ -77,19 +77,19 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			log := zap.NewNop()
-			batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log, Regions: twoRegions})
+			batcher := stages.NewBatcher(stages.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log, Regions: twoRegions})
 			peers := &regionalPeer{ranked: map[string]bool{}, jobs: map[string]int{}}
-			producer := pieces.NewProducer(peers, batcher, log)
+			producer := stages.NewProducer(peers, batcher, log)
 			producer.SetView(newPoolView(c.domains...))
-			stages := []site.Stage{{Service: "encoders", ResultBytes: 10}}
-			_, failed := producer.ProduceChain(t.Context(), pieces.Chain{
-				AttemptID: "a", ItemCounts: []int{2}, Stages: stages, Domain: "s1", Log: log,
+			routeStages := []site.Stage{{Service: "encoders", ResultBytes: 10}}
+			_, failed := producer.ProduceChain(t.Context(), stages.Chain{
+				AttemptID: "a", ItemCounts: []int{2}, Stages: routeStages, Domain: "s1", Log: log,
 				Target: time.Now().Add(10 * time.Second), Deadline: time.Now().Add(20 * time.Second),
 			})
 			is.Equal(failed, nil)
 			is.Equal(peers.jobs, map[string]int{c.queue: 1})
 			is.True(peers.ranked[c.region+" "+c.queue])
-			is.Equal(stages[0].Service, "encoders") // the route's own list of stages is not modified
+			is.Equal(routeStages[0].Service, "encoders") // the route's own list of stages is not modified
 		})
 	}
 }
@@ -113,7 +113,7 @@
 func countCalls(t *testing.T, queues ...string) int {
 	t.Helper()
 	servers := &failingPool{}
-	batcher := pieces.NewBatcher(pieces.BatcherOptions{
+	batcher := stages.NewBatcher(stages.BatcherOptions{
 		Pools: servers, Meter: noMeter{}, Log: zap.NewNop(), Regions: twoRegions,
 		Retries: budget.Settings{Slack: 3, Window: time.Minute},
 	})
@@ -168,10 +168,10 @@
 func TestPendingResultsAreCountedByRegion(t *testing.T) {
 	is := is.New(t)
 	log := zap.NewNop()
-	batcher := pieces.NewBatcher(pieces.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log, Regions: twoRegions, Region: "north"})
+	batcher := stages.NewBatcher(stages.BatcherOptions{Pools: instantPool{}, Meter: noMeter{}, Log: log, Regions: twoRegions, Region: "north"})
 	peers := &blockingPeer{started: make(chan struct{}), release: make(chan struct{})}
 	peers.ranked, peers.jobs = map[string]bool{}, map[string]int{}
-	producer := pieces.NewProducer(peers, batcher, log)
+	producer := stages.NewProducer(peers, batcher, log)
 	view := newPoolView("n1", "n1", "n1", "s1", "s1", "s1")
 	view.Ingresses = []site.Ingress{{Name: "self", Domain: "n1"}}
 	for range 9 {
@@ -179,7 +179,7 @@
 	}
 	producer.SetView(view)
 	producer.RecordBacklog(&wire.Outlook{Service: "encoders@north", Rate: 10})
-	chain := pieces.Chain{
+	chain := stages.Chain{
 		AttemptID: "first", ItemCounts: []int{1, 10}, Domain: "n1", Log: log,
 		Stages: []site.Stage{{Service: "encoders", ResultBytes: 10}, {Service: "encoders", After: []int{0}, ResultBytes: 10}},
 		Target: time.Now().Add(2 * time.Second), Deadline: time.Now().Add(5 * time.Second),
