--- a/ingress/cmds/serve.go
+++ b/ingress/cmds/serve.go
@@ -89,7 +89,7 @@
 func Serve(ctx context.Context, settings *Settings, reload ReloadFunc, output io.Writer) error {
 	i := &Ingress{settings: settings, reload: reload}
 	i.meters = meters.NewMeters(func() time.Duration { return i.book.Age() })
-	log, logOutput, err := logs.NewAsyncLogger(output, settings.Log.Level, i.meters.CountDropped)
+	log, logOutput, err := logs.NewAsyncLogger(output, settings.Log.Level, i.meters.CountDroppedLines)
 	if err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 
 // newLinkOptions returns the options for links that this ingress opens and for those it accepts.
 func (i *Ingress) newLinkOptions() link.Options {
-	interval := i.settings.Peers.BeatEvery
+	interval := i.settings.Peers.HeartbeatInterval
 	return link.Options{
 		Hello: &wire.Hello{
 			Version: wire.Version, Name: i.self.Name, Incarnation: i.self.Incarnation, Role: "ingress",
@@ -214,7 +214,7 @@
 	i.callerServer, err = NewCallerServer(ctx, CallerServerOptions{
 		Address: s.Callers.Listen, Views: i.book, Log: i.log, MaxConnections: s.Callers.MaxConnections(),
 		Handler: public.NewRouter(public.Options{
-			Codec: heads.Codec{}, Views: i.book, Flow: i.flow, Admission: i.stopper, Peers: i.mesh, Store: i.book, Log: i.log,
+			Codec: heads.Codec{}, Views: i.book, Flow: i.flow, Admission: i.stopper, Peers: i.mesh, StoreStatus: i.book, Log: i.log,
 		}),
 	})
 	if err != nil {
--- a/ingress/cmds/settings.go
+++ b/ingress/cmds/settings.go
@@ -117,8 +117,8 @@
 	Seeds setup.AddrList
 	// Private allows links without TLS beyond loopback.
 	Private bool
-	// BeatEvery is the time between two heartbeats of a link.
-	BeatEvery time.Duration
+	// HeartbeatInterval is the time between two heartbeats of a link.
+	HeartbeatInterval time.Duration
 }
 
 // Register declares the keys of the section.
@@ -126,13 +126,13 @@
 	fs.TextVar(&p.Listen, "peers.listen", netip.AddrPort{}, "`ip:port` for the other ingresses")
 	fs.Var(&p.Seeds, "peers.seeds", "list of `ip:port` of ingresses that are asked for the store's records while no other ingress is known; entries may be stale")
 	fs.BoolVar(&p.Private, "peers.private", false, "allow links without TLS beyond loopback, on a network that only the deployment's instances reach")
-	fs.DurationVar(&p.BeatEvery, "peers.beat-every", 300*time.Millisecond, "`time` between two heartbeats of a link; a link that is silent for three and a half times as long is closed")
+	fs.DurationVar(&p.HeartbeatInterval, "peers.beat-every", 300*time.Millisecond, "`time` between two heartbeats of a link; a link that is silent for three and a half times as long is closed")
 }
 
 // Check returns the faults of the section.
 func (p *Peers) Check() []error {
 	faults := checkAddresses(map[string]netip.AddrPort{"peers.listen": p.Listen})
-	if p.BeatEvery <= 0 {
+	if p.HeartbeatInterval <= 0 {
 		faults = append(faults, errs.New("peers.beat-every: must be above 0"))
 	}
 	return faults
--- a/ingress/routers/public/public.go
+++ b/ingress/routers/public/public.go
@@ -60,8 +60,8 @@
 	IsAlone() bool
 }
 
-// Store reports whether the platform's store responds.
-type Store interface {
+// StoreStatus reports whether the platform's store responds.
+type StoreStatus interface {
 	// OwnSilence returns the time since the store last answered this ingress, or since this ingress
 	// started if the store has never answered it.
 	OwnSilence() time.Duration
@@ -69,13 +69,13 @@
 
 // Options are the settings of a Router.
 type Options struct {
-	Peers     Peers
-	Store     Store
-	Codec     Codec
-	Views     Views
-	Flow      Flow
-	Admission Admission
-	Log       *zap.Logger
+	Peers       Peers
+	StoreStatus StoreStatus
+	Codec       Codec
+	Views       Views
+	Flow        Flow
+	Admission   Admission
+	Log         *zap.Logger
 }
 
 // Router reads requests, checks whether they are allowed, and serves or refuses them.
@@ -125,7 +125,7 @@
 	}
 	defer t.options.Admission.EndWork(workID)
 	q, result := t.read(w, r, request, arrived)
-	if result == nil && !admitted && !t.admitLast(workID, q) {
+	if result == nil && !admitted && !t.admitLastResort(workID, q) {
 		result = codes.NewResult(codes.Draining, "stopping, as all others").WithRetryAfter(aloneRetryAfter)
 	}
 	if result != nil {
@@ -135,10 +135,10 @@
 	t.options.Flow.Serve(r.Context(), w, q)
 }
 
-// admitLast reports whether a request may run although all ingresses are stopping. Only requests with
-// a time limit can be admitted: such a request has its final answer within the timeout of its route
-// or of its caller. A stream that has begun has no such limit.
-func (t *Router) admitLast(workID string, q *flow.Request) bool {
+// admitLastResort reports whether a request may run although all ingresses are stopping. Only
+// requests with a time limit can be admitted: such a request has its final answer within the timeout
+// of its route or of its caller. A stream that has begun has no such limit.
+func (t *Router) admitLastResort(workID string, q *flow.Request) bool {
 	route := q.Decision.Route
 	limit := route.Timeout
 	if q.CallerTimeout > 0 && (limit == 0 || q.CallerTimeout < limit) {
@@ -189,7 +189,7 @@
 
 // refuseUnready returns the refusal of an ingress that has no configuration yet.
 func (t *Router) refuseUnready() *codes.Result {
-	if silence := t.options.Store.OwnSilence(); silence > outageThreshold {
+	if silence := t.options.StoreStatus.OwnSilence(); silence > outageThreshold {
 		detail := fmt.Sprintf("no configuration yet, and no answer of the store for %v", silence.Round(time.Millisecond))
 		return codes.NewResult(codes.NotReady, detail).WithRetryAfter(outageRetryAfter)
 	}
--- a/ingress/routers/public/unready_test.go
+++ b/ingress/routers/public/unready_test.go
@@ -42,7 +42,7 @@
 			is := is.New(t)
 			s := starting{silence: silence}
 			router := public.NewRouter(public.Options{
-				Peers: s, Store: s, Codec: s, Views: s, Admission: s, Log: zap.NewNop(),
+				Peers: s, StoreStatus: s, Codec: s, Views: s, Admission: s, Log: zap.NewNop(),
 			})
 			w := httptest.NewRecorder()
 			router.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/order/1", nil))
--- a/ingress/services/flow/flow.go
+++ b/ingress/services/flow/flow.go
@@ -35,8 +35,8 @@
 type Sender interface {
 	// Send makes one attempt.
 	Send(ctx context.Context, r reach.Request) (*reach.Reply, error)
-	// Warm opens a connection in advance for the next attempt at a server.
-	Warm(address netip.AddrPort)
+	// Preconnect opens a connection in advance for the next attempt at a server.
+	Preconnect(address netip.AddrPort)
 }
 
 // StageRunner produces the results of a request's stages.
--- a/ingress/services/flow/places_test.go
+++ b/ingress/services/flow/places_test.go
@@ -69,7 +69,7 @@
 	return stages.NewResults([]string{"10.0.0.1:1/a"}, func() {}), nil
 }
 
-func (*deployment) Warm(netip.AddrPort) {}
+func (*deployment) Preconnect(netip.AddrPort) {}
 
 func (s *deployment) Send(_ context.Context, r reach.Request) (*reach.Reply, error) {
 	s.lock.Lock()
--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -133,7 +133,7 @@
 		Domain:        r.reservation.Server().Domain,
 		Residency:     r.residency(),
 		Refuse:        r.refuseQuarantined,
-		OnLastStage:   func() { r.server.options.Sender.Warm(r.reservation.Server().Address) },
+		OnLastStage:   func() { r.server.options.Sender.Preconnect(r.reservation.Server().Address) },
 		Log:           r.log,
 	})
 	if failed != nil {
--- a/ingress/services/flow/stream_test.go
+++ b/ingress/services/flow/stream_test.go
@@ -62,7 +62,7 @@
 	heldAtEvent atomic.Int64
 }
 
-func (*slowEngines) Warm(netip.AddrPort) {}
+func (*slowEngines) Preconnect(netip.AddrPort) {}
 
 func (b *slowEngines) Send(_ context.Context, r reach.Request) (*reach.Reply, error) {
 	time.Sleep(300 * time.Millisecond)
--- a/ingress/services/mesh/fleet_test.go
+++ b/ingress/services/mesh/fleet_test.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	beatEvery   = 300 * time.Millisecond
-	silentAfter = 1050 * time.Millisecond
+	heartbeatInterval = 300 * time.Millisecond
+	silenceTimeout    = 1050 * time.Millisecond
 	// callBytes is the approximate size of a small call to the store and of its answer.
 	callBytes = 400
 	// packetBytes is how many bytes a line transfers at once.
@@ -288,7 +288,7 @@
 	log := f.log.With(zap.String("instance", name))
 	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: log, OnChange: func(v *state.View) { f.setView(i, v) }})
 	options := link.Options{
-		Hello: &wire.Hello{Version: wire.Version, Name: name}, HeartbeatInterval: beatEvery, SilenceTimeout: silentAfter,
+		Hello: &wire.Hello{Version: wire.Version, Name: name}, HeartbeatInterval: heartbeatInterval, SilenceTimeout: silenceTimeout,
 		NewHeartbeat: func() *wire.Beat { return &wire.Beat{Reading: mesh.EncodeStoreStatus(i.book)} },
 	}
 	isLeaving := func() bool { return false }
--- a/ingress/services/mesh/mesh.go
+++ b/ingress/services/mesh/mesh.go
@@ -248,7 +248,7 @@
 }
 
 // ReportCrash reports to another ingress that an attempt of a request failed because its server
-// crashed. The answer says whether the request is quarantined.
+// crashed. The answer reports whether the request is quarantined.
 func (m *Mesh) ReportCrash(ctx context.Context, name string, c *wire.Crash) (*wire.CrashNoted, error) {
 	session, err := m.getSession(ctx, name)
 	if err != nil {
--- a/ingress/services/mesh/slowlink_test.go
+++ b/ingress/services/mesh/slowlink_test.go
@@ -49,7 +49,7 @@
 // Guards against ingresses on slow links that never receive a large configuration because each
 // transfer is abandoned before its end and started again.
 func TestLargeConfigReachesSlowLinks(t *testing.T) {
-	// On the slower links even a compressed configuration takes longer than silentAfter.
+	// On the slower links even a compressed configuration takes longer than silenceTimeout.
 	for _, mbps := range []float64{10, 1} {
 		t.Run(fmt.Sprint(mbps), func(t *testing.T) {
 			t.Parallel()
--- a/ingress/services/meters/meters.go
+++ b/ingress/services/meters/meters.go
@@ -91,8 +91,8 @@
 	m.batchItems.WithLabelValues(service, outcome).Add(float64(items))
 }
 
-// CountDropped counts n log lines that were dropped.
-func (m *Meters) CountDropped(reason string, n int) {
+// CountDroppedLines counts n log lines that were dropped.
+func (m *Meters) CountDroppedLines(reason string, n int) {
 	m.droppedLines.WithLabelValues(reason).Add(float64(n))
 }
 
--- a/ingress/services/reach/reach.go
+++ b/ingress/services/reach/reach.go
@@ -137,8 +137,8 @@
 	return errors.Join(err, failed)
 }
 
-// Warm opens a connection in advance for the next request to a server.
-func (c *Client) Warm(address netip.AddrPort) { c.spares.warm(address) }
+// Preconnect opens a connection in advance for the next request to a server.
+func (c *Client) Preconnect(address netip.AddrPort) { c.spares.preconnect(address) }
 
 // closeWait is how long IsUp waits for a connection to be closed by a relay that accepted it in
 // place of a server that is down.
--- a/ingress/services/reach/spares.go
+++ b/ingress/services/reach/spares.go
@@ -84,8 +84,8 @@
 	return err == nil && usable
 }
 
-// warm opens a spare connection in the background unless a recent one exists.
-func (s *spares) warm(address netip.AddrPort) {
+// preconnect opens a spare connection in the background unless a recent one exists.
+func (s *spares) preconnect(address netip.AddrPort) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	name := address.String()
--- a/ingress/services/reach/spares_test.go
+++ b/ingress/services/reach/spares_test.go
@@ -77,7 +77,7 @@
 	is := is.New(t)
 	s := newServer(t)
 	c := reach.NewClient(nil)
-	c.Warm(s.address())
+	c.Preconnect(s.address())
 	spare := <-s.accepted
 	time.Sleep(50 * time.Millisecond) // until the client has stored it
 	served := make(chan error, 1)
@@ -96,7 +96,7 @@
 	is := is.New(t)
 	s := newServer(t)
 	c := reach.NewClient(nil)
-	c.Warm(s.address())
+	c.Preconnect(s.address())
 	spare := <-s.accepted
 	is.NoErr(spare.Close())
 	time.Sleep(50 * time.Millisecond)
--- a/ingress/services/stages/batcher.go
+++ b/ingress/services/stages/batcher.go
@@ -30,8 +30,8 @@
 	Produce(ctx context.Context, server site.Server, items []site.Item) (site.BatchAnswer, error)
 	// Release releases results at the server that holds them.
 	Release(ctx context.Context, holder netip.AddrPort, handles []string) error
-	// Warm opens a connection in advance, for the next call to a server.
-	Warm(server site.Server)
+	// Preconnect opens a connection in advance, for the next call to a server.
+	Preconnect(server site.Server)
 	// ReadHolder returns the address of the server that holds a result.
 	ReadHolder(handle string) (netip.AddrPort, error)
 }
@@ -246,7 +246,7 @@
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	b.options.Pools.Warm(c.Server)
+	b.options.Pools.Preconnect(c.Server)
 	answer, err := b.options.Pools.Produce(ctx, c.Server, c.Items)
 	took := time.Since(start)
 	outcome := "answered"
--- a/ingress/services/stages/producer_test.go
+++ b/ingress/services/stages/producer_test.go
@@ -48,7 +48,7 @@
 	return netip.ParseAddrPort(address)
 }
 
-func (instantPool) Warm(site.Server) {}
+func (instantPool) Preconnect(site.Server) {}
 
 func (instantPool) Release(context.Context, netip.AddrPort, []string) error { return nil }
 
@@ -57,7 +57,7 @@
 func (noMeter) CountBatch(string, string, int, time.Duration) {}
 
 // Guards against a request that is answered as canceled although its caller is still waiting: the
-// batcher that has its job is told to stop and cancels it. This ingress must run the job itself.
+// batcher that has its job is asked to stop and cancels it. This ingress must run the job itself.
 func TestJobDroppedByItsBatcherRunsLocally(t *testing.T) {
 	is := is.New(t)
 	log := zap.NewNop()
--- a/ingress/services/state/evacuation_test.go
+++ b/ingress/services/state/evacuation_test.go
@@ -45,7 +45,7 @@
 	follower.ApplyDelta(b.Since(4))
 	is.Equal(countReady(follower), 2)
 	for _, s := range follower.View().Servers["engines"] {
-		is.True(!s.ColdUntil.IsZero()) // n: its evacuation just ended; s: its registration says so
+		is.True(!s.ColdUntil.IsZero()) // n: its evacuation just ended; s: its registration states it
 	}
 }
 
--- a/share/decide/alive/alive.go
+++ b/share/decide/alive/alive.go
@@ -126,7 +126,7 @@
 func (s *Set) Evacuate(domain string) { s.evacuated[domain] = true }
 
 // EndEvacuation lets the servers of a failure domain take work again. They count as cold for
-// the coldTime of their service, or longer if their registration says so.
+// the coldTime of their service, or longer if their registration states a longer time.
 //
 // Without the cold time they would get too many requests for a second: they are cold when the
 // evacuation ends, but report this up to a heartbeat later.
--- a/share/decide/batch/finish.go
+++ b/share/decide/batch/finish.go
@@ -36,7 +36,7 @@
 	}
 	a := Actions{}
 	if failed && !r.Unsent {
-		p.noteFailedCall(&a, call)
+		p.recordFailedCall(&a, call)
 	}
 	mayRetry := true
 	if failed || isRefused(results) {
@@ -59,10 +59,10 @@
 // maxSuspects limits the size of Planner.suspects; an arbitrary entry is removed to make room.
 const maxSuspects = 256
 
-// noteFailedCall records a call that failed after it was sent. It counts against each job in the
+// recordFailedCall records a call that failed after it was sent. It counts against each job in the
 // call, and a job with too many failed calls is sent alone from then on. That distinguishes a
 // request whose items crash servers from requests that only shared a call with it.
-func (p *Planner) noteFailedCall(a *Actions, call *Call) {
+func (p *Planner) recordFailedCall(a *Actions, call *Call) {
 	jobs := []*job{}
 	for _, ref := range call.refs {
 		if !slices.Contains(jobs, ref.job) {
--- a/share/decide/batch/worker.go
+++ b/share/decide/batch/worker.go
@@ -38,11 +38,11 @@
 	plannedBytes map[uint64]int64
 	// held holds the results at the server by handle.
 	held map[string]heldResult
-	// foreignBytes is memory that this planner did not plan, estimated at foreignNoted:
+	// foreignBytes is memory that this planner did not plan, estimated at foreignRaisedAt:
 	// results that another planner had produced before this one took over, or results larger
 	// than stated.
-	foreignBytes int64
-	foreignNoted time.Time
+	foreignBytes    int64
+	foreignRaisedAt time.Time
 	// memoryWaitSince is when the server began to wait for free memory; zero if it does not.
 	memoryWaitSince time.Time
 	// reportedIdle is set if the last answer reported that the server has no work besides the
@@ -145,15 +145,15 @@
 			w.hold(result.Handle, call.refs[i].job.ResultBytes, now.Add(pool.ResultTTL))
 		}
 	}
-	w.noteForeignBytes(now, call, results, pool)
+	w.raiseForeignBytes(now, call, results, pool)
 }
 
-// noteForeignBytes raises the estimate of foreign memory if items found no memory although
+// raiseForeignBytes raises the estimate of foreign memory if items found no memory although
 // the planner had counted on it.
 //
 // Otherwise, after another planner has batched for the service, items would be sent again and
 // again to a full server, because this planner does not know the results held there.
-func (w *worker) noteForeignBytes(now time.Time, call *Call, results []site.ItemResult, pool site.Pool) {
+func (w *worker) raiseForeignBytes(now time.Time, call *Call, results []site.ItemResult, pool site.Pool) {
 	missing := int64(0)
 	for i, result := range results {
 		if result.Outcome == site.ItemNoRoom {
@@ -164,7 +164,7 @@
 		return
 	}
 	w.foreignBytes = min(w.foreignBytesAt(now, pool.ResultTTL)+missingWeight*missing, pool.ResultMemoryBytes)
-	w.foreignNoted = now
+	w.foreignRaisedAt = now
 	w.trustedFrom = now.Add(pool.ResultTTL)
 }
 
@@ -179,7 +179,7 @@
 	if w.foreignBytes == 0 || keep <= 0 {
 		return 0
 	}
-	left := 1 - float64(now.Sub(w.foreignNoted))/float64(keep/foreignKeepDivisor)
+	left := 1 - float64(now.Sub(w.foreignRaisedAt))/float64(keep/foreignKeepDivisor)
 	return int64(max(left, 0) * float64(w.foreignBytes))
 }
 
--- a/share/decide/poison/poison_test.go
+++ b/share/decide/poison/poison_test.go
@@ -11,9 +11,9 @@
 	"verbenaroad.example/share/models/site"
 )
 
-var begin = time.Unix(1000, 0) //nolint:gochecknoglobals // a constant in all but syntax
+var start = time.Unix(1000, 0) //nolint:gochecknoglobals // a constant in all but syntax
 
-func after(d time.Duration) time.Time { return begin.Add(d) }
+func after(d time.Duration) time.Time { return start.Add(d) }
 
 // newCrash returns a crash whose attempt broke 100 ms after it was sent.
 func newCrash(server string, sent time.Duration) poison.Crash {
@@ -40,13 +40,13 @@
 func TestRequestThatCrashesServersInSequenceIsPoison(t *testing.T) {
 	is := is.New(t)
 	c := poison.NewCrashCounter(3)
-	is.True(!c.IsPoison(c.Record(begin, "a", newCrash("s1", 0))))
-	is.True(!c.IsPoison(c.Record(begin, "a", newCrash("s2", time.Second))))
-	s := c.Record(begin, "a", newCrash("s3", 2*time.Second))
+	is.True(!c.IsPoison(c.Record(start, "a", newCrash("s1", 0))))
+	is.True(!c.IsPoison(c.Record(start, "a", newCrash("s2", time.Second))))
+	s := c.Record(start, "a", newCrash("s3", 2*time.Second))
 	is.True(c.IsPoison(s))
 	is.Equal(s.Servers, []string{"s1", "s2", "s3"})
 	is.Equal(s.Versions, []string{"v1"})
-	is.True(!c.IsPoison(c.Record(begin, "b", newCrash("s3", 2*time.Second))))
+	is.True(!c.IsPoison(c.Record(start, "b", newCrash("s3", 2*time.Second))))
 }
 
 // Guards against a harmless request being quarantined because all servers of a failure domain
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	c := poison.NewCrashCounter(3)
 	for n := range 10 {
-		is.True(!c.IsPoison(c.Record(begin, "a", newCrash(fmt.Sprint("s", n), time.Duration(n)*5*time.Millisecond))))
+		is.True(!c.IsPoison(c.Record(start, "a", newCrash(fmt.Sprint("s", n), time.Duration(n)*5*time.Millisecond))))
 	}
 }
 
@@ -63,9 +63,9 @@
 func TestCrashReportsMayArriveOutOfOrder(t *testing.T) {
 	is := is.New(t)
 	c := poison.NewCrashCounter(3)
-	c.Record(begin, "a", newCrash("s3", 2*time.Second))
-	c.Record(begin, "a", newCrash("s1", 0))
-	is.True(c.IsPoison(c.Record(begin, "a", newCrash("s2", time.Second))))
+	c.Record(start, "a", newCrash("s3", 2*time.Second))
+	c.Record(start, "a", newCrash("s1", 0))
+	is.True(c.IsPoison(c.Record(start, "a", newCrash("s2", time.Second))))
 }
 
 // Guards against a harmless request being quarantined because it was sent repeatedly to the same
@@ -74,7 +74,7 @@
 	is := is.New(t)
 	c := poison.NewCrashCounter(3)
 	for n := range 10 {
-		is.True(!c.IsPoison(c.Record(begin, "a", newCrash("s1", time.Duration(n)*time.Second))))
+		is.True(!c.IsPoison(c.Record(start, "a", newCrash("s1", time.Duration(n)*time.Second))))
 	}
 }
 
@@ -83,17 +83,17 @@
 func TestServedRequestIsNoLongerSuspect(t *testing.T) {
 	is := is.New(t)
 	c := poison.NewCrashCounter(3)
-	c.Record(begin, "a", newCrash("s1", 0))
-	c.Record(begin, "a", newCrash("s2", time.Second))
+	c.Record(start, "a", newCrash("s1", 0))
+	c.Record(start, "a", newCrash("s2", time.Second))
 	c.Clear("a")
-	is.True(!c.IsPoison(c.Record(begin, "a", newCrash("s3", 2*time.Second))))
+	is.True(!c.IsPoison(c.Record(start, "a", newCrash("s3", 2*time.Second))))
 }
 
 // Guards against crashes being counted against a request forever.
 func TestOldCrashesExpire(t *testing.T) {
 	is := is.New(t)
 	c := poison.NewCrashCounter(2)
-	c.Record(begin, "a", newCrash("s1", 0))
+	c.Record(start, "a", newCrash("s1", 0))
 	is.True(!c.IsPoison(c.Record(after(time.Hour), "a", newCrash("s2", time.Hour))))
 }
 
@@ -139,10 +139,10 @@
 func TestTrialsFollowTheSchedule(t *testing.T) {
 	is := is.New(t)
 	schedule := poison.DefaultTrialSchedule()
-	is.True(!schedule.IsDue(after(29*time.Second), begin, 0))
-	is.True(schedule.IsDue(after(30*time.Second), begin, 0))
-	is.True(!schedule.IsDue(after(30*time.Second), begin, 1))
-	is.True(schedule.IsDue(after(time.Hour), begin, 1))
-	is.True(!schedule.IsDue(after(time.Hour), begin, 2))
+	is.True(!schedule.IsDue(after(29*time.Second), start, 0))
+	is.True(schedule.IsDue(after(30*time.Second), start, 0))
+	is.True(!schedule.IsDue(after(30*time.Second), start, 1))
+	is.True(schedule.IsDue(after(time.Hour), start, 1))
+	is.True(!schedule.IsDue(after(time.Hour), start, 2))
 	is.True(!schedule.IsDue(after(time.Hour), time.Time{}, 0)) // the start of the quarantine is unknown
 }
--- a/share/decide/route/explain.go
+++ b/share/decide/route/explain.go
@@ -16,7 +16,7 @@
 	ReasonNotInSubset Reason = "not-in-subset"
 )
 
-// Explanation says why an agent may or may not be chosen, with the terms of its score. With
+// Explanation describes why an agent may or may not be chosen, with the terms of its score. With
 // PolicyDeadline, Score = Wait + SlowStartPenalty - Affinity - Preference; the other policies leave
 // out Affinity and Preference.
 type Explanation struct {
--- a/share/modules/link/exchange.go
+++ b/share/modules/link/exchange.go
@@ -121,7 +121,7 @@
 }
 
 // ReportCrash reports to a peer that an attempt of a request ended because its server crashed. The
-// answer tells whether the request is quarantined.
+// answer reports whether the request is quarantined.
 func ReportCrash(ctx context.Context, s *Session, crash *wire.Crash) (*wire.CrashNoted, error) {
 	frame, err := exchange(ctx, s, &wire.Frame{Body: &wire.Frame_Crash{Crash: crash}})
 	if err != nil {
