--- a/share/decide/batch/batch.go
+++ b/share/decide/batch/batch.go
@@ -106,7 +106,8 @@
 	RetryAfter time.Duration
 	// Backlog is the queue that a new job would find.
 	Backlog delay.Backlog
-	// InputsReleased reports that the planner has already had the inputs of the job released.
+	// InputsReleased is set if the planner has already handed out the inputs of the job for
+	// release.
 	InputsReleased bool
 }
 
--- a/share/decide/batch/fill.go
+++ b/share/decide/batch/fill.go
@@ -75,8 +75,9 @@
 	return true
 }
 
-// maySplit reports whether a job may be split over several calls: it is larger than any call or
-// the memory of any server, or smaller jobs have overtaken it for too long.
+// maySplit reports whether a job may be split over several calls: it does not fit into one call or
+// into the memory of one server, or it arrived at least splitAfter ago and smaller jobs may have
+// overtaken it since.
 func (p *Planner) maySplit(now time.Time, j *job) bool {
 	room := int64(plannedMemoryShare * float64(p.pool.ResultMemoryBytes))
 	tooLarge := len(j.queued) > p.pool.MaxBatch || int64(len(j.queued))*j.ResultBytes > room
--- a/share/decide/batch/gather_test.go
+++ b/share/decide/batch/gather_test.go
@@ -9,9 +9,9 @@
 	"verbenaroad.example/share/decide/batch"
 )
 
-// A page of a caller sends three requests within 10 ms, as half of all requests are sent. A call
-// started with the first of them would take 200 ms or more for one job while the others wait for the
-// next server. All three must share one call, sent 20 ms after the first request arrived.
+// A caller's page sends three requests within 10 ms; half of all requests arrive in this way. A
+// call started with the first of them would take 200 ms or more for one job while the others wait
+// for the next server. All three must share one call, sent 20 ms after the first request arrived.
 func TestRequestsSentTogetherShareACall(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
--- a/share/decide/batch/inputs.go
+++ b/share/decide/batch/inputs.go
@@ -17,13 +17,14 @@
 // that cannot be known before the call has ended.
 //
 // A server fetches the inputs of a call when it starts the call; the server that holds them can
-// release them after that. Held until the call has ended, they would take memory for nothing, and
-// in a burst the memory of the pools is the bottleneck.
+// release them after that. If they were kept until the call has ended, they would take memory for
+// nothing, and in a burst the memory of the pools is the bottleneck.
 //
-// Inputs that are released too early cost the whole chain of their request, and a call waits at
-// its server if another planner's call is there. Therefore a time is only predicted for a server
-// whose last answer reported no other work and which has not refused a call, failed or run out of
-// memory within the keep time of results. Servers do all of these after another planner's calls.
+// If inputs are released too early, the entire chain of their request has to run again. This
+// happens if a call has to wait at its server for a call of another planner. Therefore a time is
+// only predicted for a server whose last answer reported no other work and which has not refused a
+// call, failed or run out of memory within the keep time of results. Each of these can be the
+// effect of another planner's calls.
 func (p *Planner) predictFetch(w *worker, c *Call) time.Time {
 	if w.current != c || p.pool.LinkRate <= 0 || !w.reportedIdle || c.started.Before(w.trustedFrom) {
 		return time.Time{}
--- a/share/decide/batch/inputs_test.go
+++ b/share/decide/batch/inputs_test.go
@@ -195,8 +195,9 @@
 }
 
 // Both deployments have a pool with memory for 35 or 70 results of 60 KB; each request passes four
-// to six to the next pool. In a burst that memory is the bottleneck: at 53 requests per second, the
-// 212 results that calls can produce, holding inputs until the second call ends makes a tenth late.
+// to six to the next pool. In a burst this memory is the bottleneck: at 53 requests per second,
+// whose 212 results calls can just produce, a tenth is late if inputs are held until the second
+// call ends.
 func TestInputsReleasedEarlyCarryABurst(t *testing.T) {
 	is := is.New(t)
 	offered, held := newChainSimulation(false).run(53)
--- a/share/decide/batch/residency_test.go
+++ b/share/decide/batch/residency_test.go
@@ -42,8 +42,8 @@
 	for _, c := range calls {
 		items += len(c.Items)
 		for _, item := range c.Items {
-			bound := item.AttemptID == "1" || item.AttemptID == "4" || item.AttemptID == "7"
-			is.True(!bound || c.Server.Domain == "b1")
+			restricted := item.AttemptID == "1" || item.AttemptID == "4" || item.AttemptID == "7"
+			is.True(!restricted || c.Server.Domain == "b1")
 		}
 	}
 	is.Equal(items, 9)
--- a/share/decide/batch/worker.go
+++ b/share/decide/batch/worker.go
@@ -43,7 +43,8 @@
 	// than stated.
 	foreignBytes    int64
 	foreignRaisedAt time.Time
-	// memoryWaitSince is when the server began to wait for free memory; zero if it does not.
+	// memoryWaitSince is when the planner began to wait for more free memory at the server; zero
+	// if it does not wait.
 	memoryWaitSince time.Time
 	// reportedIdle is set if the last answer reported that the server has no work besides the
 	// calls of this planner. It does not count for calls sent before trustedFrom.
--- a/share/decide/chain/chain.go
+++ b/share/decide/chain/chain.go
@@ -165,13 +165,13 @@
 	return r.ProcessingTime(results, 0)
 }
 
-// ShouldStart reports whether a stage that has all its inputs starts now. MaxStagesLeft is the
-// maximum of StagesLeft over the stages that have not ended.
+// ShouldStart reports whether a stage that has all its inputs starts now. The parameter
+// maxStagesLeft is the maximum of StagesLeft over the stages that have not ended.
 //
 // A stage on a shorter path waits until the other stages have no more stages left than it
-// has. Started earlier, it would only fill the memory of its server with results that cannot
-// be used until the longer path has caught up. Such results are often the large ones, of
-// which a server can hold few.
+// has. If it started earlier, it would only fill the memory of its server with results that
+// cannot be used until the longer path has caught up. Such results are often the large ones,
+// of which a server can hold few.
 func (p Plan) ShouldStart(stage, maxStagesLeft int) bool {
 	return p.StagesLeft[stage] >= maxStagesLeft
 }
--- a/share/decide/chain/chain_test.go
+++ b/share/decide/chain/chain_test.go
@@ -66,8 +66,8 @@
 }
 
 // Guards against large results that fill the memory of their server for a second longer than
-// needed. Only the engine needs them, at the end: started together with the last stage of the
-// chain, their stage is done at the same time as it. The load has twenty such requests a second.
+// needed. Only the engine needs them, at the end, so their stage must start together with the last
+// stage of the chain; both then end at the same time. The load has twenty such requests a second.
 func TestLargeResultsAreProducedLast(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -110,7 +110,7 @@
 
 // Guards against estimates from the current queues alone. At the start of a burst a hundred
 // requests are in their first stage and the later queues are still empty, but they will be full
-// when the next request gets there: pending results count, less those produced until then.
+// when the next request gets there: the pending results count, minus those produced by then.
 func TestPlanCountsPendingResults(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -145,7 +145,7 @@
 }
 
 // A burst of reviews fills the queue of the first stage, and more are pending; notes have a more
-// urgent rank. Estimated from the whole queue, a note would wait 3 s and be refused, but only
+// urgent rank. By an estimate from the whole queue, a note would wait 3 s and be refused, but only
 // other notes are served before it. A chat, less urgent than both, must not be admitted.
 func TestAdmitByRank(t *testing.T) {
 	is := is.New(t)
--- a/share/decide/feed/feed.go
+++ b/share/decide/feed/feed.go
@@ -9,7 +9,8 @@
 //
 // The input is the set of reachable ingresses, the status that they report of their own
 // connection to the store, and the state of the stream from the followed ingress. The output is
-// which ingress to follow, whose digests to compare, and whether to read the store directly.
+// which ingress to follow, whose reported revisions to compare with those reached here, and whether
+// to read the store directly.
 package feed
 
 import (
@@ -42,7 +43,7 @@
 	// ingresses start, and to an ingress that has just started and must itself catch up.
 	settleTime = 3 * time.Second
 	// noSourceDelay is how long an ingress without a source waits before it reads the store
-	// directly. noSourceJitter bounds the additional delay, which depends on the ingress's
+	// directly. noSourceJitter limits the additional delay, which depends on the ingress's
 	// name.
 	//
 	// The jitter prevents a thundering herd: a whole failure domain loses its source at the
@@ -51,10 +52,10 @@
 	noSourceJitter = 500 * time.Millisecond
 	// initialDelay is how long a starting ingress waits for its first snapshot, in addition to
 	// noSourceTimeout, before it reads the store directly. initialDelayWithSource applies
-	// instead if it follows a healthy source, which must read the snapshot itself.
+	// instead if it follows a healthy source, which must first read the snapshot itself.
 	//
-	// The delays limit the load when many ingresses start at once: if each read full listings,
-	// this would be more than the store can send in seconds.
+	// The delays limit the load when many ingresses start at once: if each of them read a full
+	// listing, the store could not send them all within seconds.
 	initialDelay           = time.Second
 	initialDelayWithSource = 5 * time.Second
 	// readLinger is how long an ingress continues to read the store when it no longer needs
@@ -92,8 +93,8 @@
 type Plan struct {
 	// Follow is the ingress to receive pushed changes from; empty: none.
 	Follow string
-	// Check is an ingress of another failure domain whose digests are compared with the own
-	// records; empty: none.
+	// Check is an ingress of another failure domain whose reported revisions are compared with
+	// those reached here; empty: none.
 	Check string
 	// Read is set if this ingress must read the store directly.
 	Read bool
@@ -211,13 +212,14 @@
 }
 
 // ObserveOwnAge processes the time since the store last answered this ingress itself. If it is
-// too long, this ingress does not choose itself until the next plan.
+// too long, and this ingress has a first snapshot, it is not a candidate for the reader of its
+// failure domain in the next plan, unless there is no other candidate.
 func (c *Chooser) ObserveOwnAge(now time.Time, age time.Duration) {
-	bound := maxSourceAge
+	limit := maxSourceAge
 	if !c.reading {
-		bound = maxOwnAge // it asks the store less often
+		limit = maxOwnAge // this ingress asks the store less often
 	}
-	if c.listed && age > bound {
+	if c.listed && age > limit {
 		c.suspectedUntil[c.self.Name] = now.Add(maxPlanInterval)
 	}
 }
@@ -266,7 +268,7 @@
 	}
 }
 
-// ObserveMessageEnd records that such a message was received completely and applied, or was
+// ObserveMessageEnd records that a message of records was received completely and applied, or was
 // abandoned.
 func (c *Chooser) ObserveMessageEnd(fromSource bool) {
 	c.partAt = time.Time{}
@@ -454,18 +456,18 @@
 	if c.listed {
 		return false
 	}
-	bound := initialDelay
+	delay := initialDelay
 	if c.IsSourceFresh(now) {
-		bound = initialDelayWithSource
+		delay = initialDelayWithSource
 	}
-	return now.Sub(c.startedAt) >= bound+c.noSourceTimeout()
+	return now.Sub(c.startedAt) >= delay+c.noSourceTimeout()
 }
 
 // noSourceTimeout returns how long this ingress waits without a source before it reads the store
 // directly.
 func (c *Chooser) noSourceTimeout() time.Duration {
-	part := float64(rhash.Score("patience", c.self.Name)>>scoreShift) / (1 << scoreBits)
-	return noSourceDelay + time.Duration(part*float64(noSourceJitter))
+	fraction := float64(rhash.Score("patience", c.self.Name)>>scoreShift) / (1 << scoreBits)
+	return noSourceDelay + time.Duration(fraction*float64(noSourceJitter))
 }
 
 const (
--- a/share/decide/feed/fleet_test.go
+++ b/share/decide/feed/fleet_test.go
@@ -289,7 +289,7 @@
 // store, one alone or one in each failure domain at the same time, just before a server leaves.
 // Every other ingress must learn of this while the server still accepts the requests sent to it.
 func TestLostSourcesAreReplacedInTime(t *testing.T) {
-	const bound = 2200 * time.Millisecond // the shortest drain is 2.5 s
+	const limit = 2200 * time.Millisecond // the shortest drain is 2.5 s
 	for _, c := range []struct{ size, domains int }{{6, 3}, {68, 6}, {420, 7}} {
 		for _, failure := range []string{"killed", "frozen", "disconnected"} {
 			for _, count := range []int{1, c.domains} {
@@ -307,7 +307,7 @@
 						n.disconnected = failure == "disconnected"
 					}
 					f.revision++
-					is.True(f.stepUntilSynced(5*time.Second) <= bound)
+					is.True(f.stepUntilSynced(5*time.Second) <= limit)
 					f.stepMany(settleTicks)
 					is.True(f.countReaders() <= c.domains+count)
 				})
