--- a/ingress/services/flow/plain.go
+++ b/ingress/services/flow/plain.go
@@ -23,7 +23,7 @@
 	// maxSends limits how many servers are tried in turn while none of them runs the request.
 	maxSends = 3
 	// answerGrace is added to the timeout of an attempt: a server that stops at the deadline
-	// states so itself, and its answer takes time to arrive.
+	// answers that it did so, and this answer takes time to arrive.
 	answerGrace = 150 * time.Millisecond
 	// maxBufferedBytes limits how much of a plain answer is buffered before any of it is
 	// delivered. A shorter answer is only delivered complete.
@@ -228,8 +228,8 @@
 	return verdict{result: refused}
 }
 
-// overloadRetryAfter returns the Retry-After for a service whose servers are full: about the latency
-// target, after which it likely accepts requests again.
+// overloadRetryAfter returns the Retry-After for a service whose servers are full: about the
+// latency target, after which it likely accepts requests again.
 func (x *exchange) overloadRetryAfter() time.Duration {
 	return max(x.route.LatencyTarget, shortRetryAfter)
 }
--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -19,7 +19,7 @@
 	"verbenaroad.example/share/modules/logs"
 )
 
-// serveStream has the results of the stages produced and relays the events of an engine.
+// serveStream runs the stages of the request and relays the events of an engine.
 func (x *exchange) serveStream(ctx context.Context, w http.ResponseWriter) *codes.Result {
 	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
@@ -116,7 +116,7 @@
 	lastID string
 }
 
-// produceResults has the results of the stages produced unless they exist already.
+// produceResults runs the stages of the request unless their results exist already.
 func (r *relay) produceResults(ctx context.Context) *codes.Result {
 	if len(r.route.Stages) == 0 || r.results != nil {
 		return nil
--- a/ingress/services/mesh/deltas_test.go
+++ b/ingress/services/mesh/deltas_test.go
@@ -26,7 +26,8 @@
 	return d
 }
 
-// Guards against a delta that the receiver decodes differently, in the plain and the compressed form.
+// Guards against a delta that the receiver decodes differently, in the plain and the compressed
+// form.
 func TestDeltaRoundTrip(t *testing.T) {
 	for _, servers := range []int{0, 3, 3000} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
--- a/ingress/services/mesh/feeder.go
+++ b/ingress/services/mesh/feeder.go
@@ -224,7 +224,8 @@
 	}
 }
 
-// observeSourceEnd records the end of such a message and returns how long its transfer took.
+// observeSourceEnd records that a message from the followed ingress ended, and returns how long its
+// transfer took.
 func (f *Feeder) observeSourceEnd() time.Duration {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -248,7 +249,7 @@
 	f.chooser.ObserveMessagePart(time.Now(), false)
 }
 
-// ObserveMessageEnd records that such a message was received and applied, or abandoned.
+// ObserveMessageEnd records that a requested message was received and applied, or abandoned.
 func (f *Feeder) ObserveMessageEnd() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -276,7 +277,7 @@
 // ObserveStoreStatus processes the store status in a heartbeat of another ingress.
 //
 // A status of the fresh source confirms the records here if they are complete up to its newest
-// change. If another ingress stays ahead of the records here, it is asked for what is missing.
+// change. If another ingress stays ahead of the records here, it is asked for the missing ones.
 func (f *Feeder) ObserveStoreStatus(name string, reading *wire.Reading) {
 	now := time.Now()
 	theirs := decodeExtent(reading)
@@ -298,15 +299,16 @@
 	}
 }
 
-// runConnect opens a session to an ingress whose heartbeats are compared with the own records.
+// runConnect opens a session to an ingress, so that the revisions in its heartbeats can be compared
+// with those reached here.
 func (f *Feeder) runConnect(ctx context.Context, name string) {
 	if err := f.options.Mesh.Connect(ctx, name); err != nil {
 		f.options.Log.Debug("check-peer-unreachable", zap.String("ingress", name), logs.Err(err))
 	}
 }
 
-// ServeFollower sends a follower what its copy of the records, which is complete up to the given
-// revision, lacks, now and after each change, until the context ends.
+// ServeFollower sends a follower the records that its copy lacks, at once and after each change,
+// until the context ends. The copy is complete up to the given revision.
 func (f *Feeder) ServeFollower(ctx context.Context, stream net.Conn, revision uint64) {
 	f.addFollower(1)
 	defer f.addFollower(-1)
@@ -334,7 +336,7 @@
 }
 
 // encodedDelta is the encoded delta for a copy that was complete up to revision from. The records
-// here had reached at least the given extent when it was made.
+// here had reached at least the given extent when it was encoded.
 type encodedDelta struct {
 	from    uint64
 	extent  state.Extent
--- a/ingress/services/mesh/fleet_test.go
+++ b/ingress/services/mesh/fleet_test.go
@@ -384,7 +384,8 @@
 	}
 }
 
-// wait waits until a condition holds at all instances and returns how long that took, at most limit.
+// wait waits until a condition holds at all instances and returns how long that took, at most
+// limit.
 func (f *fleet) wait(limit time.Duration, check func(i *instance) bool) time.Duration {
 	began := time.Now()
 	for time.Since(began) < limit {
--- a/ingress/services/mesh/mesh.go
+++ b/ingress/services/mesh/mesh.go
@@ -165,7 +165,8 @@
 	return names
 }
 
-// distance returns 0 in the own failure domain, 1 in the own region, 2 in another region.
+// distance returns 0 for an ingress in the own failure domain, 1 for another one in the own region,
+// and 2 for one in another region.
 func (m *Mesh) distance(i site.Ingress) int {
 	switch {
 	case i.Domain == m.options.Self.Domain:
@@ -275,7 +276,7 @@
 	return link.Sync(ctx, session, s, syncStallTimeout, onArrival)
 }
 
-// SyncAddress does the same with an ingress of which only the address is known.
+// SyncAddress is like Sync, for an ingress of which only the address is known.
 func (m *Mesh) SyncAddress(ctx context.Context, address netip.AddrPort, s *wire.Sync, onArrival func()) (*wire.Records, error) {
 	if address == m.options.Self.Address {
 		return nil, ErrMesh.New("address %s belongs to this ingress itself", address)
--- a/ingress/services/mesh/puller.go
+++ b/ingress/services/mesh/puller.go
@@ -31,16 +31,16 @@
 	pullTimeout = 10 * time.Second
 )
 
-// Puller requests records from other ingresses that do not reach this one in another way.
+// Puller asks other ingresses for records that this one does not receive in another way.
 //
 // Without it, an ingress that the store rejects while it serves the others would keep a stale
-// configuration and handle requests by rules that are no longer in force. An ingress asks peers only
-// if it has no first snapshot yet, if the store answers neither it nor the ingress that it follows,
-// or if a peer has reported newer records.
+// configuration and handle requests by rules that are no longer in force. An ingress asks peers
+// only if it has no first snapshot yet, if the store answers neither it nor the ingress that it
+// follows, or if a peer has reported newer records.
 type Puller struct {
 	Mesh *Mesh
 	Book *state.Book
-	// Feed reports how this ingress receives records otherwise.
+	// Feed reports whether this ingress receives records in another way.
 	Feed Feed
 	// Seeds are the addresses of ingresses to ask while no other ingress is reachable.
 	Seeds []netip.AddrPort
@@ -49,8 +49,8 @@
 	startedAt time.Time
 }
 
-// Feed reports how this ingress receives records without a Puller, and is informed about the
-// answers to a Puller's requests.
+// Feed reports whether this ingress receives records in another way than by a Puller. It also
+// observes the answers to a Puller's requests.
 type Feed interface {
 	// IsFollowing reports whether this ingress follows another one.
 	IsFollowing() bool
@@ -58,7 +58,7 @@
 	IsReceiving() bool
 	// ObserveMessagePart records that a part of a requested message of records arrived.
 	ObserveMessagePart()
-	// ObserveMessageEnd records that such a message was received and applied, or abandoned.
+	// ObserveMessageEnd records that a requested message was received and applied, or abandoned.
 	ObserveMessageEnd()
 }
 
--- a/ingress/services/stages/chain.go
+++ b/ingress/services/stages/chain.go
@@ -27,7 +27,8 @@
 	ItemCounts []int
 	Stages     []site.Stage
 	Rank       site.Rank
-	// Target is when the answer of the request should begin, Deadline when its caller stops waiting.
+	// Target is when the answer of the request should begin, Deadline when its caller stops
+	// waiting.
 	Target   time.Time
 	Deadline time.Time
 	// Residency limits the regions in which the results may be produced.
--- a/ingress/services/stages/inputs.go
+++ b/ingress/services/stages/inputs.go
@@ -6,8 +6,8 @@
 
 // preferredDomain returns the failure domain in which the results of a stage are best produced:
 // that of the engine or, if the inputs of an item are larger than its result, that of the inputs.
-// Each item fetches all inputs: ten generated texts of 6 KB from six passages of 60 KB fetch 3.6 MB,
-// and bytes transferred between domains are billed.
+// Each item fetches all inputs: ten texts of 6 KB that are generated from six passages of 60 KB
+// fetch 3.6 MB, and bytes transferred between domains are billed.
 func (r *chainRun) preferredDomain(stage int, in stageInputs) string {
 	if in.bytes <= r.Stages[stage].ResultBytes {
 		return r.Domain
--- a/ingress/services/stages/producer_test.go
+++ b/ingress/services/stages/producer_test.go
@@ -109,9 +109,9 @@
 	return answer, nil
 }
 
-// Six passages of 60 KB were produced in another failure domain than the engine's, where a server was
-// free. Guards against moving megabytes between domains: each of ten texts fetches all passages, so
-// the texts are produced in the passages' domain; only a few kilobytes then go to the engine.
+// Six passages of 60 KB were produced outside the engine's failure domain, where a server was free.
+// Guards against moving megabytes between domains: each of ten texts fetches all passages, so they
+// must be produced in the passages' domain; only a few kilobytes then go to the engine.
 func TestStageRunsInTheDomainOfLargeInputs(t *testing.T) {
 	is := is.New(t)
 	log := zap.NewNop()
--- a/ingress/services/stages/queues_test.go
+++ b/ingress/services/stages/queues_test.go
@@ -22,7 +22,8 @@
 
 var twoRegions = map[string]string{"n1": "north", "s1": "south"} //nolint:gochecknoglobals // a constant in all but syntax
 
-// newPoolView returns a view with one server of the service "encoders" in each given failure domain.
+// newPoolView returns a view with one server of the service "encoders" in each given failure
+// domain.
 func newPoolView(domains ...string) *state.View {
 	servers := []site.Server{}
 	for i, domain := range domains {
--- a/ingress/services/state/apply.go
+++ b/ingress/services/state/apply.go
@@ -80,9 +80,9 @@
 	return 0
 }
 
-// applyConfig applies a configuration if its version is higher than the current one. A lower version
-// comes from a peer or a listing page that is outdated. The current configuration also stays in
-// force if the record is unreadable or deleted, because its routes are still needed.
+// applyConfig applies a configuration if its version is higher than the current one. A lower
+// version comes from a peer or a listing page that is outdated. The current configuration also
+// stays in force if the record is unreadable or deleted, because its routes are still needed.
 func (b *Book) applyConfig(r site.Record, source string) {
 	if r.Deleted {
 		b.options.Log.Warn("config-kept", zap.String("reason", "the record was deleted"), zap.Uint64("revision", r.Revision))
--- a/ingress/services/state/evacuation_test.go
+++ b/ingress/services/state/evacuation_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Guards against an evacuation that stays in force because its record was deleted while this ingress
-// received no updates.
+// Guards against an evacuation that stays in force because its record was deleted while this
+// ingress received no updates.
 func TestEvacuationMissingInListingHasEnded(t *testing.T) {
 	is := is.New(t)
 	b := state.NewBook(state.Options{Codec: record.Codec{}, Log: zap.NewNop()})
--- a/ingress/services/state/register.go
+++ b/ingress/services/state/register.go
@@ -24,7 +24,7 @@
 	// renewalsPerLease is how many renewals are due within the TTL of a lease. Two of them may
 	// fail before the lease ends.
 	renewalsPerLease = 3
-	// leaseTimeout bounds each registration and each renewal. The store answers in milliseconds,
+	// leaseTimeout limits each registration and each renewal. The store answers in milliseconds,
 	// or within a second if it is slow. It never answers a call that was started while it did not
 	// respond.
 	leaseTimeout = time.Second
--- a/ingress/services/state/register_test.go
+++ b/ingress/services/state/register_test.go
@@ -105,9 +105,9 @@
 	is.True(renewals >= 3)
 }
 
-// A renewal times out, but the lease still exists. A new registration would be sent to every ingress
-// of the deployment, so the ingress must register again only if the store reports that the lease has
-// ended.
+// A renewal times out, but the lease still exists. A new registration would be sent to every
+// ingress of the deployment, so the ingress must register again only if the store reports that the
+// lease has ended.
 func TestTimedOutRenewalKeepsRegistration(t *testing.T) {
 	is := is.New(t)
 	s := &stubStore{renewErr: context.DeadlineExceeded}
--- a/ingress/services/state/state.go
+++ b/ingress/services/state/state.go
@@ -74,7 +74,7 @@
 type Book struct {
 	options Options
 	view    atomic.Pointer[View]
-	// lastAnswer is when the store last answered this ingress while it watches the store, or
+	// lastAnswer is when the store last answered this ingress while it watched the store, or
 	// answered the source, which is the ingress that this one follows. It is in nanoseconds since
 	// started.
 	lastAnswer atomic.Int64
@@ -132,7 +132,7 @@
 // View returns the current view.
 func (b *Book) View() *View { return b.view.Load() }
 
-// Age returns the time since the store last answered this ingress while it watches the store, or
+// Age returns the time since the store last answered this ingress while it watched the store, or
 // the ingress that it follows. Before the first such answer it is more than an hour.
 func (b *Book) Age() time.Duration {
 	return time.Since(b.started) - time.Duration(b.lastAnswer.Load())
@@ -344,9 +344,9 @@
 // errSilent is logged if the store did not answer this ingress for maxSilence.
 var errSilent = errors.New("the store answered no lease renewal in time")
 
-// CheckRenewals records that the store does not answer renewals if this ingress has watched the store
-// for maxSilence and received no answer in this time. It records that the store answers them again
-// once there is an answer.
+// CheckRenewals records that the store does not answer renewals if this ingress has watched the
+// store for maxSilence and received no answer in this time. It records that the store answers them
+// again once there is an answer.
 //
 // Without this check, servers would be dropped too early after an outage of the store that is
 // shorter than the wait of a watch: the open watch does not fail, and afterwards it reports the
@@ -389,9 +389,9 @@
 
 // peerRetention is how long an ingress stays in the view after its registration ended.
 //
-// Leases expire while the store is unavailable. Ingresses that observe this at different times would
-// choose different ingresses for the work of a service, so that it is batched in several places.
-// Peers detect by themselves that an ingress that has really stopped cannot be reached.
+// Leases expire while the store is unavailable. Ingresses that observe this at different times
+// would choose different ingresses for the work of a service, so that it is batched in several
+// places. Peers detect by themselves that an ingress that has really stopped cannot be reached.
 const peerRetention = 10 * time.Second
 
 // applyChanged updates the state derived from the records that changed and publishes a new view.
--- a/ingress/services/state/watch.go
+++ b/ingress/services/state/watch.go
@@ -47,15 +47,15 @@
 	sweepEvery = 200 * time.Millisecond
 )
 
-// allKeys is the prefix of all keys. One watch of all keys costs one call; a separate watch for each
-// kind of record would cost at least three.
+// allKeys is the prefix of all keys. One watch of all keys costs one call; a separate watch for
+// each kind of record would cost at least three.
 const allKeys = ""
 
 // Watcher applies the records of the store to a Book: it lists them and then watches for changes.
 type Watcher struct {
 	Book  *Book
 	Store Store
-	// Wait bounds one watch. The connection of an open watch may stop delivering for good while
+	// Wait limits one watch. The connection of an open watch may stop delivering for good while
 	// new ones work. A change is then observed after Wait at the latest.
 	Wait time.Duration
 	// HistoryGone is the error that the store returns if it no longer holds the changes after the
@@ -105,9 +105,9 @@
 	}
 }
 
-// unavailableSince returns since when the store may have been unavailable, given a call that failed.
-// A call that timed out shows nothing about the time since it began, so the store may have been
-// unavailable since then. Any other error shows the state of the store now.
+// unavailableSince returns since when the store may have been unavailable, given a call that
+// failed. A call that timed out shows nothing about the time since it began, so the store may have
+// been unavailable since then. Any other error shows the state of the store now.
 func unavailableSince(began time.Time, err error) time.Time {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return began
@@ -182,8 +182,7 @@
 	r.retry(ctx, r.listIngresses)
 }
 
-// retry repeats a step until it succeeds, the records have arrived from a peer, or the context
-// ends.
+// retry runs a step until it succeeds, the records have arrived from a peer, or the context ends.
 func (r *Reader) retry(ctx context.Context, step func(context.Context) error) {
 	pause := minRetryPause
 	for step(ctx) != nil && !r.Book.IsListed() {
