--- a/share/decide/admit/admit.go
+++ b/share/decide/admit/admit.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound the retry-after time sent to callers.
+	// minRetryAfter and maxRetryAfter limit the retry-after time sent to callers.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
--- a/share/decide/budget/budget.go
+++ b/share/decide/budget/budget.go
@@ -1,12 +1,12 @@
-// Package budget implements the retry budget of a service: it bounds how many requests are
-// retried. The bound holds for all ingresses together over any span of one window. Each ingress
+// Package budget implements the retry budget of a service: it limits how many requests are
+// retried. The limit holds for all ingresses together over any span of one window. Each ingress
 // keeps to its own part of it without communication, so it also holds while the ingresses
 // cannot reach each other.
 package budget
 
 import "time"
 
-// Settings define the bound of a deployment.
+// Settings define the limit of a deployment.
 type Settings struct {
 	// Ratio is the share of a window's requests that may be retried.
 	Ratio float64
@@ -17,7 +17,7 @@
 	Window time.Duration
 }
 
-// usableShare is the share of the bound that is used. The rest covers requests that arrive, and
+// usableShare is the share of the limit that is used. The rest covers requests that arrive, and
 // are counted, in another window than the one they were sent in, and an ingress that was
 // replaced and starts counting from zero.
 const usableShare = 0.7
@@ -46,13 +46,13 @@
 }
 
 // TakeRetries counts n retries and returns true, or counts none and returns false if they
-// exceed this ingress's part of the bound. The argument ingresses is the highest number of
+// exceed this ingress's part of the limit. The argument ingresses is the highest number of
 // ingresses that may use the budget at the same time.
 func (b *Budget) TakeRetries(now time.Time, n, ingresses int) bool {
 	b.expire(now)
 	part := b.settings.Slack / float64(max(ingresses, 1))
-	bound := usableShare * (b.settings.Ratio*float64(len(b.requests)) + part)
-	if float64(len(b.retries)+n) > bound {
+	limit := usableShare * (b.settings.Ratio*float64(len(b.requests)) + part)
+	if float64(len(b.retries)+n) > limit {
 		return false
 	}
 	for range n {
--- a/share/decide/budget/budget_test.go
+++ b/share/decide/budget/budget_test.go
@@ -13,7 +13,7 @@
 var settings = budget.Settings{Ratio: 0.2, Slack: 58, Window: 10 * time.Second} //nolint:gochecknoglobals // a constant in all but syntax
 
 // Backend servers crash in a burst and every request is retried. Six ingresses that cannot
-// reach each other must together stay within the bound over any span of one window.
+// reach each other must together stay within the limit over any span of one window.
 func TestIngressesTogetherStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ingresses = 6
--- a/share/decide/mirror/mirror.go
+++ b/share/decide/mirror/mirror.go
@@ -14,7 +14,7 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// maxTombstones bounds the deleted records that are kept to inform peers and to reject late
+// maxTombstones limits the deleted records that are kept to inform peers and to reject late
 // copies of them.
 const maxTombstones = 4096
 
--- a/share/decide/queue/queue.go
+++ b/share/decide/queue/queue.go
@@ -29,7 +29,7 @@
 const (
 	// classCount is the number of priority classes.
 	classCount = 3
-	// idleTeamFactor times Settings.MaxWaiting bounds the idle teams of a class whose use is remembered.
+	// idleTeamFactor times Settings.MaxWaiting limits the idle teams of a class whose use is remembered.
 	idleTeamFactor = 4
 	// serviceTimeAlpha is the weight of one run in the moving averages of the service time.
 	serviceTimeAlpha = 0.1
--- a/share/decide/retry/retry.go
+++ b/share/decide/retry/retry.go
@@ -47,7 +47,7 @@
 	Share float64
 	// InitialTokens is what a new budget holds, so that a service with little traffic can retry at all.
 	InitialTokens float64
-	// MaxTokens is the most that a budget can accumulate. It bounds the burst of retries after a sudden
+	// MaxTokens is the most that a budget can accumulate. It limits the burst of retries after a sudden
 	// failure.
 	MaxTokens float64
 	// MaxResends is the maximum number of resends of one stage of one request.
--- a/share/decide/spend/interval.go
+++ b/share/decide/spend/interval.go
@@ -38,7 +38,7 @@
 }
 
 // add counts a use. Once there are maxLines lines, a use that would need a new one counts for
-// OtherTeams, which bounds the memory for any number of teams.
+// OtherTeams, which limits the memory for any number of teams.
 func (iv *interval) add(u Use, maxLines int) {
 	key := lineKey{stage: u.Stage, team: u.Team}
 	if _, ok := iv.lines[key]; !ok && len(iv.lines) >= maxLines {
--- a/share/models/site/config.go
+++ b/share/models/site/config.go
@@ -39,7 +39,7 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout bounds the time from a request's arrival to its final answer.
+	// Timeout limits the time from a request's arrival to its final answer.
 	Timeout time.Duration
 	// LatencyTarget is the latency objective; for a stream, the time to its first event.
 	LatencyTarget time.Duration
@@ -52,7 +52,7 @@
 	Priority int
 	// Backends are the services with their weights. There is at least one.
 	Backends []Backend
-	// MaxAttempts bounds how many backend servers run one attempt of a caller; at least 1.
+	// MaxAttempts limits how many backend servers run one attempt of a caller; at least 1.
 	MaxAttempts int
 	// Stages run before the request itself. A stage's number is its index in the list.
 	Stages []Stage
@@ -142,7 +142,7 @@
 	// CallTime is the approximate fixed time of a call, ItemTime the time added by each item.
 	CallTime time.Duration
 	ItemTime time.Duration
-	// ResultMemoryBytes bounds the total size of the results held at the same time.
+	// ResultMemoryBytes limits the total size of the results held at the same time.
 	ResultMemoryBytes int64
 	// ResultTTL is how long a result is held unless it is released.
 	ResultTTL time.Duration
@@ -150,7 +150,7 @@
 	LinkRate float64
 }
 
-// Limits bound what callers may send and how long they may take.
+// Limits holds the limits on what callers may send and how long they may take.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
