--- a/share/decide/batch/inputs_test.go
+++ b/share/decide/batch/inputs_test.go
@@ -194,10 +194,9 @@
 	return offered, c.onTime
 }
 
-// Both deployments have a pool with memory for 35 or 70 results of 60 KB; each request passes four
-// to six to the next pool. In a burst this memory is the bottleneck: at 53 requests per second,
-// whose 212 results calls can just produce, a tenth is late if inputs are held until the second
-// call ends.
+// Both deployments have a pool with memory for 35 or 70 results of 60 KB; a request passes on four
+// to six. In a burst that memory is the bottleneck: at 53 requests per second (212 results, all
+// that calls can produce) a tenth is late if inputs are held until the second call ends.
 func TestInputsReleasedEarlyCarryABurst(t *testing.T) {
 	is := is.New(t)
 	offered, held := newChainSimulation(false).run(53)
--- a/share/decide/batch/load_test.go
+++ b/share/decide/batch/load_test.go
@@ -133,9 +133,8 @@
 }
 
 // Five servers produce 8 results per call of 360 ms, 111 per second in all. At 45 jobs per second
-// of two results each, an ordinary load of both deployments, six ingresses with separate calls
-// would need more servers, as each call has a fixed cost of 200 ms. A single planner fills the
-// calls.
+// of two results each, an ordinary load of both deployments, six ingresses with separate calls need
+// more servers, since each call has a fixed cost of 200 ms. One planner fills the calls.
 func TestOnePlannerHandlesLoadThatSixCannot(t *testing.T) {
 	is := is.New(t)
 	steady := func(time.Duration) float64 { return 45 }
--- a/share/decide/feed/fleet_test.go
+++ b/share/decide/feed/fleet_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// check compares the digest of a node of another failure domain.
+// check compares the revision of n with that of a node of another failure domain.
 func (f *fleet) check(n *node) {
 	other := f.byName[n.plan.Check]
 	if other == nil || other.killed || other.frozen || f.ticks%heartbeatTicks != 0 {
