--- a/ingress/routers/public/public.go
+++ b/ingress/routers/public/public.go
@@ -46,8 +46,8 @@
 	// AdmitWork reports whether a request may run. A request that may run delays the stop until
 	// EndWork is called with its id.
 	AdmitWork(id string) bool
-	// AdmitLastResort reports whether a request that AdmitWork refused may run after all, because no other
-	// ingress takes it. The request ends within limit.
+	// AdmitLastResort reports whether a request that AdmitWork refused may run after all, because
+	// no other ingress takes it. The request ends within limit.
 	AdmitLastResort(id string, limit time.Duration) bool
 	EndWork(id string)
 	// IsLeaving reports whether the process is stopping.
--- a/ingress/services/meters/meters.go
+++ b/ingress/services/meters/meters.go
@@ -29,7 +29,8 @@
 	return []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 2.5, 3, 4, 6, 8, 12, 20, 30}
 }
 
-// NewMeters registers the metrics. The function storeAge returns the time since the store last answered.
+// NewMeters registers the metrics. The function storeAge returns the time since the store last
+// answered.
 func NewMeters(storeAge func() time.Duration) *Meters {
 	m := &Meters{
 		registry: prometheus.NewRegistry(),
--- a/share/decide/drain/instance.go
+++ b/share/decide/drain/instance.go
@@ -25,7 +25,8 @@
 
 // Events of an Instance.
 type (
-	// StopRequested reports a signal or an operator's request to stop. It may occur any number of times.
+	// StopRequested reports a signal or an operator's request to stop. It may occur any number of
+	// times.
 	StopRequested struct{}
 	// WorkOffered reports that a request or attempt arrived.
 	WorkOffered struct{ ID string }
@@ -37,7 +38,8 @@
 	}
 	// WorkEnded reports that the work's answer, including its end record, was handed to the network.
 	WorkEnded struct{ ID string }
-	// TimerFired reports that the time returned by NextTimer has come. One that occurs early has no effect.
+	// TimerFired reports that the time returned by NextTimer has come. One that occurs early has no
+	// effect.
 	TimerFired struct{}
 )
 
@@ -68,9 +70,9 @@
 type Settings struct {
 	// Grace is the longest time from the announcement to the stop, for running work to end.
 	Grace time.Duration
-	// Linger is the shortest time from the announcement to the stop. It must be at most Grace and longer
-	// than a round trip: the announcement travels to a peer, and work that the peer sent just before
-	// receiving it travels back.
+	// Linger is the shortest time from the announcement to the stop. It must be at most Grace and
+	// longer than a round trip: the announcement travels to a peer, and work that the peer sent
+	// just before receiving it travels back.
 	//
 	// It guards against work from a peer that has not received the announcement yet: such work would
 	// find the connection closed and count as "outcome unknown" instead of "not run".
--- a/share/decide/drain/peers.go
+++ b/share/decide/drain/peers.go
@@ -12,13 +12,15 @@
 
 type peer struct {
 	incarnation string
-	// leaving is set once incarnation has reported that it is leaving; only a new incarnation resets it.
+	// leaving is set once incarnation has reported that it is leaving; only a new incarnation
+	// resets it.
 	leaving bool
 	// listedLeaving is the leaving flag of the instance list, which names the instance but not its
 	// incarnation.
 	listedLeaving bool
-	// listingOutdated is set when listedLeaving was set before incarnation was first seen, so that it
-	// is about an earlier incarnation. It is reset when the list no longer shows the instance as leaving.
+	// listingOutdated is set when listedLeaving was set before incarnation was first seen, so that
+	// it is about an earlier incarnation. It is reset when the list no longer shows the instance as
+	// leaving.
 	listingOutdated bool
 	// retired holds at most maxRetired earlier incarnations, the latest last.
 	retired []string
--- a/share/decide/match/cache.go
+++ b/share/decide/match/cache.go
@@ -8,7 +8,8 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// Cache caches the selections from one configuration snapshot's rules. Each snapshot needs its own Cache.
+// Cache caches the selections from one configuration snapshot's rules. Each snapshot needs its own
+// Cache.
 type Cache struct {
 	rules *Rules
 	// limit is the greatest number of entries. A full cache is emptied before the next entry is added.
--- a/share/decide/queue/heaps.go
+++ b/share/decide/queue/heaps.go
@@ -58,7 +58,8 @@
 	return e
 }
 
-// flowHeap orders flows by virtual start, then by the least slack of their first items, then by team name.
+// flowHeap orders flows by virtual start, then by the least slack of their first items, then by
+// team name.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
--- a/share/decide/queue/queue.go
+++ b/share/decide/queue/queue.go
@@ -29,7 +29,8 @@
 const (
 	// classCount is the number of priority classes.
 	classCount = 3
-	// idleTeamFactor times Settings.MaxWaiting limits the idle teams of a class whose use is remembered.
+	// idleTeamFactor times Settings.MaxWaiting limits the idle teams of a class whose use is
+	// remembered.
 	idleTeamFactor = 4
 	// serviceTimeAlpha is the weight of one run in the moving averages of the service time.
 	serviceTimeAlpha = 0.1
@@ -92,7 +93,8 @@
 	Running int
 	Queued  int
 	Slots   int
-	// Wait is the estimated queue delay of a new call of normal priority from a team without waiting calls.
+	// Wait is the estimated queue delay of a new call of normal priority from a team without
+	// waiting calls.
 	Wait time.Duration
 	// Service is the smoothed service time of a run.
 	Service time.Duration
--- a/share/decide/queue/queue_test.go
+++ b/share/decide/queue/queue_test.go
@@ -232,9 +232,9 @@
 	return sum * sum / (teams * squares)
 }
 
-// countServed pops n items of a queue in which every team with a weight above 0 always has items waiting,
-// and returns the number of items popped for each team. measured is the cost that the runs of a team
-// report.
+// countServed pops n items of a queue in which every team with a weight above 0 always has items
+// waiting, and returns the number of items popped for each team. measured is the cost that the runs
+// of a team report.
 func countServed(q *queue.Queue, n int, weights map[string]float64, measured map[string]float64) map[string]int {
 	counts := make(map[string]int)
 	for n := range n {
--- a/share/decide/queue/running.go
+++ b/share/decide/queue/running.go
@@ -84,7 +84,8 @@
 	return count
 }
 
-// timeToFreeSlot estimates the time until the first running item ends; at most the smoothed service time.
+// timeToFreeSlot estimates the time until the first running item ends; at most the smoothed service
+// time.
 func (q *Queue) timeToFreeSlot(now time.Time) time.Duration {
 	earliest := time.Duration(q.serviceTime)
 	for _, r := range q.running {
--- a/share/decide/spend/report.go
+++ b/share/decide/spend/report.go
@@ -25,7 +25,8 @@
 	Used      float64       `json:"used"`
 	Idle      float64       `json:"idle"`
 	Beyond    float64       `json:"beyond"`
-	// CommittedSpend is owed whether the committed amount was used or not; BeyondSpend is owed in addition.
+	// CommittedSpend is owed whether the committed amount was used or not; BeyondSpend is owed in
+	// addition.
 	CommittedSpend float64 `json:"committed-spend"`
 	BeyondSpend    float64 `json:"beyond-spend"`
 	// Lines are sorted by stage, then team.
--- a/share/modules/kvapi/client_test.go
+++ b/share/modules/kvapi/client_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// Guards against writes that net/http retries by itself. If the service applies a compare-and-swap and the
-// connection breaks before the response, the retry would fail its index check, and the caller would get
-// "not swapped" for a change that took effect.
+// Guards against writes that net/http retries by itself. If the service applies a compare-and-swap
+// and the connection breaks before the response, the retry would fail its index check, and the
+// caller would get "not swapped" for a change that took effect.
 func TestWritesAreSentOnce(t *testing.T) {
 	writes := map[string]func(context.Context, *kvapi.Client) error{
 		"compare-and-swap": func(ctx context.Context, c *kvapi.Client) error {
@@ -116,8 +116,8 @@
 	}
 }
 
-// Reads may be retried by net/http. That the test server counts the retry shows that it would also count a
-// retried write.
+// Reads may be retried by net/http. That the test server counts the retry shows that it would also
+// count a retried write.
 func TestReadIsRetried(t *testing.T) {
 	is := is.New(t)
 	server := newDroppingServer(t, 1)
--- a/share/modules/kvapi/query.go
+++ b/share/modules/kvapi/query.go
@@ -35,9 +35,9 @@
 	return decodePair(key, r)
 }
 
-// Watch waits until the key changes after index or the wait has elapsed, and returns the current pair.
-// If the key does not exist, the ErrKeyNotExist contains the index for the next watch. An index that has
-// decreased means that the service was reset: the caller starts again from 0.
+// Watch waits until the key changes after index or the wait has elapsed, and returns the current
+// pair. If the key does not exist, the ErrKeyNotExist contains the index for the next watch. An
+// index that has decreased means that the service was reset: the caller starts again from 0.
 func (c *Client) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (Pair, error) {
 	query := url.Values{
 		"index": {strconv.FormatUint(index, 10)},
--- a/share/modules/kvapi/session.go
+++ b/share/modules/kvapi/session.go
@@ -31,8 +31,8 @@
 	ID string
 }
 
-// CreateSession creates a session and returns its id. The keys that a session holds are released when it
-// ends.
+// CreateSession creates a session and returns its id. The keys that a session holds are released
+// when it ends.
 func (c *Client) CreateSession(ctx context.Context, options SessionOptions) (string, error) {
 	body, err := json.Marshal(sessionBody{
 		Name:      options.Name,
@@ -57,7 +57,8 @@
 	return created.ID, nil
 }
 
-// RenewSession restarts the session's TTL. It returns an ErrSessionNotExist if the session does not exist.
+// RenewSession restarts the session's TTL. It returns an ErrSessionNotExist if the session does not
+// exist.
 func (c *Client) RenewSession(ctx context.Context, session string) error {
 	r, err := c.write(ctx, http.MethodPut, "/v1/session/renew/"+session, nil, nil)
 	if err != nil {
@@ -72,7 +73,8 @@
 	return nil
 }
 
-// DestroySession ends the session and releases its keys. It is no error if the session no longer exists.
+// DestroySession ends the session and releases its keys. It is no error if the session no longer
+// exists.
 func (c *Client) DestroySession(ctx context.Context, session string) error {
 	r, err := c.write(ctx, http.MethodPut, "/v1/session/destroy/"+session, nil, nil)
 	if err != nil {
--- a/share/modules/link/bench_test.go
+++ b/share/modules/link/bench_test.go
@@ -29,8 +29,8 @@
 	return s
 }
 
-// BenchmarkCall measures a call on a new stream: opening it, one frame out and one frame back. Both ends
-// run in this process.
+// BenchmarkCall measures a call on a new stream: opening it, one frame out and one frame back. Both
+// ends run in this process.
 func BenchmarkCall(b *testing.B) {
 	s := dialPeer(b)
 	body := make([]byte, 300)
--- a/share/modules/link/close_test.go
+++ b/share/modules/link/close_test.go
@@ -50,8 +50,8 @@
 }
 
 // Guards against an ingress that takes a whole core while it stops. One of its peers is cut off, so
-// heartbeats to that peer are pending. The close waits for them, and meanwhile each reader of the session
-// spins.
+// heartbeats to that peer are pending. The close waits for them, and meanwhile each reader of the
+// session spins.
 func TestReadersDoNotSpinWhileCloseWaits(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,8 +89,8 @@
 	is.True(processorTime()-before < 300*time.Millisecond)
 }
 
-// slowCloseConn is a connection whose Close waits until its last write has ended, as Close of a net.Conn
-// of the Go runtime does.
+// slowCloseConn is a connection whose Close waits until its last write has ended, as Close of a
+// net.Conn of the Go runtime does.
 type slowCloseConn struct {
 	*blockedConn
 	writes sync.WaitGroup
--- a/share/modules/link/exchange.go
+++ b/share/modules/link/exchange.go
@@ -63,7 +63,8 @@
 	reader *wire.Reader
 }
 
-// Follow opens a feed, which is closed when the context ends. onArrival is called whenever data arrives.
+// Follow opens a feed, which is closed when the context ends. onArrival is called whenever data
+// arrives.
 func Follow(ctx context.Context, s *Session, follow *wire.Follow, onArrival func()) (*Feed, error) {
 	stream, err := s.Open()
 	if err != nil {
@@ -198,9 +199,9 @@
 	return roundTrip(stream, frame)
 }
 
-// CloseOnDone closes the stream when the context ends. The returned function detaches the stream from
-// the context. A read that is blocked on a closed yamux stream still waits for the peer to answer, so it
-// is ended with a read deadline.
+// CloseOnDone closes the stream when the context ends. The returned function detaches the stream
+// from the context. A read that is blocked on a closed yamux stream still waits for the peer to
+// answer, so it is ended with a read deadline.
 func CloseOnDone(ctx context.Context, stream net.Conn) func() bool {
 	return context.AfterFunc(ctx, func() {
 		_ = stream.SetReadDeadline(time.Unix(1, 0))
--- a/share/modules/listen/quiesce.go
+++ b/share/modules/listen/quiesce.go
@@ -34,13 +34,14 @@
 	return listener, ErrListen.Wrap(err)
 }
 
-// Quiesce makes the kernel establish no new connections at the listener, and waits until the program has
-// accepted the established ones or the context ends. The caller closes the listener right afterwards.
+// Quiesce makes the kernel establish no new connections at the listener, and waits until the
+// program has accepted the established ones or the context ends. The caller closes the listener
+// right afterwards.
 //
 // Closing a listener resets each connection that the kernel has established and the program has not
-// accepted. The client may have written a request by then and cannot know whether it ran. After Quiesce no
-// such connection is left. The first packet (SYN) of a later connection is dropped, so its client sends
-// it again a second later and is refused by the closed port.
+// accepted. The client may have written a request by then and cannot know whether it ran. After
+// Quiesce no such connection is left. The first packet (SYN) of a later connection is dropped, so
+// its client sends it again a second later and is refused by the closed port.
 func Quiesce(ctx context.Context, listener net.Listener) error {
 	socket, ok := listener.(syscall.Conn)
 	if !ok {
@@ -102,7 +103,8 @@
 	err = callSocket(raw, func(fd int) error {
 		sockets := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}} //nolint:gosec // a descriptor is small
 		count, err := unix.Poll(sockets, 0)
-		// A signal to the thread interrupts the call. This counts as queued, so that the caller polls again.
+		// A signal to the thread interrupts the call. This counts as queued, so that the caller
+		// polls again.
 		queued = count > 0 || errors.Is(err, unix.EINTR)
 		if queued {
 			return nil
--- a/share/modules/logs/async.go
+++ b/share/modules/logs/async.go
@@ -13,13 +13,13 @@
 const (
 	// maxQueuedLines is how many lines may wait for a slow reader, about 2 MB.
 	maxQueuedLines = 8192
-	// maxPerSecond is how many lines of one event are written per second, so that one event cannot crowd
-	// out the others.
+	// maxPerSecond is how many lines of one event are written per second, so that one event cannot
+	// crowd out the others.
 	maxPerSecond = 200
 )
 
-// DropFunc is called when n lines were dropped. The reason is slow-reader if too many lines waited to be
-// written, or rate if one event was logged too often.
+// DropFunc is called when n lines were dropped. The reason is slow-reader if too many lines waited
+// to be written, or rate if one event was logged too often.
 type DropFunc func(reason string, n int)
 
 // AsyncWriter is the output of a logger. It queues lines and never blocks the code that logs.
@@ -35,10 +35,10 @@
 	level         zap.AtomicLevel
 }
 
-// NewAsyncLogger returns a logger whose lines are written to w by a goroutine of its own, and the output
-// of that logger. If the reader of w stalls, lines are dropped and requests are not delayed. At most
-// maxPerSecond lines of one event are written per second, whatever the load. Successes and failures are
-// different events, so that a high rate of successes does not displace the failures.
+// NewAsyncLogger returns a logger whose lines are written to w by a goroutine of its own, and the
+// output of that logger. If the reader of w stalls, lines are dropped and requests are not delayed.
+// At most maxPerSecond lines of one event are written per second, whatever the load. Successes and
+// failures are different events, so that a high rate of successes does not displace the failures.
 func NewAsyncLogger(w io.Writer, level string, onDrop DropFunc) (*zap.Logger, *AsyncWriter, error) {
 	minimum, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/share/modules/rhash/rhash.go
+++ b/share/modules/rhash/rhash.go
@@ -55,8 +55,8 @@
 	Weight float64
 }
 
-// PickWeighted returns all names in descending order of their weighted scores for the key. As with Pick,
-// when a member joins, leaves or changes its weight, only keys move that it gets or had.
+// PickWeighted returns all names in descending order of their weighted scores for the key. As with
+// Pick, when a member joins, leaves or changes its weight, only keys move that it gets or had.
 func PickWeighted(key string, members []Weighted) []string {
 	ranking := slices.Clone(members)
 	slices.SortFunc(ranking, func(a, b Weighted) int {
--- a/share/modules/spans/spans.go
+++ b/share/modules/spans/spans.go
@@ -45,7 +45,8 @@
 	propagator propagation.TraceContext
 }
 
-// NewTracer returns a tracer with the exporters that options name. Without exporters it records nothing.
+// NewTracer returns a tracer with the exporters that options name. Without exporters it records
+// nothing.
 func NewTracer(ctx context.Context, options Options) (*Tracer, error) {
 	t := &Tracer{}
 	providerOptions := []sdktrace.TracerProviderOption{
--- a/share/modules/spans/spans_test.go
+++ b/share/modules/spans/spans_test.go
@@ -80,8 +80,8 @@
 	is.Equal(s.spans[1].GetAttributes()[0].GetValue().GetStringValue(), "r1")
 }
 
-// Guards against recording a trace that the sample ratio or the caller's traceparent excludes, or missing
-// one that they include.
+// Guards against recording a trace that the sample ratio or the caller's traceparent excludes, or
+// missing one that they include.
 func TestSampleRatioAndFile(t *testing.T) {
 	tests := []struct {
 		name  string
--- a/share/services/admapi/status.go
+++ b/share/services/admapi/status.go
@@ -52,8 +52,8 @@
 	Wait     config.Duration `json:"wait"`
 }
 
-// PoolStatus describes the entry's share of a pool's committed amount over a window, in cost units. Used
-// plus Idle is Committed.
+// PoolStatus describes the entry's share of a pool's committed amount over a window, in cost units.
+// Used plus Idle is Committed.
 type PoolStatus struct {
 	Name      string          `json:"name"`
 	Window    config.Duration `json:"window"`
--- a/share/services/kvport/kvport.go
+++ b/share/services/kvport/kvport.go
@@ -17,8 +17,8 @@
 // ErrPort is the class of errors of this package.
 var ErrPort = errs.Class("key-value service") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// claimPrefix precedes the keys that package claim forms. With claim.KeyPrefix it keeps the claims apart
-// from the configuration's keys, which begin with store.DefaultPrefix.
+// claimPrefix precedes the keys that package claim forms. With claim.KeyPrefix it keeps the claims
+// apart from the configuration's keys, which begin with store.DefaultPrefix.
 const claimPrefix = "verbenaroad/"
 
 // Port is the key-value service as the configuration and the claims use it.
@@ -31,8 +31,8 @@
 	return &Port{client: client}
 }
 
-// Get returns the value of a key by a consistent read. For a missing key it returns a Value with index 0
-// and no error.
+// Get returns the value of a key by a consistent read. For a missing key it returns a Value with
+// index 0 and no error.
 func (p *Port) Get(ctx context.Context, key string) (store.Value, error) {
 	pair, err := p.client.Get(ctx, key)
 	return toValue(pair, err)
@@ -74,8 +74,8 @@
 	return &claim.Stored{Record: record, Index: value.Index}, nil
 }
 
-// SwapClaim writes the record if the key still has the index, and reports whether it did. After an error
-// the outcome is unknown.
+// SwapClaim writes the record if the key still has the index, and reports whether it did. After an
+// error the outcome is unknown.
 func (p *Port) SwapClaim(ctx context.Context, key string, record claim.Record, index uint64) (bool, error) {
 	data, err := claim.Encode(record)
 	if err != nil {
