--- a/share/decide/feed/feed.go
+++ b/share/decide/feed/feed.go
@@ -174,15 +174,15 @@
 	known := c.members
 	c.members = make(map[string]member, len(members))
 	for _, m := range members {
-		old, was := known[m.Name]
-		if !was {
+		old, wasKnown := known[m.Name]
+		if !wasKnown {
 			old.reachableSince = now
 		}
 		old.Member = m
 		c.members[m.Name] = old
 	}
 	c.groupByDomain()
-	if _, is := c.members[c.follow]; !is {
+	if _, isMember := c.members[c.follow]; !isMember {
 		c.unfollow()
 	}
 	for name, until := range c.suspectedUntil {
@@ -226,8 +226,8 @@
 
 // ObserveStatus processes the status that another ingress reports.
 func (c *Chooser) ObserveStatus(now time.Time, name string, status StoreStatus) {
-	m, is := c.members[name]
-	if !is {
+	m, isMember := c.members[name]
+	if !isMember {
 		return
 	}
 	m.status = status
@@ -312,8 +312,8 @@
 
 // IsSourceFresh reports whether the source delivers and is itself up to date with the store.
 func (c *Chooser) IsSourceFresh(now time.Time) bool {
-	m, is := c.members[c.follow]
-	return is && c.opened && isFresh(now, m)
+	m, isMember := c.members[c.follow]
+	return isMember && c.opened && isFresh(now, m)
 }
 
 func isFresh(now time.Time, m member) bool {
@@ -392,8 +392,8 @@
 // Without this a failure domain would return again and again to an ingress that cannot reach the
 // store.
 func (c *Chooser) mayReplaceSource(now time.Time, name string) bool {
-	m, is := c.members[name]
-	if !is {
+	m, isMember := c.members[name]
+	if !isMember {
 		return true // this ingress itself
 	}
 	return now.Sub(m.reachableSince) >= settleTime && (m.reportedAt.IsZero() || isFresh(now, m))
--- a/share/decide/feed/fleet_test.go
+++ b/share/decide/feed/fleet_test.go
@@ -153,10 +153,10 @@
 	n.chooser.SetFollowers(n.followers)
 	f.follow(n)
 	f.check(n)
-	was := n.plan.Read
+	wasReading := n.plan.Read
 	n.plan = n.chooser.Plan(f.now)
 	if n.plan.Read && !n.disconnected {
-		f.read(n, !was)
+		f.read(n, !wasReading)
 	}
 }
 
