--- a/ingress/services/mesh/feeder.go
+++ b/ingress/services/mesh/feeder.go
@@ -49,9 +49,9 @@
 	// reading is set if the Reader was last set to read the store.
 	reading bool
 	// membersSeen is one more than the change count of the mesh at which the chooser last
-	// received the members; 0: never. discovered is set once the other ingresses are known.
-	membersSeen uint64
-	discovered  bool
+	// received the members; 0: never. peersDiscovered is set once the other ingresses are known.
+	membersSeen     uint64
+	peersDiscovered bool
 	// sourceMessageAt is when the first part of the message that is arriving from the followed
 	// ingress was received; zero: none is arriving.
 	sourceMessageAt time.Time
@@ -89,7 +89,7 @@
 func (f *Feeder) runDiscovery(ctx context.Context) {
 	f.options.Reader.DiscoverPeers(ctx, func() bool { return f.options.Mesh.countKnown() > 0 })
 	f.lock.Lock()
-	f.discovered = true
+	f.peersDiscovered = true
 	f.lock.Unlock()
 	f.wakeLoop()
 }
@@ -136,7 +136,7 @@
 
 // updateChooser passes the current state to the chooser. The caller holds the lock.
 func (f *Feeder) updateChooser(now time.Time) {
-	if changes := f.options.Mesh.countChanges(); f.discovered && changes+1 != f.membersSeen {
+	if changes := f.options.Mesh.countChanges(); f.peersDiscovered && changes+1 != f.membersSeen {
 		reachable, at := f.options.Mesh.listReachable()
 		members := make([]feed.Member, 0, len(reachable))
 		for _, i := range reachable {
