--- a/share/decide/alive/alive.go
+++ b/share/decide/alive/alive.go
@@ -22,8 +22,8 @@
 	// registrations that expired in the outage are missing in the first answer, and the store
 	// may need a moment to scan its entries.
 	//
-	// The window is short because a process that alone lost its connection cannot tell this
-	// from an outage of the store. A server that shut down just after such a process had
+	// The window is short because a process that alone lost its connection cannot distinguish
+	// this from an outage of the store. A server that shut down just after such a process had
 	// reconnected would be kept for ReregisterTime, and would get work after the time in
 	// which a draining server must still accept some.
 	ExpiryWindow = 700 * time.Millisecond
--- a/share/decide/mirror/mirror.go
+++ b/share/decide/mirror/mirror.go
@@ -4,8 +4,8 @@
 // not matter, and a newer record is never replaced by an older one.
 //
 // A copy is complete up to a revision: it reflects everything that the store held or deleted
-// until then. What one copy sends to another is complete as well, so a copy that receives
-// changes only from peers never misses one.
+// until then. The deltas that one copy sends to another are complete as well, so a copy that
+// receives changes only from peers never misses one.
 package mirror
 
 import (
@@ -36,10 +36,11 @@
 	compactRevision uint64
 }
 
-// Delta is what another copy needs that is complete up to an earlier revision.
+// Delta holds the records that bring another copy, which is complete up to an earlier revision, up
+// to date.
 type Delta struct {
 	Records []site.Record
-	// Full deltas contain every record: what is missing in them does not exist.
+	// Full deltas contain every record: a record that is missing in them does not exist.
 	Full bool
 	// CompleteRevision is the revision up to which a copy is complete once it has applied the
 	// delta.
