--- a/ingress/services/flow/stream.go
+++ b/ingress/services/flow/stream.go
@@ -11,15 +11,15 @@
 	"go.uber.org/zap"
 
 	"verbenaroad.example/ingress/services/assign"
-	"verbenaroad.example/ingress/services/pieces"
 	"verbenaroad.example/ingress/services/reach"
+	"verbenaroad.example/ingress/services/stages"
 	"verbenaroad.example/share/decide/place"
 	"verbenaroad.example/share/models/site"
 	"verbenaroad.example/share/modules/codes"
 	"verbenaroad.example/share/modules/logs"
 )
 
-// serveStream has the results of the stages produced and relays the events of an engine.
+// serveStream runs the stages of the request and relays the events of an engine.
 func (x *exchange) serveStream(ctx context.Context, w http.ResponseWriter) *codes.Result {
 	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
@@ -106,7 +106,7 @@
 	writer http.ResponseWriter
 	// results are the stage results that the engine fetches; nil if the route has no stages, and
 	// after releaseResults.
-	results *pieces.Results
+	results *stages.Results
 	// keepResults is set after an engine failed to fetch the results within fetchTime. They are
 	// then kept until the first event.
 	keepResults bool
@@ -116,12 +116,12 @@
 	lastID string
 }
 
-// produceResults has the results of the stages produced unless they exist already.
+// produceResults runs the stages of the request unless their results exist already.
 func (r *relay) produceResults(ctx context.Context) *codes.Result {
 	if len(r.route.Stages) == 0 || r.results != nil {
 		return nil
 	}
-	results, failed := r.server.options.StageRunner.ProduceChain(ctx, pieces.Chain{
+	results, failed := r.server.options.StageRunner.ProduceChain(ctx, stages.Chain{
 		AttemptID:     r.AttemptID,
 		RequestDigest: string(r.digest),
 		ItemKey:       r.ItemKey,
@@ -133,7 +133,7 @@
 		Domain:        r.reservation.Server().Domain,
 		Residency:     r.residency(),
 		Refuse:        r.refuseQuarantined,
-		OnLastStage:   func() { r.server.options.Sender.Warm(r.reservation.Server().Address) },
+		OnLastStage:   func() { r.server.options.Sender.Preconnect(r.reservation.Server().Address) },
 		Log:           r.log,
 	})
 	if failed != nil {
--- a/ingress/services/mesh/fleet_test.go
+++ b/ingress/services/mesh/fleet_test.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	beatEvery   = 300 * time.Millisecond
-	silentAfter = 1050 * time.Millisecond
+	heartbeatInterval = 300 * time.Millisecond
+	silenceTimeout    = 1050 * time.Millisecond
 	// callBytes is the approximate size of a small call to the store and of its answer.
 	callBytes = 400
 	// packetBytes is how many bytes a line transfers at once.
@@ -288,7 +288,7 @@
 	log := f.log.With(zap.String("instance", name))
 	i.book = state.NewBook(state.Options{Codec: record.Codec{}, Log: log, OnChange: func(v *state.View) { f.setView(i, v) }})
 	options := link.Options{
-		Hello: &wire.Hello{Version: wire.Version, Name: name}, HeartbeatInterval: beatEvery, SilenceTimeout: silentAfter,
+		Hello: &wire.Hello{Version: wire.Version, Name: name}, HeartbeatInterval: heartbeatInterval, SilenceTimeout: silenceTimeout,
 		NewHeartbeat: func() *wire.Beat { return &wire.Beat{Reading: mesh.EncodeStoreStatus(i.book)} },
 	}
 	isLeaving := func() bool { return false }
@@ -384,7 +384,8 @@
 	}
 }
 
-// wait waits until a condition holds at all instances and returns how long that took, at most limit.
+// wait waits until a condition holds at all instances and returns how long that took, at most
+// limit.
 func (f *fleet) wait(limit time.Duration, check func(i *instance) bool) time.Duration {
 	began := time.Now()
 	for time.Since(began) < limit {
--- a/ingress/services/pieces/chain.go
+++ b/ingress/services/stages/chain.go
@@ -1,8 +1,8 @@
-// Package pieces produces the results of a request's stages. It takes the stages of one request
+// Package stages produces the results of a request's stages. It takes the stages of one request
 // and returns the handles of the results that the engine fetches, or the reason why there are
 // none. Each queue has a batcher, the ingress that combines the jobs of all ingresses into calls;
 // the other ingresses send their jobs to it.
-package pieces
+package stages
 
 import (
 	"context"
@@ -27,7 +27,8 @@
 	ItemCounts []int
 	Stages     []site.Stage
 	Rank       site.Rank
-	// Target is when the answer of the request should begin, Deadline when its caller stops waiting.
+	// Target is when the answer of the request should begin, Deadline when its caller stops
+	// waiting.
 	Target   time.Time
 	Deadline time.Time
 	// Residency limits the regions in which the results may be produced.
--- a/ingress/services/state/evacuation_test.go
+++ b/ingress/services/state/evacuation_test.go
@@ -45,12 +45,12 @@
 	follower.ApplyDelta(b.Since(4))
 	is.Equal(countReady(follower), 2)
 	for _, s := range follower.View().Servers["engines"] {
-		is.True(!s.ColdUntil.IsZero()) // n: its evacuation just ended; s: its registration says so
+		is.True(!s.ColdUntil.IsZero()) // n: its evacuation just ended; s: its registration states it
 	}
 }
 
-// Guards against an evacuation that stays in force because its record was deleted while this ingress
-// received no updates.
+// Guards against an evacuation that stays in force because its record was deleted while this
+// ingress received no updates.
 func TestEvacuationMissingInListingHasEnded(t *testing.T) {
 	is := is.New(t)
 	b := state.NewBook(state.Options{Codec: record.Codec{}, Log: zap.NewNop()})
--- a/share/decide/alive/alive.go
+++ b/share/decide/alive/alive.go
@@ -22,8 +22,8 @@
 	// registrations that expired in the outage are missing in the first answer, and the store
 	// may need a moment to scan its entries.
 	//
-	// The window is short because a process that alone lost its connection cannot tell this
-	// from an outage of the store. A server that shut down just after such a process had
+	// The window is short because a process that alone lost its connection cannot distinguish
+	// this from an outage of the store. A server that shut down just after such a process had
 	// reconnected would be kept for ReregisterTime, and would get work after the time in
 	// which a draining server must still accept some.
 	ExpiryWindow = 700 * time.Millisecond
@@ -126,7 +126,7 @@
 func (s *Set) Evacuate(domain string) { s.evacuated[domain] = true }
 
 // EndEvacuation lets the servers of a failure domain take work again. They count as cold for
-// the coldTime of their service, or longer if their registration says so.
+// the coldTime of their service, or longer if their registration states a longer time.
 //
 // Without the cold time they would get too many requests for a second: they are cold when the
 // evacuation ends, but report this up to a heartbeat later.
