--- a/vload/services/cause/cause.go
+++ b/vload/services/cause/cause.go
@@ -14,107 +14,111 @@
 // ErrCause is the class of errors of this package.
 var ErrCause = errs.Class("cause") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// maxLine bounds a line; longer ones are an error of the input.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a line; Read fails on a longer one.
+const maxLineBytes = 1 << 20
 
-// stageKey names the stages of one route that one service makes.
+// stageKey identifies a stage of a route and the service that produces it.
 type stageKey struct{ service, stage, route string }
 
-// windowKey names one service's calls in one window.
+// windowKey identifies the calls of one service that ended in one time window.
 type windowKey struct {
 	service string
-	begins  time.Time
+	start   time.Time
 }
 
-// calls sums up the calls of one window.
-type calls struct {
-	calls, items, waiting, most, refused, broken int
-	took                                         time.Duration
-	servers                                      map[string]bool
+// windowTotals sums up the calls of one window; waiting adds up the items that were queued at each
+// call.
+type windowTotals struct {
+	calls, items, waiting, maxWaiting, refused, broken int
+	took                                               time.Duration
+	servers                                            map[string]bool
 }
 
-// Report gathers what the lines tell.
+// Report aggregates the log lines of stages, calls and requests.
 type Report struct {
 	window time.Duration
-	begins time.Time
-	// stages holds how long each stage took that was made, unmade how often one was not.
-	stages map[stageKey][]time.Duration
-	unmade map[stageKey]int
-	// begun holds, by route, how long requests took until their first event.
-	begun   map[string][]time.Duration
-	windows map[windowKey]*calls
-	// failed counts, by route and reason, the requests that were not served.
-	failed map[[2]string]int
-	lines  int
+	start  time.Time
+	// stageTimes holds the duration of each produced stage, notProduced the number of stages
+	// that ended otherwise.
+	stageTimes  map[stageKey][]time.Duration
+	notProduced map[stageKey]int
+	// firstEventTimes holds, by route, how long requests took until their first event.
+	firstEventTimes map[string][]time.Duration
+	windows         map[windowKey]*windowTotals
+	// failures counts the failed requests by route and reason.
+	failures map[[2]string]int
+	matched  int
 }
 
-// NewReport returns an empty report of calls by windows of the length given.
+// NewReport returns an empty report that groups calls into windows of the given length.
 func NewReport(window time.Duration) *Report {
 	return &Report{
-		window: window, stages: map[stageKey][]time.Duration{}, unmade: map[stageKey]int{},
-		begun: map[string][]time.Duration{}, windows: map[windowKey]*calls{}, failed: map[[2]string]int{},
+		window: window, stageTimes: map[stageKey][]time.Duration{}, notProduced: map[stageKey]int{},
+		firstEventTimes: map[string][]time.Duration{}, windows: map[windowKey]*windowTotals{}, failures: map[[2]string]int{},
 	}
 }
 
-// Read takes all lines; lines of other programs are passed over.
+// Read adds all lines to the report and ignores those of other events or programs. It fails
+// if no line of the input so far was usable.
 func (r *Report) Read(in io.Reader) error {
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if l, ok := parseLine(scanner.Text()); ok {
-			r.take(l)
+			r.add(l)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return ErrCause.Wrap(err)
 	}
-	if r.lines == 0 {
-		return ErrCause.Wrap(errors.New("no line tells of a stage, a call or a request"))
+	if r.matched == 0 {
+		return ErrCause.Wrap(errors.New("no log line reports a stage, a call or a request"))
 	}
 	return nil
 }
 
-func (r *Report) take(l line) {
+func (r *Report) add(l line) {
 	switch l.event {
 	case "stage-ended":
-		r.takeStage(l)
+		r.addStage(l)
 	case "stream-begun":
-		r.begun[l.fields["route"]] = append(r.begun[l.fields["route"]], l.duration("took"))
+		r.firstEventTimes[l.fields["route"]] = append(r.firstEventTimes[l.fields["route"]], l.duration("took"))
 	case "batch":
-		r.takeCall(l)
+		r.addCall(l)
 	case "failed":
-		r.failed[[2]string{l.fields["route"], l.fields["code"] + ": " + withoutNumbers(l.fields["detail"])}]++
+		r.failures[[2]string{l.fields["route"], l.fields["code"] + ": " + maskNumbers(l.fields["detail"])}]++
 	default:
 		return
 	}
-	r.lines++
+	r.matched++
 }
 
-func (r *Report) takeStage(l line) {
+func (r *Report) addStage(l line) {
 	key := stageKey{service: l.fields["stage-service"], stage: l.fields["stage"], route: l.fields["route"]}
 	if l.fields["outcome"] != "made" {
-		r.unmade[key]++
+		r.notProduced[key]++
 		return
 	}
-	r.stages[key] = append(r.stages[key], l.duration("took"))
+	r.stageTimes[key] = append(r.stageTimes[key], l.duration("took"))
 }
 
-// takeCall counts a call in the window in which it ended.
-func (r *Report) takeCall(l line) {
-	if r.begins.IsZero() {
-		r.begins = l.at
+// addCall counts a call in the window in which it ended. Windows are counted from the time of
+// the first call.
+func (r *Report) addCall(l line) {
+	if r.start.IsZero() {
+		r.start = l.at
 	}
-	begins := r.begins.Add(l.at.Sub(r.begins).Truncate(r.window))
-	key := windowKey{service: l.fields["service"], begins: begins}
+	start := r.start.Add(l.at.Sub(r.start).Truncate(r.window))
+	key := windowKey{service: l.fields["service"], start: start}
 	c := r.windows[key]
 	if c == nil {
-		c = &calls{servers: map[string]bool{}}
+		c = &windowTotals{servers: map[string]bool{}}
 		r.windows[key] = c
 	}
 	c.calls++
 	c.items += l.count("items")
 	c.waiting += l.count("waiting")
-	c.most = max(c.most, l.count("waiting"))
+	c.maxWaiting = max(c.maxWaiting, l.count("waiting"))
 	c.took += l.duration("took")
 	c.servers[l.fields["server"]] = true
 	switch l.fields["outcome"] {
@@ -125,13 +129,14 @@
 	}
 }
 
-var number = regexp.MustCompile(`\bi-[0-9a-f]+\b|[0-9]+(?:\.[0-9]+)?(?:ns|µs|ms|s|m)?\b`)
+var numberPattern = regexp.MustCompile(`\bi-[0-9a-f]+\b|[0-9]+(?:\.[0-9]+)?(?:ns|µs|ms|s|m)?\b`)
 
-// withoutNumbers makes one reason of those that differ in a time or a server.
-func withoutNumbers(detail string) string { return number.ReplaceAllString(detail, "N") }
+// maskNumbers replaces numbers, durations and names of the form i-1 by N, so that reasons that
+// differ only in these are counted as one.
+func maskNumbers(detail string) string { return numberPattern.ReplaceAllString(detail, "N") }
 
-// part returns the value below which a part of sorted values lies.
-func part(values []time.Duration, of float64) time.Duration {
+// quantile returns the value at the given fraction of the values in ascending order.
+func quantile(values []time.Duration, fraction float64) time.Duration {
 	sorted := slices.Sorted(slices.Values(values))
-	return sorted[int(of*float64(len(sorted)-1))]
+	return sorted[int(fraction*float64(len(sorted)-1))]
 }
--- a/vload/services/cause/cause_test.go
+++ b/vload/services/cause/cause_test.go
@@ -10,7 +10,7 @@
 	"verbenaroad.example/vload/services/cause"
 )
 
-const logged = `
+const logLines = `
 time=2026-12-03T05:00:00.1Z level=info event=stage-ended request=a route=notes stage=1 stage-service=retrievers items=6 outcome=made took=310ms
 edge-1 time=2026-12-03T05:00:00.2Z level=info event=stage-ended request=b route=notes stage=1 stage-service=retrievers items=6 outcome=made took=510ms
 time=2026-12-03T05:00:00.3Z level=info event=stage-ended request=c route=notes stage=1 stage-service=retrievers items=6 outcome=gone took=10ms
@@ -23,10 +23,10 @@
 another program says something
 `
 
-func TestReportTellsWhereTimeWent(t *testing.T) {
+func TestReportTables(t *testing.T) {
 	is := is.New(t)
 	r := cause.NewReport(2 * time.Second)
-	is.NoErr(r.Read(strings.NewReader(logged)))
+	is.NoErr(r.Read(strings.NewReader(logLines)))
 	out := &strings.Builder{}
 	is.NoErr(r.Write(out))
 	rows := map[string]bool{}
@@ -37,10 +37,10 @@
 	is.True(rows["retrievers 1 notes 2 310ms 310ms 1"])
 	is.True(rows["retrievers 0s 2 9.0 200ms 7.0 10 2 0.2 1 0"])
 	is.True(rows["retrievers 2s 1 6.0 900ms 0.0 0 1 0.5 0 1"])
-	is.True(rows["2 notes deadline-unmeetable: the stages would take N"]) // one reason
+	is.True(rows["2 notes deadline-unmeetable: the stages would take N"]) // Reasons that differ only in a number count as one.
 }
 
-func TestReportOfOtherLinesIsAnError(t *testing.T) {
+func TestReadFailsWithoutUsableLines(t *testing.T) {
 	is := is.New(t)
 	err := cause.NewReport(time.Second).Read(strings.NewReader("hello\nworld\n"))
 	is.True(err != nil)
--- a/vload/services/cause/line.go
+++ b/vload/services/cause/line.go
@@ -1,5 +1,5 @@
-// Package cause tells from the log lines of a deployment's ingresses where the time of
-// its requests went, and why some were not served. In: lines. Out: tables.
+// Package cause reads the log lines of a deployment's ingresses and prints tables of where
+// requests spent their time and why some of them failed.
 package cause
 
 import (
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// line is one log line: the time that it gives, its event and its other fields.
+// line is one parsed log line: its timestamp, its event name and all its fields.
 type line struct {
 	at     time.Time
 	event  string
 	fields map[string]string
 }
 
-var pair = regexp.MustCompile(`([a-z-]+)=("(?:[^"\\]|\\.)*"|\S*)`)
+var fieldPattern = regexp.MustCompile(`([a-z-]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// parseLine reads a line of key=value pairs; false where it has no time or event. What
-// stands before the first pair, such as the name of a process, is passed over.
+// parseLine parses a line of key=value pairs and returns false if it has no time or event. Text
+// before the first pair, for example the name of a process, is ignored.
 func parseLine(text string) (line, bool) {
 	l := line{fields: map[string]string{}}
-	for _, found := range pair.FindAllStringSubmatch(text, -1) {
+	for _, found := range fieldPattern.FindAllStringSubmatch(text, -1) {
 		key, value := found[1], found[2]
 		if unquoted, err := strconv.Unquote(value); err == nil {
 			value = unquoted
 		}
-		if _, twice := l.fields[key]; !twice {
+		if _, seen := l.fields[key]; !seen {
 			l.fields[key] = value
 		}
 	}
@@ -36,7 +36,7 @@
 	return l, err == nil && l.event != ""
 }
 
-// duration returns a field that holds a time such as 12.5ms; 0 where it has none.
+// duration returns the value of a duration field such as 12.5ms, or 0 if it is absent or invalid.
 func (l line) duration(key string) time.Duration {
 	d, err := time.ParseDuration(l.fields[key])
 	if err != nil {
@@ -45,7 +45,7 @@
 	return d
 }
 
-// count returns a field that holds a whole number; 0 where it has none.
+// count returns the value of an integer field, or 0 if it is absent or invalid.
 func (l line) count(key string) int {
 	n, err := strconv.Atoi(l.fields[key])
 	if err != nil {
