--- a/vload/services/runner/answer.go
+++ b/vload/services/runner/answer.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is no stream.
-	maxAnswer = 16 << 20
-	// maxEvent bounds one event of a stream.
-	maxEvent = 1 << 20
-	// endEvent is the type of the last event of the caller API.
+	// maxAnswerBytes limits how much is read of an answer that is not a stream.
+	maxAnswerBytes = 16 << 20
+	// maxEventBytes limits one event of a stream and the body of a refusal.
+	maxEventBytes = 1 << 20
+	// endEvent is the type of the event that ends a stream of the caller API.
 	endEvent = "end"
-	// doneData is the last event of a model engine.
+	// doneData is the data of the event that ends a model engine's stream.
 	doneData = "[DONE]"
-	// headerRetryAfter is given in whole seconds.
+	// headerRetryAfter is the header in which a refusal advises how long to wait, in whole seconds.
 	headerRetryAfter = "Retry-After"
 )
 
-// errIncomplete says that an answer broke off or is not what its class expects.
+// errIncomplete is returned for an answer that lacks its end record or does not match what its
+// class expects.
 var errIncomplete = errors.New("incomplete answer")
 
 // result is the body of a refusal and the data of the end event.
@@ -42,20 +43,21 @@
 	RequestID  string        `json:"request-id"`
 }
 
-// answer reads one response and keeps what the sample needs.
-type answer struct {
+// answerReader reads one response and fills in its sample.
+type answerReader struct {
 	class  *scene.Class
 	kind   scene.TargetKind
 	sample *tally.Sample
-	// intended is the time that the first token counts from.
-	intended time.Time
-	last     time.Time
-	// text digests the tokens of a class with SameAnswer; nil for others.
-	text *xxhash.Digest
+	// intended is the scheduled send time, from which the time to the first token is measured.
+	intended  time.Time
+	lastToken time.Time
+	// digest hashes the tokens' text if the class has SameAnswer set; otherwise it is nil.
+	digest *xxhash.Digest
 }
 
-// read takes in the whole response and sets the sample's ending and result; an error means that it broke off.
-func (a *answer) read(response *http.Response) error {
+// read reads the response to its end and sets the sample's ending and result. It returns an error
+// if the answer breaks off or is incomplete.
+func (a *answerReader) read(response *http.Response) error {
 	if response.StatusCode < 200 || response.StatusCode > 299 {
 		return a.readRefusal(response)
 	}
@@ -69,9 +71,9 @@
 	return a.readBody(response)
 }
 
-// readRefusal takes in an answer whose status is no success.
-func (a *answer) readRefusal(response *http.Response) error {
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxEvent))
+// readRefusal reads an answer whose HTTP status is not 2xx.
+func (a *answerReader) readRefusal(response *http.Response) error {
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxEventBytes))
 	if err != nil {
 		return err
 	}
@@ -86,8 +88,8 @@
 	return nil
 }
 
-// setRefusal notes a result other than success.
-func (a *answer) setRefusal(r *result) {
+// setRefusal records a result other than success.
+func (a *answerReader) setRefusal(r *result) {
 	a.sample.Ending = tally.EndingRefused
 	a.sample.CodeName = r.Name
 	if r.Name == "" && r.Code != nil {
@@ -101,14 +103,16 @@
 	}
 }
 
-// setRequestID notes the id; submissions that repeat a key may be given the first one's answer again.
-func (a *answer) setRequestID(id string) {
+// setRequestID records the request id, except in a class that repeats idempotency keys: there the
+// answer to the first request of a key may be returned again, so ids may legitimately recur.
+func (a *answerReader) setRequestID(id string) {
 	if a.class.Key != scene.KeyRepeat {
 		a.sample.RequestID = id
 	}
 }
 
-// parseSeconds reads a Retry-After header in seconds; 0 where there is none.
+// parseSeconds parses a Retry-After header given in seconds; it returns 0 if that is absent or
+// invalid.
 func parseSeconds(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -117,9 +121,10 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// readBody takes in an answer that is no stream. A body shorter than its Content-Length is a read error.
-func (a *answer) readBody(response *http.Response) error {
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+// readBody reads an answer that is not a stream. A body shorter than its Content-Length is a read
+// error.
+func (a *answerReader) readBody(response *http.Response) error {
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
@@ -139,8 +144,9 @@
 	return nil
 }
 
-// setResult notes the result of a finished answer; an answer that names no code is a success by its status.
-func (a *answer) setResult(r *result) {
+// setResult records the result of a complete answer. Without a code the answer is a success, as its
+// HTTP status was.
+func (a *answerReader) setResult(r *result) {
 	if r.Code != nil && *r.Code != codes.OK {
 		a.setRefusal(r)
 		return
@@ -149,17 +155,17 @@
 	a.setRequestID(r.RequestID)
 }
 
-// readStream takes in the events of a stream up to its end.
-func (a *answer) readStream(body io.Reader) error {
+// readStream reads the events of a stream until the body ends.
+func (a *answerReader) readStream(body io.Reader) error {
 	ended := false
-	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return err
 		}
 		if ended {
-			return errIncomplete // an event behind the end belongs to no answer that ended
+			return errIncomplete // no event may follow the one that ends the stream
 		}
-		ended, err = a.takeEvent(&event)
+		ended, err = a.readEvent(&event)
 		if err != nil {
 			return err
 		}
@@ -173,8 +179,8 @@
 	return nil
 }
 
-// takeEvent notes one event and says whether it is the end.
-func (a *answer) takeEvent(event *sse.Event) (bool, error) {
+// readEvent handles one event and reports whether it ends the stream.
+func (a *answerReader) readEvent(event *sse.Event) (bool, error) {
 	if a.kind == scene.TargetEntry && event.Type == endEvent {
 		r := result{}
 		if json.Unmarshal([]byte(event.Data), &r) != nil || r.Code == nil {
@@ -188,50 +194,52 @@
 		return true, nil
 	}
 	if event.Type == "" && !isUsage(event.Data) {
-		a.takeToken()
-		a.takeText(event.Data)
+		a.recordToken()
+		a.hashText(event.Data)
 	}
 	return false, nil
 }
 
-// isUsage says whether an engine's event carries figures and no token. A search is enough:
-// the text of a token cannot hold the quotes unescaped.
+// isUsage reports whether an engine's event carries usage figures instead of a token. A substring
+// search is sufficient, since the text of a token cannot contain unescaped quotes.
 func isUsage(data string) bool {
 	return strings.Contains(data, `"choices":[]`) || strings.Contains(data, `"choices": []`)
 }
 
-// token is the part of a token's event that holds its text, as the system and as engines write it.
-type token struct {
+// tokenEvent is the part of a token's event that holds its text: in the caller API's format or, as
+// choices, in that of engines.
+type tokenEvent struct {
 	Text    string `json:"text"`
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 }
 
-// takeText adds the token to the digest. Ids and times in the event differ between equal answers.
-func (a *answer) takeText(data string) {
-	if a.text == nil {
+// hashText adds the text of a token to the digest. The rest of the event is left out, since ids and
+// times differ between equal answers.
+func (a *answerReader) hashText(data string) {
+	if a.digest == nil {
 		return
 	}
-	t := token{}
+	t := tokenEvent{}
 	if json.Unmarshal([]byte(data), &t) != nil {
 		return
 	}
-	_, _ = a.text.WriteString(t.Text)
+	_, _ = a.digest.WriteString(t.Text)
 	for _, choice := range t.Choices {
-		_, _ = a.text.WriteString(choice.Text)
+		_, _ = a.digest.WriteString(choice.Text)
 	}
-	a.sample.Text = a.text.Sum64()
+	a.sample.Text = a.digest.Sum64()
 }
 
-// takeToken notes the time of one token.
-func (a *answer) takeToken() {
+// recordToken counts a token and records its time.
+func (a *answerReader) recordToken() {
 	now := time.Now()
 	if a.sample.Tokens == 0 {
 		a.sample.FirstToken = now.Sub(a.intended)
 	} else {
-		a.sample.Gaps = append(a.sample.Gaps, now.Sub(a.last))
+		a.sample.Gaps = append(a.sample.Gaps, now.Sub(a.lastToken))
 	}
 	a.sample.Tokens++
-	a.last = now
+	a.lastToken = now
 }
--- a/vload/services/runner/bench_test.go
+++ b/vload/services/runner/bench_test.go
@@ -16,16 +16,16 @@
 	"verbenaroad.example/vload/services/sample"
 )
 
-// benchTokens is the length of a streamed answer in the benchmarks.
+// benchTokens is the number of tokens of a streamed answer in the benchmarks.
 const benchTokens = 67
 
-// answerText is a whole stream of benchTokens tokens.
+// answerText returns a complete stream of benchTokens tokens.
 func answerText() string {
 	return strings.Repeat("data: {\"text\":\"soundboard \"}\n\n", benchTokens) +
 		"event: end\ndata: {\"code\":0,\"name\":\"ok\",\"outcome\":\"ran\"}\n\n"
 }
 
-// BenchmarkSSE measures the library's reading of a stream.
+// BenchmarkSSE measures how fast the SSE library reads a stream.
 func BenchmarkSSE(b *testing.B) {
 	text := answerText()
 	b.ReportAllocs()
@@ -44,7 +44,8 @@
 	b.ReportMetric(float64(b.N)*(benchTokens+1)/b.Elapsed().Seconds(), "events/s")
 }
 
-// BenchmarkLines measures the least that own code would cost: lines, without events.
+// BenchmarkLines measures a lower bound for a parser of our own: it splits lines but builds no
+// events.
 func BenchmarkLines(b *testing.B) {
 	text := answerText()
 	b.ReportAllocs()
@@ -63,11 +64,11 @@
 	b.ReportMetric(float64(b.N)*(benchTokens+1)/b.Elapsed().Seconds(), "events/s")
 }
 
-// BenchmarkFlushedTokens offers the same load to a server that sends each token by itself,
-// 10 ms after the last, as an engine does: some 2,000 streams at once.
+// BenchmarkFlushedTokens offers the load of BenchmarkOpenLoop to a server that flushes each token
+// separately, 10 ms after the previous one, as an engine does: about 2,000 concurrent streams.
 func BenchmarkFlushedTokens(b *testing.B) {
 	const interval = 10 * time.Millisecond
-	s := serve(b, func(w http.ResponseWriter, _ *http.Request) {
+	s := newScenario(b, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
@@ -76,23 +77,24 @@
 			writef(w, "data: {\"text\":\"soundboard \"}\n\n")
 			_ = http.NewResponseController(w).Flush()
 		}
-		end(w, 0)
+		writeEnd(w, 0)
 	})
 	benchmarkLoad(b, s)
 }
 
-// BenchmarkOpenLoop offers 3,000 requests and some 200,000 tokens a second to a server in
-// the same process, and reports what came back and how late the requests left.
+// BenchmarkOpenLoop offers 3,000 requests and about 200,000 tokens per second to a server in the
+// same process, and reports the rates achieved and how late the requests were sent.
 func BenchmarkOpenLoop(b *testing.B) {
 	text := []byte(answerText())
-	s := serve(b, func(w http.ResponseWriter, _ *http.Request) {
+	s := newScenario(b, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = w.Write(text)
 	})
 	benchmarkLoad(b, s)
 }
 
-// benchmarkLoad offers the load of the target to a server.
+// benchmarkLoad offers 3,000 requests per second to the server of the scenario and reports the
+// figures.
 func benchmarkLoad(b *testing.B, s *scene.Scenario) {
 	s.MaxInFlight = 10000
 	s.Phases[0].Rate = 3000
@@ -102,7 +104,7 @@
 	s.Classes[0].Prompt.Words = 200
 	for b.Loop() {
 		before := processorTime(b)
-		f := load(b, s)
+		f := runScenario(b, s)
 		used := processorTime(b) - before
 		b.ReportMetric(used.Seconds()/s.Phases[0].Duration.Value().Seconds(), "cores-with-server")
 		b.ReportMetric(float64(f["requests-per-second"]), "requests/s")
@@ -113,7 +115,8 @@
 	}
 }
 
-// processorTime returns what this process, load and server together, has used.
+// processorTime returns the processor time used by this process, that is, by load tool and server
+// together.
 func processorTime(b *testing.B) time.Duration {
 	usage, err := sample.ReadUsage("/proc", os.Getpid())
 	if err != nil {
--- a/vload/services/runner/call.go
+++ b/vload/services/runner/call.go
@@ -12,29 +12,29 @@
 	"verbenaroad.example/vload/services/tally"
 )
 
-// call is one request under way.
+// call is one request in flight.
 type call struct {
-	owner   *Runner
+	runner  *Runner
 	arrival pace.Arrival
 	spec    spec
-	// intended is when the schedule wanted the request sent.
+	// intended is the time at which the request was due to be sent.
 	intended time.Time
 }
 
-// run sends the request, reads its answer and gives the slot back.
+// run performs the call and frees its slot.
 func (c *call) run(ctx context.Context) {
-	defer c.owner.release()
+	defer c.runner.release()
 	c.send(ctx)
 }
 
-// send sends the request, reads its answer and counts it.
+// send sends the request, reads its answer and counts the result.
 func (c *call) send(ctx context.Context) {
-	class := &c.owner.scenario.Classes[c.arrival.Kind]
+	class := &c.runner.scenario.Classes[c.arrival.Kind]
 	sample := &tally.Sample{Phase: c.arrival.Segment, Class: c.arrival.Kind}
-	sample.Gaps = c.owner.takeGaps()
+	sample.Gaps = c.runner.getGaps()
 	sent := time.Now()
 	sample.SendLag = sent.Sub(c.intended)
-	limit := c.intended.Add(class.Deadline.Value() + c.owner.scenario.LateWait.Value())
+	limit := c.intended.Add(class.Deadline.Value() + c.runner.scenario.LateWait.Value())
 	ctx, cancel := context.WithDeadline(ctx, limit)
 	err := c.exchange(ctx, sample)
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded)
@@ -44,36 +44,35 @@
 		sample.Ending = endingOf(err, expired)
 	}
 	sample.InTime = sample.Ending == tally.EndingWhole && sample.Latency <= class.Deadline.Value()
-	c.owner.book.Add(sample)
-	c.owner.returnGaps(sample.Gaps)
+	c.runner.book.Add(sample)
+	c.runner.putGaps(sample.Gaps)
 }
 
-// exchange carries the request to its target and reads the answer.
+// exchange sends the request to its target and reads the answer into the sample.
 func (c *call) exchange(ctx context.Context, sample *tally.Sample) error {
-	m := c.owner.makers[c.arrival.Kind]
-	request, err := m.make(ctx, c.spec)
+	b := c.runner.builders[c.arrival.Kind]
+	request, err := b.build(ctx, c.spec)
 	if err != nil {
 		return err
 	}
-	response, err := c.owner.clientOf(m.class).Do(request)
+	response, err := c.runner.clientFor(b.class).Do(request)
 	if err != nil {
 		return &connectionError{cause: err}
 	}
-	a := &answer{class: m.class, kind: m.target.Kind, sample: sample, intended: c.intended}
-	if m.class.SameAnswer {
-		a.text = xxhash.New()
-		sample.Prompt = m.seed(c.spec)
+	a := &answerReader{class: b.class, kind: b.target.Kind, sample: sample, intended: c.intended}
+	if b.class.SameAnswer {
+		a.digest = xxhash.New()
+		sample.Prompt = b.seed(c.spec)
 	}
 	err = a.read(response)
 	return errors.Join(err, closeBody(response))
 }
 
-// closeBody closes the body of an answer that was read.
 func closeBody(response *http.Response) error {
 	return response.Body.Close()
 }
 
-// connectionError says that no answer began.
+// connectionError is the error of a request that failed before its answer began.
 type connectionError struct {
 	cause error
 }
@@ -83,7 +82,7 @@
 	return e.cause.Error()
 }
 
-// endingOf tells apart how an answer failed.
+// endingOf classifies a failed request; expired means that its time limit had passed.
 func endingOf(err error, expired bool) tally.Ending {
 	if expired {
 		return tally.EndingTimeout
--- a/vload/services/runner/closed.go
+++ b/vload/services/runner/closed.go
@@ -7,17 +7,17 @@
 	"verbenaroad.example/vload/modules/pace"
 )
 
-// worker is one sender of the closed loop.
+// worker is one sender of the closed mode; it has one request in flight at a time.
 type worker struct {
-	owner *Runner
-	start time.Time
+	runner *Runner
+	start  time.Time
 }
 
-// runClosed keeps a fixed number of requests under way until the phases are over.
+// runClosed keeps a fixed number of requests in flight until the phases are over.
 func (r *Runner) runClosed(ctx context.Context) error {
 	start := time.Now()
 	for range r.scenario.Workers {
-		w := &worker{owner: r, start: start}
+		w := &worker{runner: r, start: start}
 		r.calls.Add(1)
 		go w.run(ctx)
 	}
@@ -25,22 +25,22 @@
 	return ErrRunner.Wrap(ctx.Err())
 }
 
-// run sends one request after the other.
+// run sends requests one after another until the phases are over.
 func (w *worker) run(ctx context.Context) {
-	defer w.owner.calls.Done()
+	defer w.runner.calls.Done()
 	for ctx.Err() == nil {
 		now := time.Now()
-		arrival, ok := w.owner.draw(now.Sub(w.start))
+		arrival, ok := w.runner.drawArrival(now.Sub(w.start))
 		if !ok {
 			return
 		}
-		c := &call{owner: w.owner, arrival: arrival, spec: w.owner.specify(arrival), intended: now}
+		c := &call{runner: w.runner, arrival: arrival, spec: w.runner.newSpec(arrival), intended: now}
 		c.send(ctx)
 	}
 }
 
-// draw returns a request for the phase at the offset, or false after the last phase.
-func (r *Runner) draw(offset time.Duration) (pace.Arrival, bool) {
+// drawArrival draws an arrival of the phase at the offset; it returns false after the last phase.
+func (r *Runner) drawArrival(offset time.Duration) (pace.Arrival, bool) {
 	end := time.Duration(0)
 	for i := range r.scenario.Phases {
 		end += r.scenario.Phases[i].Duration.Value()
--- a/vload/services/runner/prompt.go
+++ b/vload/services/runner/prompt.go
@@ -11,17 +11,19 @@
 // corpusWords is the length of the text that prompts are cut from.
 const corpusWords = 1 << 15
 
-// promptSalt keeps the draws of a prompt apart from those of the schedule.
+// promptSalt separates the random numbers of prompts from those of the schedule, which uses the
+// same seed.
 const promptSalt = 0xd1b54a32d192ed03
 
-// corpus is a fixed random text that can be cut at any word without building it anew.
+// corpus is a fixed random text; prompts are substrings of it, so none has to be built word by
+// word.
 type corpus struct {
 	text string
 	// starts holds the offset of each word, and the length of text at the end.
 	starts []int
 }
 
-// newCorpus returns the text of a seed.
+// newCorpus returns a corpus that depends on the seed alone.
 func newCorpus(seed uint64) *corpus {
 	words := strings.Fields("spruce jack plectrum quill bridge soundboard register tongue rule crease die board sheet carton label press draft order maker kit")
 	random := rand.New(rand.NewPCG(seed, promptSalt))
@@ -37,43 +39,44 @@
 	return c
 }
 
-// cut returns count words from a random place.
+// cut returns count consecutive words, or the whole corpus if that is shorter, from a random start.
 func (c *corpus) cut(random *rand.Rand, count int) string {
 	count = min(count, corpusWords)
 	from := random.IntN(corpusWords - count + 1)
 	return c.text[c.starts[from]:c.starts[from+count]]
 }
 
-// prompter makes the prompts of one class.
-type prompter struct {
+// promptGenerator generates the prompts of one class.
+type promptGenerator struct {
 	settings scene.Prompt
 	corpus   *corpus
 	prefixes []string
 }
 
-// newPrompter draws the shared prefixes; the same seed and class give the same ones.
-func newPrompter(c *corpus, settings scene.Prompt, seed uint64) *prompter {
+// newPromptGenerator draws the shared prefixes, which depend only on the corpus, the settings and
+// the seed.
+func newPromptGenerator(c *corpus, settings scene.Prompt, seed uint64) *promptGenerator {
 	random := rand.New(rand.NewPCG(seed, promptSalt))
-	p := &prompter{settings: settings, corpus: c}
+	p := &promptGenerator{settings: settings, corpus: c}
 	for i := range settings.Prefixes {
 		p.prefixes = append(p.prefixes, "prefix "+strconv.Itoa(i)+" "+c.cut(random, settings.PrefixWords))
 	}
 	return p
 }
 
-// prompt returns the text of a seed. The seed itself follows the prefix, so that
-// prompts share their prefix and nothing behind it.
-func (p *prompter) prompt(seed uint64) string {
+// generate returns the prompt of a seed. The seed itself follows the prefix, so that prompts
+// share the prefix and nothing after it.
+func (p *promptGenerator) generate(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, promptSalt))
 	prefix := ""
 	if len(p.prefixes) > 0 {
 		prefix = p.prefixes[random.IntN(len(p.prefixes))]
 	}
-	return prefix + strconv.FormatUint(seed, 36) + " " + p.corpus.cut(random, p.words(random))
+	return prefix + strconv.FormatUint(seed, 36) + " " + p.corpus.cut(random, p.drawLength(random))
 }
 
-// words draws a length.
-func (p *prompter) words(random *rand.Rand) int {
+// drawLength draws the number of words of a prompt.
+func (p *promptGenerator) drawLength(random *rand.Rand) int {
 	s := &p.settings
 	switch s.Length {
 	case scene.DistributionUniform:
--- a/vload/services/runner/runner.go
+++ b/vload/services/runner/runner.go
@@ -30,8 +30,9 @@
 type Runner struct {
 	scenario *scene.Scenario
 	book     *tally.Book
-	makers   []*maker
-	// shared reuses connections; single takes a new one for each request that must not be sent twice.
+	builders []*requestBuilder
+	// shared reuses connections; single opens a new one for each request, for requests that must
+	// not be sent twice.
 	shared *http.Client
 	single *http.Client
 	// slots holds one element for each request in flight.
@@ -40,13 +41,15 @@
 	gaps  sync.Pool
 
 	mutex sync.Mutex
-	// schedule, counts and next are guarded by mutex.
-	schedule *pace.Schedule
-	counts   []uint64
-	next     int
+	// schedule, counts and nextAddress are guarded by mutex; counts holds the number of requests by
+	// class.
+	schedule    *pace.Schedule
+	counts      []uint64
+	nextAddress int
 }
 
-// New returns a runner. The nonce keeps the idempotency keys of one run apart from those of others.
+// New returns a runner. The nonce makes the idempotency keys of this run differ from those of
+// others.
 func New(s *scene.Scenario, book *tally.Book, nonce string) *Runner {
 	r := &Runner{
 		scenario: s,
@@ -60,13 +63,13 @@
 	text := newCorpus(s.Seed)
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		p := newPrompter(text, class.Prompt, s.Seed+uint64(i))
-		r.makers = append(r.makers, newMaker(s, class, p, nonce))
+		p := newPromptGenerator(text, class.Prompt, s.Seed+uint64(i))
+		r.builders = append(r.builders, newRequestBuilder(s, class, p, nonce))
 	}
 	return r
 }
 
-// newClient returns a client that keeps as many connections as there may be requests.
+// newClient returns a client that keeps up to inFlight idle connections, or none if single is set.
 func newClient(inFlight int, single bool) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
@@ -84,12 +87,13 @@
 	}
 }
 
-// keepRedirect makes a redirect count as the answer, since following it sends a second request.
+// keepRedirect makes a redirect count as the answer, since following it would send a second
+// request.
 func keepRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
-// segments returns the phases as the schedule wants them.
+// segments converts the phases to segments of the schedule.
 func segments(s *scene.Scenario) []pace.Segment {
 	all := make([]pace.Segment, 0, len(s.Phases))
 	for i := range s.Phases {
@@ -100,7 +104,7 @@
 		}
 		all = append(all, pace.Segment{
 			Duration: p.Duration.Value(),
-			Rate:     max(p.Rate, 1), // closed mode draws no gaps and may leave the rate out
+			Rate:     max(p.Rate, 1), // the closed mode ignores the rate and may leave it unset
 			Poisson:  p.Arrivals == scene.ArrivalsPoisson,
 			Weights:  weights,
 		})
@@ -121,7 +125,7 @@
 	return err
 }
 
-// runOpen sends each request at its scheduled time, however many answers are outstanding.
+// runOpen sends each request at its scheduled time, regardless of how many answers are outstanding.
 func (r *Runner) runOpen(ctx context.Context) error {
 	start := time.Now()
 	timer := time.NewTimer(0)
@@ -139,7 +143,7 @@
 	}
 }
 
-// sleepUntil waits for the time; it returns at once when that has passed.
+// sleepUntil waits until the given time and returns at once if that has passed.
 func sleepUntil(ctx context.Context, timer *time.Timer, at time.Time) error {
 	wait := time.Until(at)
 	if wait <= 0 {
@@ -154,58 +158,59 @@
 	}
 }
 
-// dispatch starts one request, or counts it as not sent when too many are in flight.
+// dispatch starts one request, or counts it as not sent if MaxInFlight requests are in flight.
 func (r *Runner) dispatch(ctx context.Context, arrival pace.Arrival, intended time.Time) {
-	s := r.specify(arrival)
+	s := r.newSpec(arrival)
 	select {
 	case r.slots <- struct{}{}:
 	default:
 		r.book.Add(&tally.Sample{Phase: arrival.Segment, Class: arrival.Kind, Ending: tally.EndingNotSent})
 		return
 	}
-	c := &call{owner: r, arrival: arrival, spec: s, intended: intended}
+	c := &call{runner: r, arrival: arrival, spec: s, intended: intended}
 	r.calls.Add(1)
 	go c.run(ctx)
 }
 
-// release gives a slot back.
+// release frees the slot of a call.
 func (r *Runner) release() {
 	<-r.slots
 	r.calls.Done()
 }
 
-// specify numbers the request within its class and picks its address.
-func (r *Runner) specify(arrival pace.Arrival) spec {
+// newSpec assigns the request its number within the class and the next address in turn.
+func (r *Runner) newSpec(arrival pace.Arrival) spec {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	addresses := r.scenario.Target.Addresses
 	s := spec{
 		count:   r.counts[arrival.Kind],
 		seed:    arrival.Seed,
-		address: addresses[r.next%len(addresses)].String(),
+		address: addresses[r.nextAddress%len(addresses)].String(),
 	}
 	r.counts[arrival.Kind]++
-	r.next++
+	r.nextAddress++
 	return s
 }
 
-// clientOf returns a client that cannot send a keyed request twice by itself.
-func (r *Runner) clientOf(class *scene.Class) *http.Client {
+// clientFor returns the client for requests of the class. net/http retries requests with an
+// idempotency key on its own if a reused connection breaks, so these get new connections.
+func (r *Runner) clientFor(class *scene.Class) *http.Client {
 	if class.Key == scene.KeyNone || class.Key == "" {
 		return r.shared
 	}
 	return r.single
 }
 
-// takeGaps returns an empty slice with room for the gaps of an answer.
-func (r *Runner) takeGaps() []time.Duration {
+// getGaps returns an empty slice for the times between the tokens of an answer.
+func (r *Runner) getGaps() []time.Duration {
 	if kept, ok := r.gaps.Get().(*[]time.Duration); ok {
 		return (*kept)[:0]
 	}
 	return make([]time.Duration, 0, gapsCapacity)
 }
 
-// returnGaps keeps the slice for a later answer.
-func (r *Runner) returnGaps(gaps []time.Duration) {
+// putGaps returns the slice to the pool.
+func (r *Runner) putGaps(gaps []time.Duration) {
 	r.gaps.Put(&gaps)
 }
--- a/vload/services/runner/runner_test.go
+++ b/vload/services/runner/runner_test.go
@@ -14,20 +14,20 @@
 	"verbenaroad.example/vload/models/scene"
 )
 
-func TestWholeAnswersAreCounted(t *testing.T) {
+func TestCompleteAnswersAreCounted(t *testing.T) {
 	is := is.New(t)
-	ids := &numberer{}
-	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	ids := &requestCounter{}
+	s := newScenario(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/pipelines/draft" || r.Header.Get("Verbena-Deadline") != "1m0s" ||
 			r.Header.Get("Verbena-Priority") != "urgent" || r.Header.Get("Authorization") != "Bearer t" {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		stream(w, 3)
-		end(w, ids.next())
+		writeTokens(w, 3)
+		writeEnd(w, ids.next())
 	})
 	s.Classes[0].ExpectTokens = 3
-	f := load(t, s)
+	f := runScenario(t, s)
 	is.Equal(f["offered"], report.Figure(49))
 	is.Equal(f["attained"], f["offered"])
 	is.Equal(f["tokens"], 3*f["offered"])
@@ -36,26 +36,25 @@
 	is.True(f["between-tokens-p99"].Available())
 }
 
-// A caller's figures look fine while every caller waits: the server stands still for a
-// second, a tool that waits for its answers sends nothing meanwhile, and one slow request
-// is all that it sees. Latency that counts from the intended send time shows the stall in
-// every request that was due during it.
-func TestStallShowsInThePercentiles(t *testing.T) {
+// A tool that waits for an answer before it sends the next request sees one slow request when the
+// server stalls for a second. Latency measured from the intended send time shows the stall in every
+// request that was due during it.
+func TestStallShowsInLatencyPercentiles(t *testing.T) {
 	is := is.New(t)
 	const stall = time.Second
 	var once sync.Once
 	var until time.Time
-	ids := &numberer{}
-	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	ids := &requestCounter{}
+	s := newScenario(t, func(w http.ResponseWriter, _ *http.Request) {
 		once.Do(func() { until = time.Now().Add(stall) })
 		time.Sleep(time.Until(until))
-		stream(w, 1)
-		end(w, ids.next())
+		writeTokens(w, 1)
+		writeEnd(w, ids.next())
 	})
 	s.Classes[0].Deadline = config.Duration(200 * time.Millisecond)
-	f := load(t, s)
+	f := runScenario(t, s)
 	// Requests are due within 0.5 s of the first, so the least wait is 0.5 s and half of
-	// them wait 0.75 s or more, however slow the machine is: bounds from below only.
+	// them wait 0.75 s or more. Only lower bounds are checked, since these hold on a slow machine.
 	is.True(f["latency-p50"] >= 700)
 	is.True(f["latency-p99"] >= 900)
 	is.Equal(f["whole"], f["offered"])
@@ -63,50 +62,50 @@
 	is.Equal(f["late"], f["offered"])
 }
 
-// A maker reads half a build manual: the stream ends in order, with status 200, but without
-// its end record. By contract that is no answer, so it must not count as one.
-func TestBrokenAnswersAreIncomplete(t *testing.T) {
+// A truncated answer must not count as complete: a stream may end in order and with status 200, but
+// without its end record, which the caller API requires.
+func TestTruncatedOrMalformedAnswersAreIncomplete(t *testing.T) {
 	tests := map[string]http.HandlerFunc{
-		"no end record": func(w http.ResponseWriter, _ *http.Request) { stream(w, 3) },
-		"end record cut": func(w http.ResponseWriter, _ *http.Request) {
-			stream(w, 3)
+		"no end record": func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 3) },
+		"end record truncated": func(w http.ResponseWriter, _ *http.Request) {
+			writeTokens(w, 3)
 			writef(w, "event: end\ndata: {\"code\":0}\n")
 		},
 		"end record without code": func(w http.ResponseWriter, _ *http.Request) {
-			stream(w, 3)
+			writeTokens(w, 3)
 			writef(w, "event: end\ndata: {}\n\n")
 		},
 		"token missing": func(w http.ResponseWriter, _ *http.Request) {
-			stream(w, 2)
-			end(w, 1)
+			writeTokens(w, 2)
+			writeEnd(w, 1)
 		},
-		"event behind the end": func(w http.ResponseWriter, _ *http.Request) {
-			stream(w, 3)
-			end(w, 1)
+		"event after the end": func(w http.ResponseWriter, _ *http.Request) {
+			writeTokens(w, 3)
+			writeEnd(w, 1)
 			writef(w, "data: {}\n\n")
 		},
 		"connection cut": func(w http.ResponseWriter, _ *http.Request) {
-			stream(w, 3)
+			writeTokens(w, 3)
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		},
-		"no stream": func(w http.ResponseWriter, _ *http.Request) { writef(w, "{}") },
+		"not a stream": func(w http.ResponseWriter, _ *http.Request) { writef(w, "{}") },
 	}
 	for name, handler := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, handler)
+			s := newScenario(t, handler)
 			s.Phases[0].Duration = config.Duration(50 * time.Millisecond)
 			s.Classes[0].ExpectTokens = 3
-			f := load(t, s)
+			f := runScenario(t, s)
 			is.Equal(f["incomplete"], f["offered"])
 			is.Equal(f["attained"], report.Figure(0))
 		})
 	}
 }
 
-func TestEndingsAreToldApart(t *testing.T) {
-	ids := &numberer{}
+func TestEndingsAreDistinguished(t *testing.T) {
+	ids := &requestCounter{}
 	tests := map[string]struct {
 		handler http.HandlerFunc
 		change  func(s *scene.Scenario)
@@ -121,7 +120,7 @@
 		},
 		"refusal in the end record": {
 			handler: func(w http.ResponseWriter, _ *http.Request) {
-				stream(w, 1)
+				writeTokens(w, 1)
 				writef(w, "event: end\ndata: {\"code\":3002,\"name\":\"backend-failed\",\"outcome\":\"ran\"}\n\n")
 			},
 			metric: "refused/backend-failed",
@@ -147,20 +146,20 @@
 		},
 		"request id used twice": {
 			handler: func(w http.ResponseWriter, _ *http.Request) {
-				stream(w, 1)
-				end(w, 1)
+				writeTokens(w, 1)
+				writeEnd(w, 1)
 			},
-			change: func(s *scene.Scenario) { s.Phases = append([]scene.Phase{warmUp(s)}, s.Phases...) },
+			change: func(s *scene.Scenario) { s.Phases = append([]scene.Phase{warmUpPhase(s)}, s.Phases...) },
 			metric: "duplicate-request-ids",
 		},
 		"another request's answer": {
 			handler: func(w http.ResponseWriter, _ *http.Request) {
 				id := ids.next()
-				stream(w, id)
-				end(w, id)
+				writeTokens(w, id)
+				writeEnd(w, id)
 			},
 			change: func(s *scene.Scenario) {
-				s.Phases = append([]scene.Phase{warmUp(s)}, s.Phases...)
+				s.Phases = append([]scene.Phase{warmUpPhase(s)}, s.Phases...)
 				s.Classes[0].SameAnswer = true
 				s.Classes[0].Prompt.Distinct = 1
 			},
@@ -168,8 +167,8 @@
 		},
 		"same answers": {
 			handler: func(w http.ResponseWriter, _ *http.Request) {
-				stream(w, 4)
-				end(w, ids.next())
+				writeTokens(w, 4)
+				writeEnd(w, ids.next())
 			},
 			change: func(s *scene.Scenario) {
 				s.Classes[0].SameAnswer = true
@@ -182,7 +181,7 @@
 				if r.URL.Path != "/v1/completions" {
 					return
 				}
-				stream(w, 2)
+				writeTokens(w, 2)
 				writef(w, "data: {\"choices\":[],\"usage\":{\"completion_tokens\":2}}\n\ndata: [DONE]\n\n")
 			},
 			change: func(s *scene.Scenario) {
@@ -195,12 +194,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, test.handler)
+			s := newScenario(t, test.handler)
 			s.Phases[0].Duration = config.Duration(100 * time.Millisecond)
 			if test.change != nil {
 				test.change(s)
 			}
-			f := load(t, s)
+			f := runScenario(t, s)
 			is.Equal(f["offered"], report.Figure(9))
 			is.Equal(f[test.metric], f["offered"])
 			is.True(f["differing-answers"] == 0 || test.metric == "differing-answers")
@@ -208,41 +207,42 @@
 	}
 }
 
-// warmUp returns a phase before the only one that is left out of the figures.
-func warmUp(s *scene.Scenario) scene.Phase {
+// warmUpPhase returns a copy of the first phase that is marked as warm-up and thus left out of the
+// figures.
+func warmUpPhase(s *scene.Scenario) scene.Phase {
 	p := s.Phases[0]
 	p.Name = "warm"
 	p.WarmUp = true
 	return p
 }
 
-func TestRetryAfterIsSeen(t *testing.T) {
+func TestRetryAfterHeaderIsCounted(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	s := newScenario(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "2")
 		w.WriteHeader(http.StatusTooManyRequests)
 		writef(w, `{"code":2003,"name":"team-limit","outcome":"not-run"}`)
 	})
-	f := load(t, s)
+	f := runScenario(t, s)
 	is.Equal(f["retry-after-seen"], f["offered"])
 	is.Equal(f["retry-after-mean"], report.Figure(2))
 	is.Equal(f["refused-outcome/not-run"], f["offered"])
 }
 
-func TestArrivalsOverTheBoundCountAsNotSent(t *testing.T) {
+func TestArrivalsOverMaxInFlightCountAsNotSent(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	ids := &numberer{}
-	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	ids := &requestCounter{}
+	s := newScenario(t, func(w http.ResponseWriter, _ *http.Request) {
 		if ids.next() == 1 {
 			time.AfterFunc(time.Second, func() { close(release) })
 		}
 		<-release
-		stream(w, 1)
-		end(w, 1)
+		writeTokens(w, 1)
+		writeEnd(w, 1)
 	})
 	s.MaxInFlight = 4
-	f := load(t, s)
+	f := runScenario(t, s)
 	is.Equal(f["offered"], report.Figure(49))
 	is.Equal(f["whole"]+f["not-sent"], f["offered"])
 	is.True(f["not-sent"] > 0)
@@ -252,18 +252,18 @@
 	is := is.New(t)
 	var mutex sync.Mutex
 	bodies := make(map[string][]string)
-	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newScenario(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		key := r.Header.Get("Idempotency-Key")
 		mutex.Lock()
 		bodies[key] = append(bodies[key], string(body))
 		mutex.Unlock()
-		stream(w, 1)
-		end(w, 1)
+		writeTokens(w, 1)
+		writeEnd(w, 1)
 	})
 	s.Classes[0].Key = scene.KeyRepeat
 	s.Classes[0].KeyRepeats = 2
-	f := load(t, s)
+	f := runScenario(t, s)
 	is.Equal(f["attained"], f["offered"])
 	is.Equal(f["duplicate-request-ids"], report.Figure(0))
 	is.Equal(len(bodies), 25) // 49 requests, two to a key
@@ -272,15 +272,15 @@
 	}
 }
 
-// An order is billed twice: on a connection that served an earlier order the server reads
-// the next and closes without an answer. The HTTP client takes a keyed POST for repeatable
-// and sends it again by itself on another connection.
-func TestKeyedRequestIsSentOnce(t *testing.T) {
+// A request with an idempotency key must not be sent twice. The server reads a request on a reused
+// connection and closes it without an answer; net/http takes a POST with such a key for idempotent
+// and would retry it on another connection.
+func TestRequestWithKeyIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	ids := &numberer{}
+	ids := &requestCounter{}
 	var mutex sync.Mutex
 	runs := make(map[string]int)
-	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newScenario(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		mutex.Lock()
 		runs[r.Header.Get("Idempotency-Key")]++
@@ -289,11 +289,11 @@
 		if id%2 == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		stream(w, 1)
-		end(w, id)
+		writeTokens(w, 1)
+		writeEnd(w, id)
 	})
 	s.Classes[0].Key = scene.KeyUnique
-	f := load(t, s)
+	f := runScenario(t, s)
 	is.Equal(f["connection"], report.Figure(24)) // every second of 49
 	is.Equal(report.Figure(len(runs)), f["offered"])
 	for _, count := range runs {
@@ -301,22 +301,22 @@
 	}
 }
 
-func TestClosedLoopSendsOneAtATime(t *testing.T) {
+func TestClosedModeSendsOneRequestAtATimePerWorker(t *testing.T) {
 	is := is.New(t)
 	var mutex sync.Mutex
-	ids := &numberer{}
-	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	ids := &requestCounter{}
+	s := newScenario(t, func(w http.ResponseWriter, _ *http.Request) {
 		if !mutex.TryLock() {
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
-		stream(w, 1)
-		end(w, ids.next())
+		writeTokens(w, 1)
+		writeEnd(w, ids.next())
 		mutex.Unlock()
 	})
 	s.Mode = scene.ModeClosed
 	s.Workers = 1
-	f := load(t, s)
+	f := runScenario(t, s)
 	is.True(f["offered"] > 0)
 	is.Equal(f["whole"], f["offered"])
 }
--- a/vload/services/runner/server_test.go
+++ b/vload/services/runner/server_test.go
@@ -18,8 +18,8 @@
 	"verbenaroad.example/vload/services/tally"
 )
 
-// serve starts a server and returns a scenario of one class that loads it.
-func serve(t testing.TB, handler http.HandlerFunc) *scene.Scenario {
+// newScenario starts a server and returns a scenario whose single class and phase send it requests.
+func newScenario(t testing.TB, handler http.HandlerFunc) *scene.Scenario {
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return &scene.Scenario{
@@ -43,8 +43,8 @@
 	}
 }
 
-// load runs the scenario and returns the figures of all requests by metric.
-func load(t testing.TB, s *scene.Scenario) map[string]report.Figure {
+// runScenario runs the scenario and returns the figures of the group "all" by metric.
+func runScenario(t testing.TB, s *scene.Scenario) map[string]report.Figure {
 	book := tally.NewBook(s)
 	if err := runner.New(s, book, "nonce").Run(t.Context()); err != nil {
 		t.Fatal(err)
@@ -58,34 +58,33 @@
 	return figures
 }
 
-// numberer numbers the requests of a server from 1.
-type numberer struct {
+// requestCounter numbers the requests to a server from 1.
+type requestCounter struct {
 	mutex sync.Mutex
 	count int
 }
 
-// next returns the next number.
-func (n *numberer) next() int {
+func (n *requestCounter) next() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.count++
 	return n.count
 }
 
-// stream writes tokens as events.
-func stream(w http.ResponseWriter, tokens int) {
+// writeTokens writes tokens as events.
+func writeTokens(w http.ResponseWriter, tokens int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := range tokens {
 		writef(w, "data: {\"text\":\"word%d \"}\n\n", i)
 	}
 }
 
-// end writes the end record of a success.
-func end(w http.ResponseWriter, id int) {
+// writeEnd writes the end record of a success.
+func writeEnd(w http.ResponseWriter, id int) {
 	writef(w, "event: end\ndata: {\"code\":0,\"name\":\"ok\",\"outcome\":\"ran\",\"request-id\":\"r%d\"}\n\n", id)
 }
 
-// writef writes a part of an answer; a caller that went away is not the server's fault.
+// writef writes part of an answer. Errors are ignored: the client may have closed the connection.
 func writef(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
