--- a/vload/cmds/stand.go
+++ b/vload/cmds/stand.go
@@ -24,14 +24,14 @@
 	flags.IntVar(&o.Services, "services", 1, "number of services of the stand-in agents")
 	flags.StringVar(&o.Region, "region", "north", "region")
 	flags.StringVar(&o.Domain, "domain", "north-9", "failure domain")
-	flags.DurationVar(&o.BeatEvery, "beat-every", time.Second, "time between two heartbeats")
+	flags.DurationVar(&o.HeartbeatInterval, "beat-every", time.Second, "time between two heartbeats")
 	return &ffcli.Command{
 		Name:       "stand",
 		ShortUsage: "vload stand --list IP:PORT [--agents N] [--entries N --target IP:PORT] [--listed N]",
 		ShortHelp:  "keeps light stand-ins of agents and entries until interrupted",
 		FlagSet:    flags,
 		Exec: func(ctx context.Context, _ []string) error {
-			if err := stand.NewStands(o).Start(ctx); err != nil {
+			if err := stand.NewGroup(o).Start(ctx); err != nil {
 				return err
 			}
 			_, _ = fmt.Fprintln(out, "up")
--- a/vload/services/stand/stand.go
+++ b/vload/services/stand/stand.go
@@ -1,5 +1,6 @@
-// Package stand keeps light stand-ins of agents and entries, many in one
-// process: each has a session of its own with real heartbeats, and takes no calls.
+// Package stand runs lightweight stand-ins of agents and entries, many in one process. Stand-in
+// agents accept sessions and stand-in entries open one each, with real heartbeats on them; none of
+// them handles calls.
 package stand
 
 import (
@@ -22,119 +23,124 @@
 // ErrStand is the class of errors of this package.
 var ErrStand = errs.Class("stand-ins") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// silentBeats is how many heartbeats may be missing before a session counts as silent, as in the programs.
-const silentBeats = 3.5
+// silenceFactor times the heartbeat interval is how long a session may be silent before it is
+// closed. Agents, entries and ingresses use the same factor.
+const silenceFactor = 3.5
 
-// registerTries bounds the calls for one registration.
-const registerTries = 5
+// registerAttempts limits the attempts of one registration.
+const registerAttempts = 5
 
-// confirmedAge is the age of the confirmation in every heartbeat.
+// confirmedAge is the time since the key-value service confirmed the revision, as every heartbeat
+// reports it.
 const confirmedAge = 600 * time.Millisecond
 
-// Options say which stand-ins there are.
+// Options determine which stand-ins are started.
 type Options struct {
-	// List takes the registrations.
+	// List is the address of the instance list, where the stand-ins are registered.
 	List netip.AddrPort
-	// Agents accept sessions; Entries open one each to Target; Listed only stand on the list.
+	// Agents is the number of stand-in agents, which accept sessions. Entries is the number of
+	// stand-in entries, which open one session each to Target. Listed is the number of entries
+	// that are only registered.
 	Agents  int
 	Entries int
 	Listed  int
-	// Services is the number of services that the agents belong to, in turns.
+	// Services is the number of services; the agents are assigned to them in turn.
 	Services int
-	// Target is a real agent's address for sessions.
-	Target    netip.AddrPort
-	Region    string
-	Domain    string
-	BeatEvery time.Duration
+	// Target is the session address of a real agent.
+	Target            netip.AddrPort
+	Region            string
+	Domain            string
+	HeartbeatInterval time.Duration
 }
 
-// Stands are the stand-ins of one process.
-type Stands struct {
+// Group is the set of stand-ins of one process.
+type Group struct {
 	options Options
 	list    *roster.Client
-	// revision is the highest that the process under test told.
+	// revision is the highest configuration revision that the process under test has reported.
 	revision atomic.Uint64
 }
 
-// NewStands returns the stand-ins; Start brings them up.
-func NewStands(options Options) *Stands {
+// NewGroup returns a group whose stand-ins Start starts.
+func NewGroup(options Options) *Group {
 	list := roster.NewClient(roster.Options{Address: options.List})
-	return &Stands{options: options, list: list}
+	return &Group{options: options, list: list}
 }
 
-// Start brings up every stand-in and keeps them until the context ends.
-func (s *Stands) Start(ctx context.Context) error {
-	for i := range s.options.Agents {
-		if err := s.startAgent(ctx, i); err != nil {
+// Start starts all stand-ins. They run in the background until ctx is canceled.
+func (g *Group) Start(ctx context.Context) error {
+	for i := range g.options.Agents {
+		if err := g.startAgent(ctx, i); err != nil {
 			return err
 		}
 	}
-	for i := range s.options.Entries {
-		if err := s.startEntry(ctx, i); err != nil {
+	for i := range g.options.Entries {
+		if err := g.startEntry(ctx, i); err != nil {
 			return err
 		}
 	}
-	for i := range s.options.Listed {
-		instance := s.newInstance(member.RoleEntry, fmt.Sprintf("listed-%04d", i))
-		if err := s.register(ctx, instance); err != nil {
+	for i := range g.options.Listed {
+		instance := g.newInstance(member.RoleEntry, fmt.Sprintf("listed-%04d", i))
+		if err := g.register(ctx, instance); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// register tries again where the list does not answer: on a busy machine one
-// call of a thousand ends without an answer, and registering twice does no harm.
-func (s *Stands) register(ctx context.Context, instance member.Instance) error {
-	err := s.list.RegisterInstance(ctx, instance)
-	for range registerTries - 1 {
+// register registers the instance and retries on an error: on a busy machine one call in a thousand
+// gets no answer, and registering twice does no harm.
+func (g *Group) register(ctx context.Context, instance member.Instance) error {
+	err := g.list.RegisterInstance(ctx, instance)
+	for range registerAttempts - 1 {
 		if err == nil || ctx.Err() != nil {
 			break
 		}
-		err = s.list.RegisterInstance(ctx, instance)
+		err = g.list.RegisterInstance(ctx, instance)
 	}
 	return ErrStand.Wrap(err)
 }
 
-func (s *Stands) newInstance(role member.Role, name string) member.Instance {
+func (g *Group) newInstance(role member.Role, name string) member.Instance {
 	return member.Instance{
 		Name:    name,
 		Role:    role,
-		Region:  s.options.Region,
-		Domain:  s.options.Domain,
+		Region:  g.options.Region,
+		Domain:  g.options.Domain,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 1),
 		Labels:  config.Labels{"tier": "reserved", "rack": "r1"},
 	}
 }
 
-func (s *Stands) startAgent(ctx context.Context, i int) error {
+func (g *Group) startAgent(ctx context.Context, i int) error {
 	listener, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return ErrStand.Wrap(err)
 	}
-	instance := s.newInstance(member.RoleAgent, fmt.Sprintf("stand-agent-%04d", i))
-	instance.Service = fmt.Sprintf("service-%02d", i%max(1, s.options.Services))
+	instance := g.newInstance(member.RoleAgent, fmt.Sprintf("stand-agent-%04d", i))
+	instance.Service = fmt.Sprintf("service-%02d", i%max(1, g.options.Services))
 	instance.Address, err = netip.ParseAddrPort(listener.Addr().String())
 	if err != nil {
 		return ErrStand.Wrap(err)
 	}
-	a := &acceptor{listener: listener, options: s.newLink(&instance)}
+	a := &acceptor{listener: listener, options: g.newLinkOptions(&instance)}
 	go a.loop(ctx)
-	return s.register(ctx, instance)
+	return g.register(ctx, instance)
 }
 
-func (s *Stands) startEntry(ctx context.Context, i int) error {
-	instance := s.newInstance(member.RoleEntry, fmt.Sprintf("stand-entry-%04d", i))
-	session, err := link.Dial(ctx, s.options.Target, s.newLink(&instance))
+func (g *Group) startEntry(ctx context.Context, i int) error {
+	instance := g.newInstance(member.RoleEntry, fmt.Sprintf("stand-entry-%04d", i))
+	session, err := link.Dial(ctx, g.options.Target, g.newLinkOptions(&instance))
 	if err != nil {
 		return ErrStand.Wrap(err)
 	}
 	context.AfterFunc(ctx, func() { _ = session.Close() })
-	return s.register(ctx, instance)
+	return g.register(ctx, instance)
 }
 
-// newLink returns a session's settings; its heartbeats are as long as those of the programs.
-func (s *Stands) newLink(instance *member.Instance) link.Options {
+// newLinkOptions returns the options of a session; its heartbeats are as large as those of real
+// instances.
+func (g *Group) newLinkOptions(instance *member.Instance) link.Options {
 	return link.Options{
 		Hello: &wire.Hello{
 			Version:     wire.Version,
@@ -145,18 +151,19 @@
 			Domain:      instance.Domain,
 			Service:     instance.Service,
 		},
-		HeartbeatInterval: s.options.BeatEvery,
-		SilenceTimeout:    time.Duration(silentBeats * float64(s.options.BeatEvery)),
-		NewHeartbeat:      s.newBeat(instance.Role),
-		OnHeartbeat:       s.takeBeat,
+		HeartbeatInterval: g.options.HeartbeatInterval,
+		SilenceTimeout:    time.Duration(silenceFactor * float64(g.options.HeartbeatInterval)),
+		NewHeartbeat:      g.newHeartbeat(instance.Role),
+		OnHeartbeat:       g.handleHeartbeat,
 	}
 }
 
-// newBeat returns the heartbeats of a role. They repeat the revision that the
-// process under test told, and confirm it as a fleet at rest does.
-func (s *Stands) newBeat(role member.Role) func() *wire.Beat {
+// newHeartbeat returns a function that creates the heartbeats of a role. They report the highest
+// revision received from the process under test as confirmed, as instances do while the
+// configuration does not change.
+func (g *Group) newHeartbeat(role member.Role) func() *wire.Beat {
 	return func() *wire.Beat {
-		beat := &wire.Beat{Revision: s.revision.Load(), ConfirmedAgeNanos: int64(confirmedAge)}
+		beat := &wire.Beat{Revision: g.revision.Load(), ConfirmedAgeNanos: int64(confirmedAge)}
 		if role == member.RoleAgent {
 			beat.Load = &wire.Load{Running: 3, Slots: 16, WaitNanos: 1_000_000, ServiceNanos: 50_000_000}
 		}
@@ -164,13 +171,13 @@
 	}
 }
 
-func (s *Stands) takeBeat(_ *link.Session, beat *wire.Beat, _ time.Time) {
-	if beat.GetRevision() > s.revision.Load() {
-		s.revision.Store(beat.GetRevision())
+func (g *Group) handleHeartbeat(_ *link.Session, beat *wire.Beat, _ time.Time) {
+	if beat.GetRevision() > g.revision.Load() {
+		g.revision.Store(beat.GetRevision())
 	}
 }
 
-// acceptor takes the sessions of one stand-in agent.
+// acceptor accepts the sessions of one stand-in agent.
 type acceptor struct {
 	listener net.Listener
 	options  link.Options
