--- a/vload/cmds/run.go
+++ b/vload/cmds/run.go
@@ -94,7 +94,7 @@
 
 // offer runs the load and writes the results. An interrupted run writes none, since its figures are not those of the scenario.
 func (l *loader) offer(ctx context.Context, s *scene.Scenario) error {
-	book := tally.NewBook(s)
+	book := tally.NewCounter(s)
 	reader := gauge.NewReader()
 	before := gauge.StartMarker(ctx, reader, s.Metrics.Addresses, s.LeadingWarmUp())
 	if err := runner.New(s, book, rand.Text()).Run(ctx); err != nil {
--- a/vload/services/runner/answer.go
+++ b/vload/services/runner/answer.go
@@ -133,7 +133,7 @@
 		if isJSON && !json.Valid(text) {
 			return errIncomplete
 		}
-		a.sample.Ending = tally.EndingWhole
+		a.sample.Ending = tally.EndingComplete
 		return nil
 	}
 	r := result{}
@@ -151,7 +151,7 @@
 		a.setRefusal(r)
 		return
 	}
-	a.sample.Ending = tally.EndingWhole
+	a.sample.Ending = tally.EndingComplete
 	a.setRequestID(r.RequestID)
 }
 
@@ -173,7 +173,7 @@
 	if !ended {
 		return errIncomplete
 	}
-	if a.sample.Ending == tally.EndingWhole && a.class.ExpectTokens > 0 && a.sample.Tokens != a.class.ExpectTokens {
+	if a.sample.Ending == tally.EndingComplete && a.class.ExpectTokens > 0 && a.sample.Tokens != a.class.ExpectTokens {
 		return errIncomplete
 	}
 	return nil
@@ -190,7 +190,7 @@
 		return true, nil
 	}
 	if a.kind != scene.TargetEntry && event.Data == doneData {
-		a.sample.Ending = tally.EndingWhole
+		a.sample.Ending = tally.EndingComplete
 		return true, nil
 	}
 	if event.Type == "" && !isUsage(event.Data) {
@@ -229,7 +229,7 @@
 	for _, choice := range t.Choices {
 		_, _ = a.digest.WriteString(choice.Text)
 	}
-	a.sample.Text = a.digest.Sum64()
+	a.sample.TextDigest = a.digest.Sum64()
 }
 
 // recordToken counts a token and records its time.
--- a/vload/services/runner/call.go
+++ b/vload/services/runner/call.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		sample.Ending = endingOf(err, expired)
 	}
-	sample.InTime = sample.Ending == tally.EndingWhole && sample.Latency <= class.Deadline.Value()
-	c.runner.book.Add(sample)
+	sample.InTime = sample.Ending == tally.EndingComplete && sample.Latency <= class.Deadline.Value()
+	c.runner.counter.Add(sample)
 	c.runner.putGaps(sample.Gaps)
 }
 
@@ -62,7 +62,7 @@
 	a := &answerReader{class: b.class, kind: b.target.Kind, sample: sample, intended: c.intended}
 	if b.class.SameAnswer {
 		a.digest = xxhash.New()
-		sample.Prompt = b.seed(c.spec)
+		sample.PromptID = b.seed(c.spec)
 	}
 	err = a.read(response)
 	return errors.Join(err, closeBody(response))
--- a/vload/services/runner/runner.go
+++ b/vload/services/runner/runner.go
@@ -29,7 +29,7 @@
 // Runner sends the load of one scenario once.
 type Runner struct {
 	scenario *scene.Scenario
-	book     *tally.Book
+	counter  *tally.Counter
 	builders []*requestBuilder
 	// shared reuses connections; single opens a new one for each request, for requests that must
 	// not be sent twice.
@@ -50,10 +50,10 @@
 
 // New returns a runner. The nonce makes the idempotency keys of this run differ from those of
 // others.
-func New(s *scene.Scenario, book *tally.Book, nonce string) *Runner {
+func New(s *scene.Scenario, counter *tally.Counter, nonce string) *Runner {
 	r := &Runner{
 		scenario: s,
-		book:     book,
+		counter:  counter,
 		shared:   newClient(s.MaxInFlight, false),
 		single:   newClient(s.MaxInFlight, true),
 		slots:    make(chan struct{}, s.MaxInFlight),
@@ -164,7 +164,7 @@
 	select {
 	case r.slots <- struct{}{}:
 	default:
-		r.book.Add(&tally.Sample{Phase: arrival.Segment, Class: arrival.Kind, Ending: tally.EndingNotSent})
+		r.counter.Add(&tally.Sample{Phase: arrival.Segment, Class: arrival.Kind, Ending: tally.EndingNotSent})
 		return
 	}
 	c := &call{runner: r, arrival: arrival, spec: s, intended: intended}
--- a/vload/services/runner/server_test.go
+++ b/vload/services/runner/server_test.go
@@ -45,12 +45,12 @@
 
 // runScenario runs the scenario and returns the figures of the group "all" by metric.
 func runScenario(t testing.TB, s *scene.Scenario) map[string]report.Figure {
-	book := tally.NewBook(s)
-	if err := runner.New(s, book, "nonce").Run(t.Context()); err != nil {
+	counter := tally.NewCounter(s)
+	if err := runner.New(s, counter, "nonce").Run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	figures := make(map[string]report.Figure)
-	for _, row := range book.Rows() {
+	for _, row := range counter.Rows() {
 		if row.Class == "all" {
 			figures[row.Metric] = row.Value
 		}
--- a/vload/services/tally/cell.go
+++ b/vload/services/tally/cell.go
@@ -8,7 +8,7 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// The one configuration of histograms, so that any two of them merge without loss.
+// The configuration that all histograms share, so that any two of them merge without loss.
 const (
 	lowestMicros      = 1
 	highestMicros     = 10 * 60 * 1000 * 1000
@@ -20,27 +20,28 @@
 	return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 }
 
-// record adds a duration and bounds it to the range of the histogram.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+// recordDuration adds a duration, clamped to the range of the histogram.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	micros := min(max(d.Microseconds(), lowestMicros), highestMicros)
-	_ = h.RecordValue(micros) // cannot fail within the range
+	_ = h.RecordValue(micros) // fails only outside the range
 }
 
 // cell sums up the samples of one class in one phase, or of several such cells.
 type cell struct {
-	offered    int64
-	inTime     int64
-	tokens     int64
-	duplicates int64
-	differing  int64
-	retryAfter int64
-	// retryAfterSum is the sum of all advised waits.
+	offered         int64
+	inTime          int64
+	tokens          int64
+	duplicates      int64
+	differing       int64
+	retryAfterCount int64
+	// retryAfterSum is the sum of the waits that retryAfterCount answers advised.
 	retryAfterSum time.Duration
 	endings       map[Ending]int64
 	refusals      map[string]int64
 	outcomes      map[codes.Outcome]int64
 
-	// latency holds whole answers and timeouts: refusals would make it look short.
+	// latency holds complete answers and timeouts. Refusals are left out, since they would
+	// make the latency look short.
 	latency    *hdrhistogram.Histogram
 	firstToken *hdrhistogram.Histogram
 	gap        *hdrhistogram.Histogram
@@ -60,7 +61,8 @@
 	}
 }
 
-// add counts one sample.
+// add counts one sample; duplicate and differs say whether its request id was seen before and
+// whether its text differs from an earlier answer to the same prompt.
 func (c *cell) add(s *Sample, duplicate, differs bool) {
 	c.offered++
 	c.endings[s.Ending]++
@@ -75,41 +77,41 @@
 		c.differing++
 	}
 	if s.RetryAfter > 0 {
-		c.retryAfter++
+		c.retryAfterCount++
 		c.retryAfterSum += s.RetryAfter
 	}
 	if s.Ending == EndingRefused {
 		c.refusals[s.CodeName]++
 		c.outcomes[s.Outcome]++
 	}
-	c.time(s)
+	c.recordDurations(s)
 }
 
-// time records the durations of one sample.
-func (c *cell) time(s *Sample) {
+// recordDurations adds the durations of one sample to the histograms.
+func (c *cell) recordDurations(s *Sample) {
 	if s.Ending == EndingNotSent {
 		return
 	}
-	record(c.sendLag, s.SendLag)
-	if s.Ending == EndingWhole || s.Ending == EndingTimeout {
-		record(c.latency, s.Latency)
+	recordDuration(c.sendLag, s.SendLag)
+	if s.Ending == EndingComplete || s.Ending == EndingTimeout {
+		recordDuration(c.latency, s.Latency)
 	}
 	if s.FirstToken > 0 {
-		record(c.firstToken, s.FirstToken)
+		recordDuration(c.firstToken, s.FirstToken)
 	}
 	for _, gap := range s.Gaps {
-		record(c.gap, gap)
+		recordDuration(c.gap, gap)
 	}
 }
 
-// merge adds all that other holds.
+// merge adds the counts and histograms of other.
 func (c *cell) merge(other *cell) {
 	c.offered += other.offered
 	c.inTime += other.inTime
 	c.tokens += other.tokens
 	c.duplicates += other.duplicates
 	c.differing += other.differing
-	c.retryAfter += other.retryAfter
+	c.retryAfterCount += other.retryAfterCount
 	c.retryAfterSum += other.retryAfterSum
 	for k, v := range other.endings {
 		c.endings[k] += v
--- a/vload/services/tally/rows.go
+++ b/vload/services/tally/rows.go
@@ -12,7 +12,8 @@
 	"verbenaroad.example/vload/models/report"
 )
 
-// The groups of the report; a class keeps its bare name.
+// The names of the groups of the report. The group of a class has the name of the class without a
+// prefix.
 const (
 	groupAll       = "all"
 	prefixTeam     = "team:"
@@ -20,47 +21,48 @@
 	prefixPhase    = "phase:"
 )
 
-// unsetPriority stands for requests without the priority header.
+// unsetPriority is the priority name of classes that send no priority header.
 const unsetPriority = "unset"
 
-// Rows sums up the run: all requests, then each class, team, priority and phase.
-func (b *Book) Rows() []report.Row {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// Rows returns the figures of the run: of all requests, then by class, team, priority and phase.
+func (t *Counter) Rows() []report.Row {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	var rows []report.Row
-	measured := b.measured("")
-	rows = appendCell(rows, groupAll, b.sum(func(place) bool { return true }), measured)
-	for i, c := range b.scenario.Classes {
-		rows = appendCell(rows, c.Name, b.sum(func(p place) bool { return p.class == i }), measured)
+	measuredTime := t.measuredTime("")
+	rows = appendCell(rows, groupAll, t.sum(func(cellKey) bool { return true }), measuredTime)
+	for i, c := range t.scenario.Classes {
+		rows = appendCell(rows, c.Name, t.sum(func(key cellKey) bool { return key.class == i }), measuredTime)
 	}
 	var ratios []float64
-	for _, team := range b.teams() {
-		cells := b.sum(func(p place) bool { return b.scenario.Classes[p.class].Team == team })
-		rows = appendCell(rows, prefixTeam+team, cells, measured)
+	for _, team := range t.teams() {
+		cells := t.sum(func(key cellKey) bool { return t.scenario.Classes[key.class].Team == team })
+		rows = appendCell(rows, prefixTeam+team, cells, measuredTime)
 		if cells.offered > 0 {
 			ratios = append(ratios, float64(cells.inTime)/float64(cells.offered))
 		}
 	}
 	rows = append(rows, report.Row{Class: groupAll, Metric: "jain-teams", Value: jain(ratios), Unit: "index"})
-	for _, priority := range b.priorities() {
-		cells := b.sum(func(p place) bool { return b.priority(p.class) == priority })
-		rows = appendCell(rows, prefixPriority+priority, cells, measured)
+	for _, priority := range t.priorities() {
+		cells := t.sum(func(key cellKey) bool { return t.priority(key.class) == priority })
+		rows = appendCell(rows, prefixPriority+priority, cells, measuredTime)
 	}
-	for i, phase := range b.scenario.Phases {
-		cells := b.sum(func(p place) bool { return p.phase == i })
-		rows = appendCell(rows, prefixPhase+phase.Name, cells, b.measured(phase.Name))
+	for i, phase := range t.scenario.Phases {
+		cells := t.sum(func(key cellKey) bool { return key.phase == i })
+		rows = appendCell(rows, prefixPhase+phase.Name, cells, t.measuredTime(phase.Name))
 	}
 	return rows
 }
 
-// Offered returns the number of requests that count.
-func (b *Book) Offered() int64 {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.sum(func(place) bool { return true }).offered
+// Offered returns the number of requests offered outside the warm-up phases.
+func (t *Counter) Offered() int64 {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.sum(func(cellKey) bool { return true }).offered
 }
 
-// jain returns the Jain index of the teams' attainment: 1 where all have the same, 1/n where one has all.
+// jain returns the Jain fairness index of the teams' attainment: 1 if all n teams attain the same,
+// 1/n if a single team attains everything. It is not available if no team attains anything.
 func jain(ratios []float64) report.Figure {
 	sum, squares := 0.0, 0.0
 	for _, ratio := range ratios {
@@ -73,10 +75,11 @@
 	return report.Figure(sum * sum / (float64(len(ratios)) * squares))
 }
 
-// measured returns the length of the named phase, or of all phases that count.
-func (b *Book) measured(name string) time.Duration {
+// measuredTime returns the duration of the named phase, or of all phases if the name is empty.
+// Warm-up phases count as 0.
+func (t *Counter) measuredTime(name string) time.Duration {
 	total := time.Duration(0)
-	for _, p := range b.scenario.Phases {
+	for _, p := range t.scenario.Phases {
 		if !p.WarmUp && (name == "" || p.Name == name) {
 			total += p.Duration.Value()
 		}
@@ -84,11 +87,11 @@
 	return total
 }
 
-// sum merges the cells that are wanted.
-func (b *Book) sum(wanted func(place) bool) *cell {
+// sum returns the merged cells of all keys that include selects.
+func (t *Counter) sum(include func(cellKey) bool) *cell {
 	total := newCell()
-	for at, c := range b.cells {
-		if wanted(at) {
+	for key, c := range t.cells {
+		if include(key) {
 			total.merge(c)
 		}
 	}
@@ -96,9 +99,9 @@
 }
 
 // teams returns the teams of the classes, sorted.
-func (b *Book) teams() []string {
+func (t *Counter) teams() []string {
 	names := make(map[string]bool)
-	for _, c := range b.scenario.Classes {
+	for _, c := range t.scenario.Classes {
 		if c.Team != "" {
 			names[c.Team] = true
 		}
@@ -107,39 +110,39 @@
 }
 
 // priorities returns the priorities of the classes, sorted.
-func (b *Book) priorities() []string {
+func (t *Counter) priorities() []string {
 	names := make(map[string]bool)
-	for i := range b.scenario.Classes {
-		names[b.priority(i)] = true
+	for i := range t.scenario.Classes {
+		names[t.priority(i)] = true
 	}
 	return slices.Sorted(maps.Keys(names))
 }
 
-// priority returns the name of the class's priority.
-func (b *Book) priority(class int) string {
-	p := b.scenario.Classes[class].Priority
+// priority returns the name of the priority of a class.
+func (t *Counter) priority(class int) string {
+	p := t.scenario.Classes[class].Priority
 	if p == "" {
 		return unsetPriority
 	}
 	return string(p)
 }
 
-// appendCell adds the rows of one group; a group without requests has none.
-func appendCell(rows []report.Row, group string, c *cell, measured time.Duration) []report.Row {
+// appendCell appends the rows of one group, or none if the group has no requests.
+func appendCell(rows []report.Row, group string, c *cell, measuredTime time.Duration) []report.Row {
 	if c.offered == 0 {
 		return rows
 	}
 	add := func(metric string, value float64, unit string) {
 		rows = append(rows, report.Row{Class: group, Metric: metric, Value: report.Figure(value), Unit: unit})
 	}
-	whole := c.endings[EndingWhole]
+	complete := c.endings[EndingComplete]
 	add("offered", float64(c.offered), "requests")
 	add("attained", float64(c.inTime), "requests")
 	add("attainment", float64(c.inTime)/float64(c.offered), "ratio")
 	for _, ending := range Endings() {
 		add(string(ending), float64(c.endings[ending]), "requests")
 	}
-	add("late", float64(whole-c.inTime), "requests")
+	add("late", float64(complete-c.inTime), "requests")
 	for _, name := range slices.Sorted(maps.Keys(c.refusals)) {
 		add("refused/"+name, float64(c.refusals[name]), "requests")
 	}
@@ -148,26 +151,26 @@
 	}
 	add("duplicate-request-ids", float64(c.duplicates), "requests")
 	add("differing-answers", float64(c.differing), "requests")
-	add("retry-after-seen", float64(c.retryAfter), "requests")
+	add("retry-after-seen", float64(c.retryAfterCount), "requests")
 	add("retry-after-mean", c.retryAfterMean(), "s")
-	add("requests-per-second", float64(whole)/measured.Seconds(), "1/s")
+	add("requests-per-second", float64(complete)/measuredTime.Seconds(), "1/s")
 	add("tokens", float64(c.tokens), "tokens")
-	add("tokens-per-second", float64(c.tokens)/measured.Seconds(), "1/s")
+	add("tokens-per-second", float64(c.tokens)/measuredTime.Seconds(), "1/s")
 	rows = appendQuantiles(rows, group, "latency", c.latency)
 	rows = appendQuantiles(rows, group, "first-token", c.firstToken)
 	rows = appendQuantiles(rows, group, "between-tokens", c.gap)
 	return appendQuantiles(rows, group, "send-lag", c.sendLag)
 }
 
-// retryAfterMean returns the mean advised wait in seconds; NaN where none was given.
+// retryAfterMean returns the mean advised wait in seconds, or NaN if no answer advised one.
 func (c *cell) retryAfterMean() float64 {
-	if c.retryAfter == 0 {
+	if c.retryAfterCount == 0 {
 		return math.NaN()
 	}
-	return c.retryAfterSum.Seconds() / float64(c.retryAfter)
+	return c.retryAfterSum.Seconds() / float64(c.retryAfterCount)
 }
 
-// outcomeName names an outcome that may be missing from the answer.
+// outcomeName returns the name of the outcome, or "none" if the answer has none.
 func outcomeName(o codes.Outcome) string {
 	if o == "" {
 		return "none"
@@ -175,7 +178,8 @@
 	return string(o)
 }
 
-// appendQuantiles adds the quantiles of one histogram in milliseconds; those of an empty one are not available.
+// appendQuantiles appends the quantiles of a histogram in milliseconds. Those of an empty histogram
+// are not available.
 func appendQuantiles(rows []report.Row, group, name string, h *hdrhistogram.Histogram) []report.Row {
 	quantiles := []struct {
 		suffix  string
--- a/vload/services/tally/rows_test.go
+++ b/vload/services/tally/rows_test.go
@@ -13,7 +13,8 @@
 	"verbenaroad.example/vload/services/tally"
 )
 
-// newScenario has a warm-up and a measured phase, and a class for each of two teams.
+// newScenario returns a scenario with a warm-up phase, a measured phase and one class for each of
+// two teams.
 func newScenario() *scene.Scenario {
 	return &scene.Scenario{
 		Phases: []scene.Phase{
@@ -27,10 +28,10 @@
 	}
 }
 
-// figures returns the rows of a book by class and metric.
-func figures(b *tally.Book) map[string]report.Figure {
+// figures returns the values of the rows by class and metric.
+func figures(counter *tally.Counter) map[string]report.Figure {
 	all := make(map[string]report.Figure)
-	for _, row := range b.Rows() {
+	for _, row := range counter.Rows() {
 		all[row.Class+" "+row.Metric] = row.Value
 	}
 	return all
@@ -38,18 +39,18 @@
 
 func TestRowsByClassTeamPriorityAndPhase(t *testing.T) {
 	is := is.New(t)
-	b := tally.NewBook(newScenario())
-	b.Add(&tally.Sample{Phase: 0, Ending: tally.EndingWhole, InTime: true})
+	counter := tally.NewCounter(newScenario())
+	counter.Add(&tally.Sample{Phase: 0, Ending: tally.EndingComplete, InTime: true})
 	for i := range 4 {
 		latency := time.Duration(i+1) * 100 * time.Millisecond
-		b.Add(&tally.Sample{Phase: 1, Class: i % 2, Ending: tally.EndingWhole, InTime: i != 3, Latency: latency, Tokens: 10})
+		counter.Add(&tally.Sample{Phase: 1, Class: i % 2, Ending: tally.EndingComplete, InTime: i != 3, Latency: latency, Tokens: 10})
 	}
-	b.Add(&tally.Sample{Phase: 1, Class: 0, Ending: tally.EndingNotSent})
-	b.Add(&tally.Sample{
+	counter.Add(&tally.Sample{Phase: 1, Class: 0, Ending: tally.EndingNotSent})
+	counter.Add(&tally.Sample{
 		Phase: 1, Class: 1, Ending: tally.EndingRefused, CodeName: "overloaded", Outcome: codes.OutcomeNotRun,
 		Latency: time.Millisecond, RetryAfter: 3 * time.Second,
 	})
-	f := figures(b)
+	f := figures(counter)
 	is.Equal(f["all offered"], report.Figure(6))
 	is.Equal(f["all attainment"], report.Figure(0.5))
 	is.Equal(f["drafts attained"], report.Figure(2))
@@ -62,7 +63,8 @@
 	is.Equal(f["phase:load tokens-per-second"], report.Figure(20))
 	_, warm := f["phase:warm offered"]
 	is.True(!warm)
-	// Merged over the classes; refusals and requests that were not sent have no latency.
+	// Latencies are merged over the classes; refusals and requests that were not sent have no
+	// latency.
 	is.True(f["all latency-p50"] > 199 && f["all latency-p50"] < 201)
 	is.True(f["all latency-max"] > 399 && f["all latency-max"] < 401)
 	is.True(f["drafts latency-max"] > 299 && f["drafts latency-max"] < 301)
--- a/vload/services/tally/sample.go
+++ b/vload/services/tally/sample.go
@@ -1,5 +1,4 @@
-// Package tally counts what became of each request and sums it up by class,
-// team, priority and phase.
+// Package tally counts the results of the requests of a run by class, team, priority and phase.
 package tally
 
 import (
@@ -8,56 +7,61 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Ending says how a request ended.
+// Ending is how a request ended.
 type Ending string
 
-// The endings. Each offered request has one of them.
+// The endings. Every offered request has exactly one of them.
 const (
-	// EndingWhole is an answer read to its end, in time or late.
-	EndingWhole Ending = "whole"
-	// EndingRefused is an answer with a result code other than 0, or an HTTP status that is no success.
+	// EndingComplete is an answer read to its end, in time or late.
+	EndingComplete Ending = "whole"
+	// EndingRefused is an answer with a result code other than 0 or an HTTP status other than 2xx.
 	EndingRefused Ending = "refused"
-	// EndingIncomplete is an answer that broke off, lacks its end record or has a wrong number of tokens.
+	// EndingIncomplete is an answer that breaks off, lacks its end record, has a wrong number of
+	// tokens or is malformed.
 	EndingIncomplete Ending = "incomplete"
-	// EndingTimeout had no whole answer by the deadline and the wait for late answers.
+	// EndingTimeout means that no complete answer arrived within the deadline plus the scenario's
+	// wait for late answers.
 	EndingTimeout Ending = "timeout"
-	// EndingConnection failed before an answer began.
+	// EndingConnection means that the request failed before an answer began.
 	EndingConnection Ending = "connection"
-	// EndingNotSent met the bound on requests in flight.
+	// EndingNotSent means that the request was not sent, because the limit of requests in flight
+	// was reached.
 	EndingNotSent Ending = "not-sent"
 )
 
 // Endings returns every ending in the order of the report.
 func Endings() []Ending {
-	return []Ending{EndingWhole, EndingRefused, EndingIncomplete, EndingTimeout, EndingConnection, EndingNotSent}
+	return []Ending{EndingComplete, EndingRefused, EndingIncomplete, EndingTimeout, EndingConnection, EndingNotSent}
 }
 
-// Sample is what became of one offered request.
+// Sample is the result of one offered request.
 type Sample struct {
 	// Phase and Class are indices into the scenario.
 	Phase  int
 	Class  int
 	Ending Ending
-	// CodeName is set for EndingRefused.
+	// CodeName is the name of the result code, or "http-" and the status; set for EndingRefused
+	// only.
 	CodeName string
 	Outcome  codes.Outcome
-	// Latency counts from the intended send time, so that a stalled sender cannot hide a stall.
+	// Latency is measured from the intended send time: if the sender itself is held up during a
+	// stall of the server, the stall still shows.
 	Latency time.Duration
-	// SendLag is how long after the intended time the request left the load tool.
+	// SendLag is how long after the intended send time the load tool started to send the request.
 	SendLag time.Duration
-	// FirstToken counts from the intended send time; 0: no token came.
+	// FirstToken is the time from the intended send time to the first token, or 0 without tokens.
 	FirstToken time.Duration
-	// Gaps are the times between tokens; Add does not keep the slice.
+	// Gaps are the times between successive tokens. Add does not retain the slice.
 	Gaps   []time.Duration
 	Tokens int
-	// RetryAfter is 0 where the answer gave no advice.
+	// RetryAfter is the wait that the answer advised, or 0 if it advised none.
 	RetryAfter time.Duration
-	// Prompt is a number that equal prompts of the class share.
-	Prompt uint64
-	// Text is a digest of the answer's text; 0: not checked.
-	Text uint64
-	// RequestID is empty where the answer named none or the id may repeat.
+	// PromptID is the same number for equal prompts of the class.
+	PromptID uint64
+	// TextDigest is a digest of the answer's text, or 0 if the text is not compared.
+	TextDigest uint64
+	// RequestID is empty if the answer has none or if the class may legitimately get an id again.
 	RequestID string
-	// InTime is set for a whole answer with code 0 within the deadline.
+	// InTime is set for a complete answer with code 0 within the deadline.
 	InTime bool
 }
