--- a/vload/cmds/meter.go
+++ b/vload/cmds/meter.go
@@ -29,7 +29,7 @@
 	flags.StringVar(&m.targets, "targets", "", "PID@IP:PORT of processes and their expvar pages, separated by commas; the mean is recorded")
 	flags.TextVar(&m.options.Store, "store", netip.AddrPort{}, "ip:port of the control address of the key-value stand-in")
 	flags.TextVar(&m.options.List, "list", netip.AddrPort{}, "ip:port of the control address of the list's stand-in")
-	flags.DurationVar(&m.options.For, "for", 5*time.Second, "length of a window")
+	flags.DurationVar(&m.options.Window, "for", 5*time.Second, "length of a window")
 	flags.IntVar(&m.windows, "windows", 1, "number of windows, one record each")
 	flags.StringVar(&m.given, "row", "", "NAME=NUMBER of the first columns, separated by commas")
 	flags.StringVar(&m.file, "out", "", "CSV file that the records are added to")
@@ -77,7 +77,7 @@
 		if err != nil {
 			return ErrCommand.New("--row: %q is not NAME=NUMBER", part)
 		}
-		m.options.Given = append(m.options.Given, meter.Column{Name: name, Value: value})
+		m.options.ExtraColumns = append(m.options.ExtraColumns, meter.Column{Name: name, Value: value})
 	}
 	return nil
 }
--- a/vload/cmds/sample.go
+++ b/vload/cmds/sample.go
@@ -31,8 +31,8 @@
 	flags.StringVar(&w.file, "out", "", "CSV file; none: printed")
 	flags.StringVar(&w.addresses, "expvar", "", "ip:port of expvar pages, separated by commas")
 	flags.StringVar(&w.keys, "keys", "", "NAME=PATH of expvar figures, separated by commas")
-	flags.DurationVar(&w.options.Every, "every", time.Second, "interval")
-	flags.DurationVar(&w.options.For, "for", 0, "length of the recording; 0: until interrupted")
+	flags.DurationVar(&w.options.Interval, "every", time.Second, "interval")
+	flags.DurationVar(&w.options.Duration, "for", 0, "length of the recording; 0: until interrupted")
 	return &ffcli.Command{
 		Name:       "sample",
 		ShortUsage: "vload sample --pids FILE [--every 1s] [--for 60s] [--out CSV] [--expvar IP:PORT,..] [--keys NAME=PATH,..]",
@@ -61,7 +61,7 @@
 
 // read turns the flags into options.
 func (w *watcher) read() error {
-	if w.options.Every <= 0 {
+	if w.options.Interval <= 0 {
 		return ErrCommand.New("--every must be over 0")
 	}
 	if w.pids != "" {
--- a/vload/services/meter/meter.go
+++ b/vload/services/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter measures processes over a window and appends one record to a CSV file.
+// Package meter measures processes over a time window and appends one record to a CSV file.
 package meter
 
 import (
@@ -32,24 +32,25 @@
 	callTimeout = 5 * time.Second
 )
 
-// Target is one process to measure.
+// Target is a process to measure.
 type Target struct {
 	PID int
-	// Metrics serves its expvar page.
+	// Metrics is the address of its expvar page.
 	Metrics netip.AddrPort
 }
 
-// Options say what to measure.
+// Options determine what to measure.
 type Options struct {
-	// Proc is a directory laid out as /proc.
+	// Proc is a directory laid out as /proc, which is the default.
 	Proc    string
 	Targets []Target
-	// Store and List are control addresses of the platform's stand-ins; not valid: not read.
-	Store netip.AddrPort
-	List  netip.AddrPort
-	For   time.Duration
-	// Given are the columns that the caller sets, such as peers=30.
-	Given []Column
+	// Store and List are the control addresses of the fake key-value service and the fake instance
+	// list. They are not read if they are unset.
+	Store  netip.AddrPort
+	List   netip.AddrPort
+	Window time.Duration
+	// ExtraColumns are put before the measured columns of each record, for example peers=30.
+	ExtraColumns []Column
 }
 
 // Column is a named figure of a record.
@@ -58,23 +59,25 @@
 	Value float64
 }
 
-// state is what has been used up to a moment.
-type state struct {
-	at       time.Time
-	bytes    float64
-	resident float64
-	figures  map[string]float64
-	store    calls
-	list     calls
+// snapshot holds the figures of the targets at a point in time, each summed over all targets, and
+// the call counts of the fake services.
+type snapshot struct {
+	at            time.Time
+	ioBytes       float64
+	residentBytes float64
+	figures       map[string]float64
+	store         callCounts
+	list          callCounts
 }
 
-// calls are the counts of a stand-in's control address.
-type calls struct {
+// callCounts is what the control address of a fake service reports: calls by kind since its start,
+// and calls that are open now.
+type callCounts struct {
 	Calls map[string]float64 `json:"calls"`
 	Open  map[string]float64 `json:"open"`
 }
 
-// figurePaths are the expvar figures that only grow, by column.
+// figurePaths returns the paths of the cumulative expvar figures by name.
 func figurePaths() map[string]string {
 	return map[string]string{
 		"busy-percent":      "verbena/config/control-busy-seconds",
@@ -94,14 +97,14 @@
 	}
 }
 
-// Meter measures.
+// Meter measures the targets of its options.
 type Meter struct {
 	options Options
 	pages   *gauge.Reader
 	client  *http.Client
 }
 
-// NewMeter returns a meter.
+// NewMeter returns a meter with these options.
 func NewMeter(options Options) *Meter {
 	if options.Proc == "" {
 		options.Proc = "/proc"
@@ -109,7 +112,8 @@
 	return &Meter{options: options, pages: gauge.NewReader(), client: &http.Client{Timeout: callTimeout}}
 }
 
-// Measure waits for the window and returns the record of the mean process.
+// Measure takes snapshots before and after the window and returns the record of the window,
+// averaged over the targets.
 func (m *Meter) Measure(ctx context.Context) ([]Column, error) {
 	before, err := m.read(ctx, m.readPage, m.readProc)
 	if err != nil {
@@ -118,44 +122,45 @@
 	select {
 	case <-ctx.Done():
 		return nil, ErrMeter.Wrap(ctx.Err())
-	case <-time.After(m.options.For):
+	case <-time.After(m.options.Window):
 	}
 	after, err := m.read(ctx, m.readProc, m.readPage)
 	if err != nil {
 		return nil, err
 	}
-	return append(slices.Clone(m.options.Given), m.compare(before, after)...), nil
+	return append(slices.Clone(m.options.ExtraColumns), m.computeColumns(before, after)...), nil
 }
 
-// source reads one kind of figure of a target into the state.
-type source func(ctx context.Context, s *state, target Target) error
+// readFunc reads one kind of figure of a target and adds it to the snapshot.
+type readFunc func(ctx context.Context, s *snapshot, target Target) error
 
-// read takes the sources in their order: before the window the page goes
-// first and after it last, so that the bytes of the page itself are left out.
-func (m *Meter) read(ctx context.Context, sources ...source) (*state, error) {
-	s := &state{at: time.Now(), figures: map[string]float64{}}
-	for _, read := range sources {
+// read takes a snapshot; it calls the functions in order, each for all targets. The expvar pages
+// are read first before the window and last after it, so that the bytes of these reads are not
+// measured.
+func (m *Meter) read(ctx context.Context, reads ...readFunc) (*snapshot, error) {
+	s := &snapshot{at: time.Now(), figures: map[string]float64{}}
+	for _, read := range reads {
 		for _, target := range m.options.Targets {
 			if err := read(ctx, s, target); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return s, errors.Join(m.readCalls(ctx, m.options.Store, &s.store), m.readCalls(ctx, m.options.List, &s.list))
+	return s, errors.Join(m.readCallCounts(ctx, m.options.Store, &s.store), m.readCallCounts(ctx, m.options.List, &s.list))
 }
 
-func (m *Meter) readProc(_ context.Context, s *state, target Target) error {
+func (m *Meter) readProc(_ context.Context, s *snapshot, target Target) error {
 	usage, err := sample.ReadUsage(m.options.Proc, target.PID)
 	if err != nil {
 		return err
 	}
-	moved, err := sample.ReadMoved(m.options.Proc, target.PID)
-	s.resident += float64(usage.Resident)
-	s.bytes += float64(moved)
+	ioBytes, err := sample.ReadIOBytes(m.options.Proc, target.PID)
+	s.residentBytes += float64(usage.Resident)
+	s.ioBytes += float64(ioBytes)
 	return err
 }
 
-func (m *Meter) readPage(ctx context.Context, s *state, target Target) error {
+func (m *Meter) readPage(ctx context.Context, s *snapshot, target Target) error {
 	page, err := m.pages.Read(ctx, target.Metrics)
 	if err != nil {
 		return err
@@ -166,7 +171,7 @@
 	return nil
 }
 
-func (m *Meter) readCalls(ctx context.Context, address netip.AddrPort, into *calls) error {
+func (m *Meter) readCallCounts(ctx context.Context, address netip.AddrPort, counts *callCounts) error {
 	if !address.IsValid() {
 		return nil
 	}
@@ -179,20 +184,21 @@
 		return ErrMeter.Wrap(err)
 	}
 	defer response.Body.Close() //nolint:errcheck // nothing is left to read
-	return ErrMeter.Wrap(json.NewDecoder(response.Body).Decode(into))
+	return ErrMeter.Wrap(json.NewDecoder(response.Body).Decode(counts))
 }
 
-// compare returns the columns of the window, for the mean of the targets.
-func (m *Meter) compare(before, after *state) []Column {
+// computeColumns returns the columns of the window. Figures of the targets are means over the
+// targets.
+func (m *Meter) computeColumns(before, after *snapshot) []Column {
 	seconds := after.at.Sub(before.at).Seconds()
 	count := float64(max(1, len(m.options.Targets)))
 	rate := func(name string) float64 { return (after.figures[name] - before.figures[name]) / seconds / count }
-	grown := func(name string) float64 { return (after.figures[name] - before.figures[name]) / count }
+	growth := func(name string) float64 { return (after.figures[name] - before.figures[name]) / count }
 	return []Column{
 		{"seconds", seconds},
 		{"core-percent", rate("process-seconds") * percent},
-		{"resident-mb", after.resident / count / megabyte},
-		{"bytes-per-second", (after.bytes - before.bytes) / seconds / count},
+		{"resident-mb", after.residentBytes / count / megabyte},
+		{"bytes-per-second", (after.ioBytes - before.ioBytes) / seconds / count},
 		{"busy-percent", rate("busy-percent") * percent},
 		{"adopting-percent", rate("adopting-percent") * percent},
 		{"beats-per-second", rate("beats-per-second") + rate("heard-per-second")},
@@ -200,10 +206,10 @@
 		{"tokens-per-second", rate("tokens-per-second")},
 		{"calls-per-second", rate("calls-per-second")},
 		{"own-store-calls-per-second", rate("store-reads") + rate("store-watches")},
-		{"adopted", grown("adopted-total")},
-		{"fetched-bytes", grown("fetched-bytes")},
-		{"from-peer", grown("from-peer-total")},
-		{"from-store", grown("from-store-total")},
+		{"adopted", growth("adopted-total")},
+		{"fetched-bytes", growth("fetched-bytes")},
+		{"from-peer", growth("from-peer-total")},
+		{"from-store", growth("from-store-total")},
 		{"store-reads-per-second", (after.store.Calls["read"] - before.store.Calls["read"]) / seconds},
 		{"store-writes-per-second", (after.store.Calls["write"] - before.store.Calls["write"]) / seconds},
 		{"store-watches-per-second", (after.store.Calls["watch"] - before.store.Calls["watch"]) / seconds},
@@ -213,8 +219,8 @@
 	}
 }
 
-// readLoad returns the machine's load of the last minute, which tells a
-// disturbed window from a quiet one; 0 where the system does not tell it.
+// readLoad returns the machine's load average of the last minute, which shows whether other work
+// disturbed the window. It returns 0 if the load average cannot be read.
 func (m *Meter) readLoad() float64 {
 	text, err := os.ReadFile(filepath.Join(m.options.Proc, "loadavg"))
 	if err != nil {
@@ -225,7 +231,7 @@
 	return load
 }
 
-// Append adds a record to a CSV file, with a header where the file is new.
+// Append appends a record to a CSV file and writes a header first if the file is empty.
 func Append(file string, record []Column) error {
 	out, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -237,14 +243,14 @@
 	}
 	writer := csv.NewWriter(out)
 	if size == 0 {
-		_ = writer.Write(names(record))
+		_ = writer.Write(columnNames(record))
 	}
-	_ = writer.Write(values(record))
+	_ = writer.Write(columnValues(record))
 	writer.Flush()
 	return ErrMeter.Wrap(errors.Join(writer.Error(), out.Close()))
 }
 
-func names(record []Column) []string {
+func columnNames(record []Column) []string {
 	all := make([]string, 0, len(record))
 	for _, c := range record {
 		all = append(all, c.Name)
@@ -252,7 +258,7 @@
 	return all
 }
 
-func values(record []Column) []string {
+func columnValues(record []Column) []string {
 	const digits = 6
 	all := make([]string, 0, len(record))
 	for _, c := range record {
--- a/vload/services/meter/meter_test.go
+++ b/vload/services/meter/meter_test.go
@@ -16,7 +16,8 @@
 	"verbenaroad.example/vload/services/meter"
 )
 
-// newProc lays out a process that has moved 300 bytes and holds 2 MB.
+// newProc returns a directory laid out as /proc with process 7, which has read and written 300
+// bytes and has 2 MB of resident memory.
 func newProc(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -33,8 +34,8 @@
 	return dir
 }
 
-// serve answers every read with a larger figure.
-func serve(t *testing.T, format string) netip.AddrPort {
+// newServer starts a server that formats the number of reads so far into each answer.
+func newServer(t *testing.T, format string) netip.AddrPort {
 	t.Helper()
 	reads := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -45,14 +46,14 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-func TestMeasureTakesGrowth(t *testing.T) {
+func TestMeasureReportsGrowthOverWindow(t *testing.T) {
 	is := is.New(t)
 	m := meter.NewMeter(meter.Options{
-		Proc:    newProc(t),
-		Targets: []meter.Target{{PID: 7, Metrics: serve(t, `{"verbena":{"config":{"published":%d}}}`)}},
-		Store:   serve(t, `{"calls":{"read":%d},"open":{"watch":14}}`),
-		For:     time.Millisecond,
-		Given:   []meter.Column{{Name: "peers", Value: 30}},
+		Proc:         newProc(t),
+		Targets:      []meter.Target{{PID: 7, Metrics: newServer(t, `{"verbena":{"config":{"published":%d}}}`)}},
+		Store:        newServer(t, `{"calls":{"read":%d},"open":{"watch":14}}`),
+		Window:       time.Millisecond,
+		ExtraColumns: []meter.Column{{Name: "peers", Value: 30}},
 	})
 	record, err := m.Measure(t.Context())
 	is.NoErr(err)
--- a/vload/services/runner/bench_test.go
+++ b/vload/services/runner/bench_test.go
@@ -122,5 +122,5 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	return usage.Processor
+	return usage.CPUTime
 }
--- a/vload/services/sample/process.go
+++ b/vload/services/sample/process.go
@@ -1,4 +1,4 @@
-// Package sample records processor time, memory and expvar figures of processes over time.
+// Package sample records the processor time, memory and expvar figures of processes over time.
 package sample
 
 import (
@@ -18,29 +18,32 @@
 var ErrSample = errs.Class("sample") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
 const (
-	// ticksPerSecond is the unit of times in /proc, which Linux fixes for programs at 100.
+	// ticksPerSecond is the number of clock ticks per second in /proc, which Linux fixes at 100 for
+	// user space.
 	ticksPerSecond = 100
-	// userField and systemField count the fields of stat behind the program's name.
+	// userField and systemField are the indices of the user and system time among the fields of
+	// /proc/PID/stat that follow the program's name.
 	userField   = 11
 	systemField = 12
 	bytesPerKB  = 1024
 )
 
-// Process is one process to watch.
+// Process is a process to record.
 type Process struct {
 	Name string
 	PID  int
 }
 
-// Usage is what a process has used so far.
+// Usage is what a process has used since it started.
 type Usage struct {
-	Processor time.Duration
-	// Resident and Peak are in bytes.
+	CPUTime time.Duration
+	// Resident is the current and Peak the highest resident memory, in bytes.
 	Resident int64
 	Peak     int64
 }
 
-// ReadProcesses reads lines of "PID" or "NAME PID"; blank lines and those that begin with # are passed over.
+// ReadProcesses reads lines of the form "PID" or "NAME PID" and skips blank lines and those that
+// begin with #.
 func ReadProcesses(r io.Reader) ([]Process, error) {
 	var all []Process
 	scanner := bufio.NewScanner(r)
@@ -60,7 +63,7 @@
 	return all, ErrSample.Wrap(scanner.Err())
 }
 
-// ReadUsage reads what the process has used from a /proc directory.
+// ReadUsage reads the usage of a process from proc, a directory laid out as /proc.
 func ReadUsage(proc string, pid int) (Usage, error) {
 	dir := filepath.Join(proc, strconv.Itoa(pid))
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
@@ -72,20 +75,21 @@
 		return Usage{}, ErrSample.Wrap(err)
 	}
 	u := Usage{Resident: statusBytes(string(status), "VmRSS:"), Peak: statusBytes(string(status), "VmHWM:")}
-	u.Processor, err = processorTime(string(stat))
+	u.CPUTime, err = parseCPUTime(string(stat))
 	return u, err
 }
 
-// processorTime adds user and system time. The program's name stands in brackets and may hold blanks and brackets itself.
-func processorTime(stat string) (time.Duration, error) {
-	_, behind, found := cutLast(stat, ')')
-	fields := strings.Fields(behind)
+// parseCPUTime returns the sum of user and system time in the text of /proc/PID/stat. The program's
+// name is in parentheses and may itself contain blanks and parentheses.
+func parseCPUTime(stat string) (time.Duration, error) {
+	_, after, found := cutLast(stat, ')')
+	fields := strings.Fields(after)
 	if !found || len(fields) <= systemField {
 		return 0, ErrSample.New("stat has too few fields")
 	}
 	ticks := int64(0)
-	for _, at := range []int{userField, systemField} {
-		count, err := strconv.ParseInt(fields[at], 10, 64)
+	for _, index := range []int{userField, systemField} {
+		count, err := strconv.ParseInt(fields[index], 10, 64)
 		if err != nil {
 			return 0, ErrSample.Wrap(err)
 		}
@@ -94,16 +98,17 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
 
-// cutLast splits a text at the last place of a byte.
-func cutLast(text string, at byte) (before, behind string, found bool) {
-	i := strings.LastIndexByte(text, at)
+// cutLast splits the text at the last occurrence of a byte.
+func cutLast(text string, separator byte) (before, after string, found bool) {
+	i := strings.LastIndexByte(text, separator)
 	if i < 0 {
 		return text, "", false
 	}
 	return text[:i], text[i+1:], true
 }
 
-// statusBytes returns a line of status that is given in kB; 0 where there is none.
+// statusBytes returns a value of /proc/PID/status that is given in kB, in bytes; it returns 0 if
+// the value is absent.
 func statusBytes(status, name string) int64 {
 	for line := range strings.Lines(status) {
 		rest, ok := strings.CutPrefix(line, name)
@@ -119,14 +124,15 @@
 	return 0
 }
 
-// ReadMoved returns the bytes that the process has read and written by system
-// calls so far: sockets, and the little that it logs. Pages of mapped files are not among them.
-func ReadMoved(proc string, pid int) (int64, error) {
+// ReadIOBytes returns the number of bytes that the process has read and written by system calls so
+// far, that is, on sockets and, to a small extent, for logs. Pages of mapped files are not
+// included.
+func ReadIOBytes(proc string, pid int) (int64, error) {
 	text, err := os.ReadFile(filepath.Join(proc, strconv.Itoa(pid), "io"))
 	if err != nil {
 		return 0, ErrSample.Wrap(err)
 	}
-	moved := int64(0)
+	total := int64(0)
 	for line := range strings.Lines(string(text)) {
 		name, value, _ := strings.Cut(line, ":")
 		if name != "rchar" && name != "wchar" {
@@ -136,7 +142,7 @@
 		if err != nil {
 			return 0, ErrSample.Wrap(err)
 		}
-		moved += count
+		total += count
 	}
-	return moved, nil
+	return total, nil
 }
--- a/vload/services/sample/sample_test.go
+++ b/vload/services/sample/sample_test.go
@@ -22,7 +22,7 @@
 	is.True(strings.Contains(err.Error(), "line 2"))
 }
 
-// writeProcess lays out one process as the kernel does.
+// writeProcess writes the stat and status files of a process as the kernel lays them out in /proc.
 func writeProcess(t *testing.T, proc, pid, stat, status string) {
 	is := is.New(t)
 	dir := filepath.Join(proc, pid)
@@ -38,20 +38,20 @@
 	writeProcess(t, proc, "41", stat, "Name:\tentry\nVmHWM:\t  2048 kB\nVmRSS:\t  1024 kB\n")
 	u, err := sample.ReadUsage(proc, 41)
 	is.NoErr(err)
-	is.Equal(u, sample.Usage{Processor: 1750 * time.Millisecond, Resident: 1 << 20, Peak: 2 << 20})
+	is.Equal(u, sample.Usage{CPUTime: 1750 * time.Millisecond, Resident: 1 << 20, Peak: 2 << 20})
 	writeProcess(t, proc, "42", "42 (entry) S 1", "")
 	_, err = sample.ReadUsage(proc, 42)
 	is.True(err != nil)
 }
 
-func TestRecord(t *testing.T) {
+func TestRecordRunningAndMissingProcess(t *testing.T) {
 	is := is.New(t)
 	var text strings.Builder
 	pid := os.Getpid()
 	s := sample.NewSampler(sample.Options{
 		Processes: []sample.Process{{Name: "self", PID: pid}, {Name: "gone", PID: 1 << 30}},
-		Every:     time.Millisecond,
-		For:       time.Millisecond,
+		Interval:  time.Millisecond,
+		Duration:  time.Millisecond,
 	}, &text)
 	is.NoErr(s.Record(t.Context()))
 	for _, want := range []string{
