--- a/vload/services/runner/runner_test.go
+++ b/vload/services/runner/runner_test.go
@@ -54,7 +54,8 @@
 	s.Classes[0].Deadline = config.Duration(200 * time.Millisecond)
 	f := runScenario(t, s)
 	// Requests are due within 0.5 s of the first, so the least wait is 0.5 s and half of
-	// them wait 0.75 s or more. Only lower bounds are checked, since these hold on a slow machine.
+	// them wait 0.75 s or more. Only lower bounds are checked, since they hold
+	// however slow the machine is.
 	is.True(f["latency-p50"] >= 700)
 	is.True(f["latency-p99"] >= 900)
 	is.Equal(f["whole"], f["offered"])
