--- a/fakes/services/keyval/fault_test.go
+++ b/fakes/services/keyval/fault_test.go
@@ -17,10 +17,9 @@
 	return errors.As(err, target)
 }
 
-// A writer gets no answer: the connection closes after the write took
-// effect. The writer may not take this for a failure, and by reading back it
-// finds its own value.
-func TestLostAnswer(t *testing.T) {
+// The connection closes after a write took effect and before its answer. The writer must not
+// treat the error as a failed write: reading the key back returns the written value.
+func TestLostAnswerKeepsWrite(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	server, client := newService(t)
@@ -33,30 +32,30 @@
 	is.NoErr(err)
 	is.Equal(string(found.Value), "1")
 	swapped, err := client.CompareAndSwap(ctx, "head", []byte("2"), found.ModifyIndex)
-	is.NoErr(err) // the fault was for one answer
+	is.NoErr(err) // the fault applied to one answer only
 	is.True(swapped)
 }
 
-// The service is so slow that the writer gives up. The outcome is unknown,
-// not a failure: the write could still take effect.
-func TestSlow(t *testing.T) {
+// The service is so slow that the write times out. The error must not say that the write was not
+// sent: it could still take effect.
+func TestSlowWriteHasUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	server, _ := newService(t)
 	is.NoErr(server.SetFault(fault.Settings{Slow: fault.Duration(longWait)}))
-	_, err := newHasty(t, server).CompareAndSwap(context.Background(), "head", []byte("1"), 0)
+	_, err := newShortTimeoutClient(t, server).CompareAndSwap(context.Background(), "head", []byte("1"), 0)
 	is.True(err != nil)
 	is.True(!kvapi.IsErrNotSent(err))
 }
 
-// A write hangs and the writer gives up; it reads back and finds nothing.
-// Only then does the write take effect. So an absent key after an error does
-// not say that the write will not happen.
-func TestLateEffect(t *testing.T) {
+// A write hangs until the writer times out, and reading the key back finds nothing. The write takes
+// effect only afterwards, so an absent key after an error does not prove that the write will not
+// happen.
+func TestWriteTakesEffectAfterTimeout(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	server, client := newService(t)
 	is.NoErr(server.SetFault(fault.Settings{Freeze: true, Methods: []string{http.MethodPut}}))
-	_, err := newHasty(t, server).CompareAndSwap(ctx, "head", []byte("1"), 0)
+	_, err := newShortTimeoutClient(t, server).CompareAndSwap(ctx, "head", []byte("1"), 0)
 	is.True(err != nil)
 	is.True(!kvapi.IsErrNotSent(err))
 	_, err = client.Get(ctx, "head")
@@ -67,9 +66,9 @@
 	is.Equal(string(late.Value), "1")
 }
 
-// The service is down: connections that were open end, new ones are refused,
-// and a write is known not to have happened. Afterwards all is as before.
-func TestDown(t *testing.T) {
+// The service goes down: open connections end and new ones are refused, so a write is known not to
+// have been sent. After the recovery the stored value is unchanged.
+func TestDownServiceRefusesConnections(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	server, client := newService(t)
@@ -89,13 +88,13 @@
 	is.Equal(string(found.Value), "1")
 }
 
-// The service is frozen: it accepts calls and answers none until it is thawed.
-func TestFreeze(t *testing.T) {
+// The service is frozen: it accepts calls but answers none until the fault is cleared.
+func TestFrozenServiceDoesNotAnswer(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	server, client := newService(t)
 	is.NoErr(server.SetFault(fault.Settings{Freeze: true}))
-	_, err := newHasty(t, server).Get(ctx, "head")
+	_, err := newShortTimeoutClient(t, server).Get(ctx, "head")
 	is.True(err != nil)
 	is.True(!kvapi.IsErrNotSent(err))
 	is.NoErr(server.SetFault(fault.Settings{}))
@@ -103,8 +102,8 @@
 	is.True(kvapi.IsErrKeyNotExist(err))
 }
 
-// A watch's connection goes silent: it stays open and nothing comes over it
-// any more, while a new connection works. The watcher must not trust it.
+// The connection of a watch goes silent: it stays open but delivers nothing, while new connections
+// work. The watch misses the change, so a watcher must not rely on an open connection.
 func TestSilentConnection(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -118,7 +117,7 @@
 	swapped, err := client.CompareAndSwap(ctx, "head", []byte("2"), first.ModifyIndex)
 	is.NoErr(err) // a new connection works
 	is.True(swapped)
-	for server.GetCounts().Open["watch"] > 0 { // the service has answered
+	for server.GetCounts().Open["watch"] > 0 { // until the service has answered
 		time.Sleep(time.Millisecond)
 	}
 	select {
@@ -127,7 +126,7 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	client.Close()
-	fresh, err := newHasty(t, server).Get(ctx, "head")
+	fresh, err := newShortTimeoutClient(t, server).Get(ctx, "head")
 	is.NoErr(err)
 	is.Equal(string(fresh.Value), "2")
 	is.NoErr(server.SetFault(fault.Settings{Down: true}))
@@ -135,7 +134,7 @@
 	is.True(w.err != nil)
 }
 
-func TestStatus(t *testing.T) {
+func TestStatusFault(t *testing.T) {
 	is := is.New(t)
 	server, client := newService(t)
 	is.NoErr(server.SetFault(fault.Settings{Status: http.StatusServiceUnavailable}))
--- a/fakes/services/keyval/router.go
+++ b/fakes/services/keyval/router.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	keyPath      = "/v1/kv/"
-	sessionPath  = "/v1/session/"
-	maxValue     = 1 << 20
-	defaultWait  = 5 * time.Minute
-	maxWait      = 10 * time.Minute
-	defaultDelay = 15 * time.Second
+	keyPath          = "/v1/kv/"
+	sessionPath      = "/v1/session/"
+	maxValueBytes    = 1 << 20
+	defaultWait      = 5 * time.Minute
+	maxWait          = 10 * time.Minute
+	defaultLockDelay = 15 * time.Second
 )
 
-// KindOf counts a call as read, write or watch.
+// KindOf returns the kind under which a call is counted: read, write or watch.
 func KindOf(r *http.Request) string {
 	if r.Method != http.MethodGet {
 		return "write"
@@ -32,7 +32,7 @@
 	return "read"
 }
 
-// NewRouter returns the Handler of the API.
+// NewRouter returns the HTTP handler of the API.
 func (s *Store) NewRouter() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+keyPath, s.getKey)
@@ -58,7 +58,7 @@
 			http.Error(w, "index is no number", http.StatusBadRequest)
 			return
 		}
-		s.block(r, key, prefix, index)
+		s.waitForChange(r, key, prefix, index)
 	}
 	found, index := s.find(key, prefix)
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
@@ -67,22 +67,23 @@
 		return
 	}
 	if query.Has("keys") {
-		serve.WriteJSON(w, namesOf(found))
+		serve.WriteJSON(w, keysOf(found))
 		return
 	}
 	serve.WriteJSON(w, found)
 }
 
-func namesOf(pairs []pair) []string {
-	names := make([]string, 0, len(pairs))
+func keysOf(pairs []pair) []string {
+	keys := make([]string, 0, len(pairs))
 	for _, p := range pairs {
-		names = append(names, p.Key)
+		keys = append(keys, p.Key)
 	}
-	return names
+	return keys
 }
 
-// block returns when the index has passed, the wait is over or the caller went away.
-func (s *Store) block(r *http.Request, key string, prefix bool, index uint64) {
+// waitForChange blocks until the key or prefix changes after the given index, the wait time of the
+// query has passed, or the caller has disconnected. An index of 0 does not block.
+func (s *Store) waitForChange(r *http.Request, key string, prefix bool, index uint64) {
 	if index == 0 {
 		return
 	}
@@ -110,7 +111,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if len(value) > maxValue {
+	if len(value) > maxValueBytes {
 		http.Error(w, "value is over the limit", http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -126,12 +127,12 @@
 }
 
 func (s *Store) putAcquire(w http.ResponseWriter, key string, value []byte, id string) {
-	taken, known := s.acquire(key, value, id)
-	if !known {
+	acquired, sessionExists := s.acquire(key, value, id)
+	if !sessionExists {
 		http.Error(w, "invalid session "+strconv.Quote(id), http.StatusInternalServerError)
 		return
 	}
-	serve.WriteJSON(w, taken)
+	serve.WriteJSON(w, acquired)
 }
 
 func (s *Store) putValue(w http.ResponseWriter, key string, value []byte, query url.Values) {
@@ -143,7 +144,8 @@
 	serve.WriteJSON(w, s.put(key, value, flags, cas))
 }
 
-// parseCAS returns nil when the query has no cas; when it is no number it answers the call.
+// parseCAS returns nil if the query has no cas. If cas is not a number, it answers the call with
+// status 400 and returns false.
 func parseCAS(w http.ResponseWriter, query url.Values) (*uint64, bool) {
 	if !query.Has("cas") {
 		return nil, true
@@ -170,7 +172,8 @@
 	serve.WriteJSON(w, s.remove(keyOf(r), cas))
 }
 
-// sessionBody is a session as the API takes it; the names are the format's own.
+// sessionBody is the body of a request that creates a session; the field names are part of Consul's
+// format.
 type sessionBody struct {
 	Name      string
 	TTL       string
@@ -199,7 +202,7 @@
 }
 
 func (b sessionBody) toSession() (session, error) {
-	settings := session{name: b.Name, behavior: b.Behavior, lockDelay: defaultDelay}
+	settings := session{name: b.Name, behavior: b.Behavior, lockDelay: defaultLockDelay}
 	var err error
 	if b.TTL != "" {
 		if settings.ttl, err = time.ParseDuration(b.TTL); err != nil {
--- a/fakes/services/keyval/session.go
+++ b/fakes/services/keyval/session.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// behaviorDelete deletes the keys of a session that ends; any other behavior frees them.
+// behaviorDelete deletes the keys that a session holds when it ends; any other behavior releases
+// them.
 const behaviorDelete = "delete"
 
-// session is a lease: it ends unless it is renewed within its TTL.
+// session is a lease: it expires unless it is renewed within its TTL.
 type session struct {
 	store *Store
 	id    string
@@ -18,7 +19,7 @@
 	lockDelay time.Duration
 	behavior  string
 	expiry    *time.Timer
-	// deadline guards against an expiry that was under way when the session was renewed.
+	// deadline lets expire ignore a timer that fired while the session was being renewed.
 	deadline time.Time
 }
 
@@ -36,7 +37,7 @@
 	return created.id
 }
 
-// renewSession returns a copy of the session, or nil when it is gone.
+// renewSession extends the session by its TTL and returns a copy of it, or nil if it does not exist.
 func (s *Store) renewSession(id string) *session {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -65,7 +66,8 @@
 	s.endSessionLocked(found)
 }
 
-// expire ends the session as its timer says, unless it was renewed meanwhile.
+// expire runs when the timer fires. It ends the session unless it was renewed or destroyed
+// meanwhile.
 func (e *session) expire() {
 	e.store.mutex.Lock()
 	defer e.store.mutex.Unlock()
@@ -82,7 +84,7 @@
 			continue
 		}
 		if ended.lockDelay > 0 {
-			s.delayed[key] = time.Now().Add(ended.lockDelay)
+			s.lockDelayEnd[key] = time.Now().Add(ended.lockDelay)
 		}
 		if ended.behavior == behaviorDelete {
 			s.removeLocked(key)
@@ -92,14 +94,15 @@
 	}
 }
 
-// acquire writes the value and takes the key; known is false when there is no such session.
-func (s *Store) acquire(key string, value []byte, id string) (taken, known bool) {
+// acquire writes the value and locks the key for the session, unless another session holds it or
+// its lock delay has not passed. sessionExists is false if there is no such session.
+func (s *Store) acquire(key string, value []byte, id string) (acquired, sessionExists bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.sessions[id] == nil {
 		return false, false
 	}
-	if time.Now().Before(s.delayed[key]) {
+	if time.Now().Before(s.lockDelayEnd[key]) {
 		return false, true
 	}
 	if p := s.pairs[key]; p != nil && p.Session != "" && p.Session != id {
@@ -114,7 +117,7 @@
 	return true, true
 }
 
-// release writes the value and frees the key if the session holds it.
+// release writes the value and unlocks the key if the session holds it.
 func (s *Store) release(key string, value []byte, id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/fakes/services/keyval/store.go
+++ b/fakes/services/keyval/store.go
@@ -1,5 +1,5 @@
-// Package keyval stands in for the platform's key-value service: the subset
-// of Consul's HTTP API that the system uses, in memory.
+// Package keyval is a stand-in for the platform's key-value service. It implements in memory the
+// subset of Consul's HTTP API that the system uses.
 package keyval
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// pair is a key as the API shows it; the names are the format's own.
+// pair is a key and its value as Consul's API returns them; the field names are part of that format.
 type pair struct {
 	LockIndex   uint64
 	Key         string
@@ -21,7 +21,7 @@
 	Session     string `json:",omitempty"`
 }
 
-// waiter is one open blocking query.
+// waiter is one blocking query in flight.
 type waiter struct {
 	key    string
 	prefix bool
@@ -31,30 +31,32 @@
 // Store holds the keys and sessions.
 type Store struct {
 	mutex sync.Mutex
-	// index grows with every change.
+	// index is the index of the last change; it increases with every change.
 	index uint64
 	pairs map[string]*pair
-	// deleted keeps the index of the last deletion of keys that no longer exist.
+	// deleted maps each key that was deleted and does not exist to the index of its last deletion.
 	deleted  map[string]uint64
 	waiters  map[*waiter]struct{}
 	sessions map[string]*session
-	// delayed keeps until when a key may not be acquired after its holder's session expired.
-	delayed map[string]time.Time
+	// lockDelayEnd maps a key whose holder's session ended to the time until which it may not be
+	// acquired.
+	lockDelayEnd map[string]time.Time
 }
 
 // NewStore returns an empty Store.
 func NewStore() *Store {
 	return &Store{
-		index:    1,
-		pairs:    map[string]*pair{},
-		deleted:  map[string]uint64{},
-		waiters:  map[*waiter]struct{}{},
-		sessions: map[string]*session{},
-		delayed:  map[string]time.Time{},
+		index:        1,
+		pairs:        map[string]*pair{},
+		deleted:      map[string]uint64{},
+		waiters:      map[*waiter]struct{}{},
+		sessions:     map[string]*session{},
+		lockDelayEnd: map[string]time.Time{},
 	}
 }
 
-// find returns copies of the pairs of a key or prefix, sorted, and their index.
+// find returns copies of the pairs of a key or prefix, sorted by key, and the index of their last
+// change, deletions included.
 func (s *Store) find(key string, prefix bool) ([]pair, uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -86,7 +88,8 @@
 	return found, index
 }
 
-// watch registers a waiter unless the index has passed already.
+// watch registers a waiter for the next change of the key or prefix. It returns nil if the current
+// index is already greater than the given one.
 func (s *Store) watch(key string, prefix bool, index uint64) *waiter {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -115,7 +118,7 @@
 	}
 }
 
-// put writes the value if cas is nil or equals the key's index, 0 standing for no key.
+// put writes the value if cas is nil or equals the key's index; the index of an absent key is 0.
 func (s *Store) put(key string, value []byte, flags uint64, cas *uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -124,7 +127,7 @@
 	}
 	old := s.pairs[key]
 	if old != nil && bytes.Equal(old.Value, value) && old.Flags == flags {
-		// As the service does it: a write that changes nothing succeeds and leaves the index.
+		// As in Consul, a write that changes nothing succeeds and leaves the index unchanged.
 		return true
 	}
 	p := s.touchLocked(key)
@@ -171,7 +174,8 @@
 	return 0
 }
 
-// touchLocked returns the key's pair with a new index; it creates the pair where there is none.
+// touchLocked gives the key's pair a new index, wakes its waiters and returns it. It creates the
+// pair if the key does not exist.
 func (s *Store) touchLocked(key string) *pair {
 	s.index++
 	p := s.pairs[key]
--- a/fakes/services/keyval/store_test.go
+++ b/fakes/services/keyval/store_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// longTTL outlives every test, shortTTL is over at once.
+	// longTTL exceeds the run time of every test; shortTTL expires during a test.
 	longTTL  = time.Minute
 	shortTTL = 30 * time.Millisecond
 	longWait = 30 * time.Second
@@ -41,8 +41,8 @@
 	return server, client
 }
 
-// newHasty returns a client that gives up soon.
-func newHasty(t *testing.T, server *serve.Server) *kvapi.Client {
+// newShortTimeoutClient returns a client whose calls time out after 100 ms.
+func newShortTimeoutClient(t *testing.T, server *serve.Server) *kvapi.Client {
 	t.Helper()
 	client := kvapi.NewClient(kvapi.Options{Address: server.Address(), CallTimeout: 100 * time.Millisecond})
 	t.Cleanup(client.Close)
@@ -71,7 +71,7 @@
 	is.True(swapped)
 	late, err := client.CompareAndSwap(ctx, "head", []byte("3"), first.ModifyIndex)
 	is.NoErr(err)
-	is.True(!late) // the index has moved on
+	is.True(!late) // the index has increased
 
 	deleted, err := client.DeleteIf(ctx, "head", first.ModifyIndex)
 	is.NoErr(err)
@@ -107,7 +107,7 @@
 	is.Equal(server.GetCounts().Calls, map[string]int64{"read": 3, "write": 3})
 }
 
-// watcher waits for a change on a goroutine of its own.
+// watcher waits in its own goroutine for a change of a key.
 type watcher struct {
 	client *kvapi.Client
 	key    string
@@ -122,7 +122,7 @@
 	w.pair, w.err = w.client.Watch(context.Background(), w.key, w.index, longWait)
 }
 
-// startWatch returns once the service holds the watch.
+// startWatch starts a watch and returns once the service has received it.
 func startWatch(server *serve.Server, client *kvapi.Client, key string, index uint64) *watcher {
 	w := &watcher{client: client, key: key, index: index, done: make(chan struct{})}
 	go w.run()
@@ -181,41 +181,41 @@
 	is.Equal(same.ModifyIndex, first.ModifyIndex)
 }
 
-// A holder of a lock stops renewing its session, as a paused process does.
-// Another waits for the lock; it gets it when the session has expired, with
-// a higher fencing number, and the first one learns that its session is gone.
+// A lock holder stops renewing its session, as a paused process does. Once the session has expired,
+// another session must acquire the lock with a higher LockIndex (the fencing token), and renewing
+// the expired session must fail.
 func TestSessionExpiryFreesLock(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	server, client := newService(t)
 	paused, err := client.CreateSession(ctx, kvapi.SessionOptions{TTL: longTTL})
 	is.NoErr(err)
-	taken, err := client.Acquire(ctx, "engine", []byte("paused"), paused)
+	acquired, err := client.Acquire(ctx, "engine", []byte("paused"), paused)
 	is.NoErr(err)
-	is.True(taken)
+	is.True(acquired)
 	other, err := client.CreateSession(ctx, kvapi.SessionOptions{TTL: longTTL})
 	is.NoErr(err)
-	taken, err = client.Acquire(ctx, "engine", []byte("other"), other)
+	acquired, err = client.Acquire(ctx, "engine", []byte("other"), other)
 	is.NoErr(err)
-	is.True(!taken)
+	is.True(!acquired)
 
 	short, err := client.CreateSession(ctx, kvapi.SessionOptions{TTL: shortTTL})
 	is.NoErr(err)
 	is.NoErr(client.DestroySession(ctx, paused))
-	taken, err = client.Acquire(ctx, "engine", []byte("short"), short)
+	acquired, err = client.Acquire(ctx, "engine", []byte("short"), short)
 	is.NoErr(err)
-	is.True(taken)
+	is.True(acquired)
 	held, err := client.Get(ctx, "engine")
 	is.NoErr(err)
-	if held.Session == short { // else it has expired already
-		w := startWatchIfHeld(server, client, held)
+	if held.Session == short { // otherwise the session has already expired
+		w := startWatchOfHeldKey(server, client, held)
 		<-w.done
 		is.NoErr(w.err)
 	}
 	is.True(kvapi.IsErrSessionNotExist(client.RenewSession(ctx, short)))
-	taken, err = client.Acquire(ctx, "engine", []byte("other"), other)
+	acquired, err = client.Acquire(ctx, "engine", []byte("other"), other)
 	is.NoErr(err)
-	is.True(taken)
+	is.True(acquired)
 	next, err := client.Get(ctx, "engine")
 	is.NoErr(err)
 	is.Equal(next.Session, other)
@@ -228,8 +228,9 @@
 	is.True(!released)
 }
 
-// startWatchIfHeld watches a key that may change before the watch arrives.
-func startWatchIfHeld(_ *serve.Server, client *kvapi.Client, held kvapi.Pair) *watcher {
+// startWatchOfHeldKey watches a key that may change before the service receives the watch, so it
+// does not wait for the service to receive it.
+func startWatchOfHeldKey(_ *serve.Server, client *kvapi.Client, held kvapi.Pair) *watcher {
 	w := &watcher{client: client, key: held.Key, index: held.ModifyIndex, done: make(chan struct{})}
 	go w.run()
 	return w
