--- a/fakes/cmds/backends.go
+++ b/fakes/cmds/backends.go
@@ -65,11 +65,11 @@
 	options := engine.Options{}
 	addEngineFlags(flags, &options)
 	models := flags.String("models", defaultModel, "models served from the start, separated by commas")
-	fencing := flags.String("fencing", string(engine.FencingChecks), "what is done with fencing numbers: checks or ignores")
+	fencing := flags.String("fencing", string(engine.FencingChecked), "what is done with fencing numbers: checks or ignores")
 	return newCommand("engine", "a model engine", flags, func(ctx context.Context) error {
 		options.Models = strings.Split(*models, ",")
-		options.Fencing = engine.Fencing(*fencing)
-		if options.Fencing != engine.FencingChecks && options.Fencing != engine.FencingIgnores {
+		options.Fencing = engine.FencingMode(*fencing)
+		if options.Fencing != engine.FencingChecked && options.Fencing != engine.FencingIgnored {
 			return errCommand.New("--fencing %s: want checks or ignores", *fencing)
 		}
 		books, err := c.openLedger()
--- a/fakes/services/engine/batch.go
+++ b/fakes/services/engine/batch.go
@@ -8,55 +8,57 @@
 	"verbenaroad.example/fakes/modules/token"
 )
 
-// sequence is one generation.
+// sequence is the generation of one answer.
 type sequence struct {
 	prompt string
-	// first is the index of the first token; above 0 for a stream that is resumed.
-	first    int
-	limit    int
-	priority int
+	// first is the index of the first token to generate; it is above 0 for a resumed stream.
+	first int
+	// maxTokens is the number of tokens to generate.
+	maxTokens int
+	priority  int
 
-	// begin records the run; it is called when the sequence enters the batch,
-	// so that runs are recorded in the order of their start.
-	begin func()
-	// started is closed after begin.
+	// onStart records the run. It is called when the sequence enters the batch, so that runs are
+	// recorded in the order of their start.
+	onStart func()
+	// started is closed after onStart has returned.
 	started chan struct{}
-	// cached is written before started is closed.
-	cached int
-	// ready is when its prefill is done.
-	ready time.Time
-	// emitted counts the tokens generated so far.
+	// cachedTokens is the number of prompt tokens found in the prefix cache. It is written before
+	// started is closed.
+	cachedTokens int
+	// prefillEnd is when the prefill is done.
+	prefillEnd time.Time
+	// emitted is the number of tokens generated so far.
 	emitted atomic.Int64
-	// signal holds an element when emitted has grown.
+	// signal holds an element if emitted has increased since the last receive.
 	signal chan struct{}
 }
 
-func newSequence(prompt string, first, limit, priority int) *sequence {
+func newSequence(prompt string, first, maxTokens, priority int) *sequence {
 	return &sequence{
-		prompt:   prompt,
-		first:    first,
-		limit:    limit,
-		priority: priority,
-		started:  make(chan struct{}),
-		signal:   make(chan struct{}, 1),
+		prompt:    prompt,
+		first:     first,
+		maxTokens: maxTokens,
+		priority:  priority,
+		started:   make(chan struct{}),
+		signal:    make(chan struct{}, 1),
 	}
 }
 
-// batch is the model of continuous batching: sequences enter and leave
-// between steps, and each step gives every prefilled one a token.
+// batch models continuous batching: sequences enter and leave between steps, and each step generates
+// one token for every sequence whose prefill is done.
 type batch struct {
 	options Options
 	cache   *cache
 	// waiting is ordered by priority, lowest number first, then by arrival.
 	waiting []*sequence
 	running []*sequence
-	// tokens counts those generated since the start.
+	// tokens is the number of tokens generated since the start.
 	tokens int64
-	// next is when the next step is due; meaningless while nothing runs.
-	next time.Time
+	// nextStep is when the next step is due; it has no meaning while no sequence is running.
+	nextStep time.Time
 }
 
-// add queues a sequence and admits it if a slot is free.
+// add queues a sequence by its priority and admits waiting sequences to the free slots.
 func (b *batch) add(s *sequence, now time.Time) {
 	at := sort.Search(len(b.waiting), func(i int) bool { return b.waiting[i].priority > s.priority })
 	b.waiting = append(b.waiting, nil)
@@ -65,7 +67,7 @@
 	b.admit(now)
 }
 
-// remove drops a sequence wherever it is, and gives its slot to the next at once.
+// remove drops a waiting or running sequence and admits waiting sequences to the free slots at once.
 func (b *batch) remove(s *sequence, now time.Time) {
 	b.waiting = without(b.waiting, s)
 	b.running = without(b.running, s)
@@ -81,71 +83,74 @@
 	return list
 }
 
+// admit moves waiting sequences to the free slots and starts their prefill.
 func (b *batch) admit(now time.Time) {
 	for len(b.waiting) > 0 && len(b.running) < b.options.Slots {
 		s := b.waiting[0]
 		b.waiting = b.waiting[1:]
-		s.cached = b.cache.use(token.Blocks(s.prompt), now)
-		uncached := token.Count(s.prompt) - s.cached
-		s.ready = now.Add(time.Duration(uncached) * b.options.Prefill)
-		if len(b.running) == 0 || s.ready.Before(b.next) && !b.decoding(b.next) {
-			b.next = s.ready
+		s.cachedTokens = b.cache.use(token.Blocks(s.prompt), now)
+		uncached := token.Count(s.prompt) - s.cachedTokens
+		s.prefillEnd = now.Add(time.Duration(uncached) * b.options.Prefill)
+		if len(b.running) == 0 || s.prefillEnd.Before(b.nextStep) && !b.isDecoding(b.nextStep) {
+			b.nextStep = s.prefillEnd
 		}
 		b.running = append(b.running, s)
-		s.begin()
+		s.onStart()
 		close(s.started)
 	}
 }
 
-// decoding reports whether any running sequence is prefilled at t.
-func (b *batch) decoding(t time.Time) bool {
+// isDecoding reports whether the prefill of any running sequence is done at t.
+func (b *batch) isDecoding(t time.Time) bool {
 	for _, s := range b.running {
-		if !s.ready.After(t) {
+		if !s.prefillEnd.After(t) {
 			return true
 		}
 	}
 	return false
 }
 
-// advance makes every step that is due and returns the sequences that got
-// tokens, each once: tokens due together are written together.
+// advance executes every step that is due and returns the set of sequences that received tokens. Each
+// is signaled once, so that tokens that are due together are written together.
 func (b *batch) advance(now time.Time) map[*sequence]struct{} {
-	fed := map[*sequence]struct{}{}
-	for len(b.running) > 0 && !b.next.After(now) {
-		b.step(b.next, fed)
+	advanced := map[*sequence]struct{}{}
+	for len(b.running) > 0 && !b.nextStep.After(now) {
+		b.step(b.nextStep, advanced)
 	}
-	return fed
+	return advanced
 }
 
-func (b *batch) step(at time.Time, fed map[*sequence]struct{}) {
+// step generates a token for every prefilled sequence, adds these sequences to advanced, removes those
+// that are complete, schedules the next step and admits waiting sequences.
+func (b *batch) step(at time.Time, advanced map[*sequence]struct{}) {
 	kept := b.running[:0]
 	decoding := 0
 	earliest := time.Time{}
 	for _, s := range b.running {
-		if s.ready.After(at) {
+		if s.prefillEnd.After(at) {
 			kept = append(kept, s)
-			if earliest.IsZero() || s.ready.Before(earliest) {
-				earliest = s.ready
+			if earliest.IsZero() || s.prefillEnd.Before(earliest) {
+				earliest = s.prefillEnd
 			}
 			continue
 		}
-		fed[s] = struct{}{}
+		advanced[s] = struct{}{}
 		b.tokens++
-		if int(s.emitted.Add(1)) < s.limit {
+		if int(s.emitted.Add(1)) < s.maxTokens {
 			kept = append(kept, s)
 			decoding++
 		}
 	}
 	clear(b.running[len(kept):])
 	b.running = kept
-	b.next = at.Add(b.interval(decoding))
+	b.nextStep = at.Add(b.interval(decoding))
 	if decoding == 0 {
-		b.next = earliest
+		b.nextStep = earliest
 	}
 	b.admit(at)
 }
 
-// interval is the time between two tokens of a sequence when n share the step.
+// interval returns the time between two tokens of a sequence if n sequences decode in the step.
 func (b *batch) interval(n int) time.Duration {
 	growth := 1 + b.options.BatchGrowth*float64(max(n-1, 0))
 	return max(time.Duration(float64(b.options.TokenInterval)*growth), time.Microsecond)
--- a/fakes/services/engine/cache.go
+++ b/fakes/services/engine/cache.go
@@ -8,10 +8,10 @@
 	"verbenaroad.example/fakes/modules/token"
 )
 
-// maxEvents bounds the cache events kept; older ones are lost to those who ask late.
+// maxEvents limits the cache events kept. A caller that asks too late does not receive the older ones.
 const maxEvents = 10000
 
-// CacheChange says what happened to a block.
+// CacheChange is the kind of change of a block in the prefix cache.
 type CacheChange string
 
 // The changes of the prefix cache.
@@ -20,24 +20,27 @@
 	CacheRemoved CacheChange = "removed"
 )
 
-// CacheEvent tells of one change; sequence numbers rise by one, so a lost event shows as a gap.
+// CacheEvent reports one change. Sequence numbers increase by one, so a caller detects a lost event by
+// the gap.
 type CacheEvent struct {
 	Sequence uint64      `json:"sequence"`
 	Change   CacheChange `json:"change"`
 	Block    string      `json:"block"`
 
+	// visible is the time from which callers receive the event.
 	visible time.Time
 }
 
-// cache keeps the most recently used blocks of prompts.
+// cache is the prefix cache: it keeps the most recently used blocks of prompts, at most limit.
 type cache struct {
 	limit  int
 	blocks map[string]*list.Element
 	// recent is ordered from the most to the least recently used block.
 	recent *list.List
 
+	// lag is the delay until an event is visible, and lossRate the probability that it is lost.
 	lag      time.Duration
-	gap      float64
+	lossRate float64
 	random   *rand.Rand
 	sequence uint64
 	events   []CacheEvent
@@ -45,16 +48,17 @@
 
 func newCache(options Options) *cache {
 	return &cache{
-		limit:  options.CacheBlocks,
-		blocks: map[string]*list.Element{},
-		recent: list.New(),
-		lag:    options.EventLag,
-		gap:    options.EventGap,
-		random: rand.New(rand.NewSource(options.Seed)),
+		limit:    options.CacheBlocks,
+		blocks:   map[string]*list.Element{},
+		recent:   list.New(),
+		lag:      options.EventLag,
+		lossRate: options.EventGap,
+		random:   rand.New(rand.NewSource(options.Seed)),
 	}
 }
 
-// use stores a prompt's blocks and returns how many of its tokens were cached before.
+// use stores the blocks of a prompt, evicts the least recently used blocks beyond the limit, and
+// returns how many tokens at the start of the prompt were cached before.
 func (c *cache) use(blocks []string, now time.Time) int {
 	hits := 0
 	for i, block := range blocks {
@@ -66,7 +70,7 @@
 			continue
 		}
 		c.blocks[block] = c.recent.PushFront(block)
-		c.note(CacheStored, block, now)
+		c.recordEvent(CacheStored, block, now)
 	}
 	for c.recent.Len() > c.limit {
 		c.evict(now)
@@ -78,13 +82,14 @@
 	oldest := c.recent.Back()
 	block := c.recent.Remove(oldest).(string)
 	delete(c.blocks, block)
-	c.note(CacheRemoved, block, now)
+	c.recordEvent(CacheRemoved, block, now)
 }
 
-// note numbers an event and keeps it, unless it falls into a gap.
-func (c *cache) note(change CacheChange, block string, now time.Time) {
+// recordEvent gives an event the next sequence number and keeps it, unless it is
+// randomly chosen to be lost.
+func (c *cache) recordEvent(change CacheChange, block string, now time.Time) {
 	c.sequence++
-	if c.gap > 0 && c.random.Float64() < c.gap {
+	if c.lossRate > 0 && c.random.Float64() < c.lossRate {
 		return
 	}
 	c.events = append(c.events, CacheEvent{Sequence: c.sequence, Change: change, Block: block, visible: now.Add(c.lag)})
@@ -93,7 +98,7 @@
 	}
 }
 
-// findEvents returns the visible events with a sequence above after.
+// findEvents returns the visible events whose sequence number is above after.
 func (c *cache) findEvents(after uint64, now time.Time) []CacheEvent {
 	found := []CacheEvent{}
 	for _, e := range c.events {
--- a/fakes/services/engine/completion.go
+++ b/fakes/services/engine/completion.go
@@ -16,20 +16,20 @@
 	finishLength     = "length"
 )
 
-// Completion is the part of an OpenAI completion request that the engine reads.
+// Completion holds the fields of an OpenAI completion request that the engine reads.
 type Completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
-	// Priority orders waiting requests; a lower number goes first.
+	// Priority orders waiting requests; a lower number is admitted first.
 	Priority int `json:"priority"`
-	// ResumeFrom is the index of the first token wanted, for a stream that was
-	// canceled after that many; MaxTokens counts from the start of the whole answer.
+	// ResumeFrom is the index of the first token to send, for a stream that broke off after that many
+	// tokens. MaxTokens counts from the start of the complete answer.
 	ResumeFrom int `json:"resume_from"`
 }
 
-// Usage counts the tokens of a request.
+// Usage holds the token counts of a request and its answer.
 type Usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -37,7 +37,7 @@
 	PromptDetails    PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails says how much of the prompt was cached.
+// PromptDetails holds the number of prompt tokens that were found in the prefix cache.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
@@ -73,9 +73,9 @@
 	}
 	s := newSequence(completion.Prompt, completion.ResumeFrom, completion.MaxTokens-completion.ResumeFrom, completion.Priority)
 	var run ledger.Run
-	s.begin = func() { run = e.ledger.Start(r, body) }
+	s.onStart = func() { run = e.ledger.Start(r, body) }
 	e.submit(s)
-	// The caller may go away at any moment; what it leaves must not hold a slot.
+	// The caller may disconnect at any time; its sequence must not keep a slot.
 	defer e.cancel(s)
 	select {
 	case <-s.started:
@@ -98,13 +98,14 @@
 	return completion, nil
 }
 
-// generate passes the tokens on as they come; false means that the caller went away.
+// generate sends the answer, a stream's tokens as they are generated. It returns false if the caller
+// disconnected or the engine stopped before the answer was complete.
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request, completion Completion, s *sequence, run int) bool {
-	a := newAnswerer(completion, s, run)
+	a := newAnswerBuilder(completion, s, run)
 	if completion.Stream {
 		w.Header().Set("Content-Type", "text/event-stream")
 	}
-	for sent := 0; sent < s.limit; {
+	for sent := 0; sent < s.maxTokens; {
 		select {
 		case <-s.signal:
 		case <-r.Context().Done():
@@ -112,18 +113,18 @@
 		case <-e.done:
 			return false
 		}
-		ready := int(s.emitted.Load())
-		if completion.Stream && ready > sent {
-			if !flush(w, a.appendTokens(sent, ready)) {
+		generated := int(s.emitted.Load())
+		if completion.Stream && generated > sent {
+			if !flush(w, a.appendTokens(sent, generated)) {
 				return false
 			}
 		}
-		sent = ready
+		sent = generated
 	}
 	if completion.Stream {
 		return flush(w, a.appendEnd())
 	}
-	serve.WriteJSON(w, a.whole())
+	serve.WriteJSON(w, a.complete())
 	return true
 }
 
@@ -137,31 +138,32 @@
 	return true
 }
 
-// answerer writes the events of one answer into a buffer that it reuses.
-type answerer struct {
+// answerBuilder encodes one answer. The events of a stream go into a buffer that it reuses.
+type answerBuilder struct {
 	completion Completion
 	sequence   *sequence
 	id         string
-	// head is the start of every event up to the text.
+	// head is the part of a token's event that precedes the text, the same in every event.
 	head   []byte
 	buffer []byte
 }
 
-func newAnswerer(completion Completion, s *sequence, run int) *answerer {
-	a := &answerer{completion: completion, sequence: s, id: "cmpl-" + strconv.Itoa(run)}
+func newAnswerBuilder(completion Completion, s *sequence, run int) *answerBuilder {
+	a := &answerBuilder{completion: completion, sequence: s, id: "cmpl-" + strconv.Itoa(run)}
 	a.head = append(a.head, `data: {"id":"`+a.id+`","object":"text_completion","model":`...)
 	a.head = strconv.AppendQuote(a.head, completion.Model)
 	a.head = append(a.head, `,"choices":[{"index":0,"text":"`...)
 	return a
 }
 
-// appendTokens returns the events of the tokens from up to but not including to.
-func (a *answerer) appendTokens(from, to int) []byte {
+// appendTokens returns the events of the tokens in [from, to). The result is valid until the next
+// call of an append method.
+func (a *answerBuilder) appendTokens(from, to int) []byte {
 	a.buffer = a.buffer[:0]
 	for i := from; i < to; i++ {
 		a.buffer = append(a.buffer, a.head...)
 		a.buffer = append(a.buffer, token.Make(a.completion.Prompt, a.sequence.first+i)...)
-		if i+1 == a.sequence.limit {
+		if i+1 == a.sequence.maxTokens {
 			a.buffer = append(a.buffer, `","finish_reason":"`+finishLength+`"}]}`+"\n\n"...)
 			continue
 		}
@@ -170,8 +172,9 @@
 	return a.buffer
 }
 
-// appendEnd returns the event with the usage and the end record.
-func (a *answerer) appendEnd() []byte {
+// appendEnd returns the event with the usage, followed by the [DONE] event. The result is valid
+// until the next call of an append method.
+func (a *answerBuilder) appendEnd() []byte {
 	end := completionAnswer{ID: a.id, Object: "text_completion", Model: a.completion.Model, Choices: []choice{}, Usage: a.usage()}
 	body, err := json.Marshal(end)
 	if err != nil {
@@ -182,19 +185,19 @@
 	return append(a.buffer, "\n\ndata: [DONE]\n\n"...)
 }
 
-func (a *answerer) usage() Usage {
+func (a *answerBuilder) usage() Usage {
 	prompt := token.Count(a.completion.Prompt)
 	return Usage{
 		PromptTokens:     prompt,
-		CompletionTokens: a.sequence.limit,
-		TotalTokens:      prompt + a.sequence.limit,
-		PromptDetails:    PromptDetails{CachedTokens: a.sequence.cached},
+		CompletionTokens: a.sequence.maxTokens,
+		TotalTokens:      prompt + a.sequence.maxTokens,
+		PromptDetails:    PromptDetails{CachedTokens: a.sequence.cachedTokens},
 	}
 }
 
-func (a *answerer) whole() completionAnswer {
+func (a *answerBuilder) complete() completionAnswer {
 	text := ""
-	for i := range a.sequence.limit {
+	for i := range a.sequence.maxTokens {
 		text += token.Make(a.completion.Prompt, a.sequence.first+i)
 	}
 	return completionAnswer{
--- a/fakes/services/engine/emit_bench_test.go
+++ b/fakes/services/engine/emit_bench_test.go
@@ -15,8 +15,8 @@
 	"verbenaroad.example/fakes/services/engine"
 )
 
-// reader asks for a stream over a bare connection and drops what comes, so
-// that as little as possible of the measured time is the caller's.
+// reader requests a stream over a plain TCP connection and discards the answer, so that the caller
+// uses as little as possible of the measured CPU time.
 type reader struct {
 	connection net.Conn
 	done       chan struct{}
@@ -37,7 +37,7 @@
 	}
 }
 
-func startReader(b *testing.B, s *stand, tokens int) *reader {
+func startReader(b *testing.B, s *testEngine, tokens int) *reader {
 	b.Helper()
 	connection, err := net.Dial("tcp", s.server.Address().String())
 	if err != nil {
@@ -59,7 +59,7 @@
 	return r
 }
 
-func processorTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -68,16 +68,15 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkEmit measures the processor time of one token, of the engine and
-// of the reader together. b.N is the number of tokens of each stream; run it
-// with a fixed count, such as -benchtime=250x.
+// BenchmarkEmit measures the CPU time per token of the engine and the reader together. b.N is the
+// number of tokens of each stream; run it with a fixed count, for example -benchtime=250x.
 func BenchmarkEmit(b *testing.B) {
 	logging.SetLevel(logging.LevelNone)
 	for _, streams := range []int{32, 256} {
 		for _, interval := range []time.Duration{20 * time.Millisecond, 5 * time.Millisecond, time.Millisecond} {
 			b.Run(fmt.Sprintf("streams=%d/interval=%s", streams, interval), func(b *testing.B) {
-				s := newStand(b, engine.Options{Slots: streams, TokenInterval: interval})
-				before := processorTime(b)
+				s := newTestEngine(b, engine.Options{Slots: streams, TokenInterval: interval})
+				before := cpuTime(b)
 				readers := []*reader{}
 				for range streams {
 					readers = append(readers, startReader(b, s, b.N))
@@ -87,7 +86,7 @@
 					_ = r.connection.Close()
 				}
 				tokens := float64(b.N * streams)
-				spent := processorTime(b) - before
+				spent := cpuTime(b) - before
 				b.ReportMetric(tokens/spent.Seconds(), "tokens/core-s")
 				b.ReportMetric(tokens/b.Elapsed().Seconds(), "tokens/s")
 			})
--- a/fakes/services/engine/engine.go
+++ b/fakes/services/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine stands in for a model engine that batches continuously: it
-// streams completions in the OpenAI format, caches prompt prefixes in limited
-// memory, honours priorities and takes orders.
+// Package engine is a stand-in for a model engine with continuous batching. It streams completions in
+// the OpenAI format, caches prompt prefixes in limited memory, admits requests by priority and accepts
+// orders that change what it serves.
 package engine
 
 import (
@@ -15,33 +15,34 @@
 
 // Options holds the settings of an Engine.
 type Options struct {
-	// Models are served from the start.
+	// Models lists the models served from the start.
 	Models []string
-	// Slots is the largest batch; further requests wait.
+	// Slots is the maximum number of requests in the batch; further requests wait.
 	Slots int
-	// Prefill is spent on every prompt token that is not cached.
+	// Prefill is the prefill time of each prompt token that is not cached.
 	Prefill time.Duration
-	// TokenInterval is the time between two tokens of a request that runs alone.
+	// TokenInterval is the time between two tokens of a request that is alone in the batch.
 	TokenInterval time.Duration
-	// BatchGrowth is the part of TokenInterval that each further request of the batch adds.
+	// BatchGrowth is the fraction of TokenInterval by which each further request in the batch extends
+	// the time between two tokens.
 	BatchGrowth float64
 	// CacheBlocks is the size of the prefix cache in blocks of token.BlockTokens tokens.
 	CacheBlocks int
-	// EventLag delays cache events.
+	// EventLag is the delay of cache events.
 	EventLag time.Duration
 	// EventGap is the probability that a cache event is lost.
 	EventGap float64
-	// LoadLag delays the load report.
+	// LoadLag is the delay of the load report.
 	LoadLag time.Duration
-	// Fencing says whether old fencing numbers are refused.
-	Fencing Fencing
+	// Fencing states whether orders with old fencing numbers are refused.
+	Fencing FencingMode
 	// OrderTime is how long an order takes.
 	OrderTime time.Duration
-	// Seed makes the gaps repeatable.
+	// Seed seeds the choice of the lost cache events, which makes it reproducible.
 	Seed int64
 }
 
-// Engine generates.
+// Engine serves the HTTP API and generates the answers.
 type Engine struct {
 	options Options
 	ledger  *ledger.Ledger
@@ -49,42 +50,43 @@
 
 	mutex   sync.Mutex
 	batch   *batch
-	history history
+	history loadHistory
 
+	// changed wakes runBatch; done is closed by Stop.
 	changed chan struct{}
 	done    chan struct{}
 }
 
-// NewEngine returns an Engine that records its runs in books; Start sets it going.
-func NewEngine(options Options, books *ledger.Ledger) *Engine {
+// NewEngine returns an Engine that records its runs in runLedger. Start starts the generation.
+func NewEngine(options Options, runLedger *ledger.Ledger) *Engine {
 	options.Slots = max(options.Slots, 1)
 	return &Engine{
 		options: options,
-		ledger:  books,
+		ledger:  runLedger,
 		catalog: newCatalog(options),
 		batch:   &batch{options: options, cache: newCache(options)},
-		history: history{lag: options.LoadLag},
+		history: loadHistory{lag: options.LoadLag},
 		changed: make(chan struct{}, 1),
 		done:    make(chan struct{}),
 	}
 }
 
-// Start begins to generate.
+// Start starts the generation in its own goroutine.
 func (e *Engine) Start() {
 	go e.runBatch()
 }
 
-// Stop ends generation; requests that are open get no more tokens.
+// Stop ends the generation; requests in flight receive no further tokens.
 func (e *Engine) Stop() {
 	close(e.done)
 }
 
-// KindOf counts a call under its path.
+// KindOf returns the kind under which a call is counted: its path.
 func KindOf(r *http.Request) string {
 	return r.URL.Path
 }
 
-// NewRouter returns the Handler of the engine.
+// NewRouter returns the HTTP handler of the engine.
 func (e *Engine) NewRouter() http.Handler {
 	mux := http.NewServeMux()
 	e.ledger.Mount(mux)
@@ -97,7 +99,7 @@
 	return mux
 }
 
-// runBatch makes the steps of the batch when they are due.
+// runBatch executes the steps of the batch when they are due, until Stop.
 func (e *Engine) runBatch() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -117,6 +119,8 @@
 	}
 }
 
+// advance executes the steps that are due and signals the sequences that received tokens. It returns
+// the time of the next step; busy is false if no sequence is running.
 func (e *Engine) advance(now time.Time) (next time.Time, busy bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -126,11 +130,11 @@
 		default:
 		}
 	}
-	e.noteLoad(now)
-	return e.batch.next, len(e.batch.running) > 0
+	e.recordLoad(now)
+	return e.batch.nextStep, len(e.batch.running) > 0
 }
 
-func (e *Engine) noteLoad(now time.Time) {
+func (e *Engine) recordLoad(now time.Time) {
 	e.history.add(Load{
 		Running:     len(e.batch.running),
 		Waiting:     len(e.batch.waiting),
@@ -144,22 +148,22 @@
 	e.mutex.Lock()
 	now := time.Now()
 	e.batch.add(s, now)
-	e.noteLoad(now)
+	e.recordLoad(now)
 	e.mutex.Unlock()
 	e.wake()
 }
 
-// cancel frees the sequence's slot at once.
+// cancel drops the sequence and frees its slot at once.
 func (e *Engine) cancel(s *sequence) {
 	e.mutex.Lock()
 	now := time.Now()
 	e.batch.remove(s, now)
-	e.noteLoad(now)
+	e.recordLoad(now)
 	e.mutex.Unlock()
 	e.wake()
 }
 
-// wake makes runBatch look at the batch again.
+// wake makes runBatch check the batch again.
 func (e *Engine) wake() {
 	select {
 	case e.changed <- struct{}{}:
@@ -169,7 +173,7 @@
 
 func (e *Engine) getLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mutex.Lock()
-	load := e.history.get(time.Now())
+	load := e.history.delayed(time.Now())
 	e.mutex.Unlock()
 	load.Slots = e.options.Slots
 	serve.WriteJSON(w, load)
--- a/fakes/services/engine/engine_test.go
+++ b/fakes/services/engine/engine_test.go
@@ -20,17 +20,18 @@
 	"verbenaroad.example/fakes/services/engine"
 )
 
-type stand struct {
+// testEngine is an engine behind its HTTP server, with the ledger of its runs.
+type testEngine struct {
 	t      testing.TB
 	server *serve.Server
-	books  *ledger.Ledger
+	ledger *ledger.Ledger
 }
 
-func newStand(t testing.TB, options engine.Options) *stand {
+func newTestEngine(t testing.TB, options engine.Options) *testEngine {
 	t.Helper()
-	books := ledger.NewLedger(nil)
+	runLedger := ledger.NewLedger(nil)
 	options.Models = []string{"model"}
-	e := engine.NewEngine(options, books)
+	e := engine.NewEngine(options, runLedger)
 	e.Start()
 	server := serve.NewServer(serve.Options{Listen: serve.AnyLoopbackPort(), Handler: e.NewRouter(), KindOf: engine.KindOf})
 	if err := server.Start(); err != nil {
@@ -42,10 +43,10 @@
 		e.Stop()
 		_ = server.Stop(ctx)
 	})
-	return &stand{t: t, server: server, books: books}
+	return &testEngine{t: t, server: server, ledger: runLedger}
 }
 
-func (s *stand) send(ctx context.Context, method, path string, body any) *http.Response {
+func (s *testEngine) send(ctx context.Context, method, path string, body any) *http.Response {
 	s.t.Helper()
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return response
 }
 
-// call sends a call and decodes its answer into v.
-func (s *stand) call(method, path string, body, v any) int {
+// call sends a call, decodes its answer into v unless v is nil, and returns the status code.
+func (s *testEngine) call(method, path string, body, v any) int {
 	s.t.Helper()
 	response := s.send(context.Background(), method, path, body)
 	data, err := io.ReadAll(response.Body)
@@ -80,6 +81,7 @@
 	return response.StatusCode
 }
 
+// chunk is an event of a stream, or the answer to a request without streaming.
 type chunk struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -88,7 +90,8 @@
 	Usage *engine.Usage `json:"usage"`
 }
 
-// readStream returns the whole text and the usage of a stream that ends as it should.
+// readStream returns the complete text and the usage of a stream. It fails the test if the stream ends
+// without its [DONE] event.
 func readStream(t *testing.T, body io.Reader) (string, engine.Usage) {
 	t.Helper()
 	var text strings.Builder
@@ -117,49 +120,50 @@
 	return "", usage
 }
 
-func words(n int) string {
+// promptOf returns a prompt of n words, which are n tokens.
+func promptOf(n int) string {
 	return strings.Repeat("jack ", n)
 }
 
-func TestTokensFollowFromThePrompt(t *testing.T) {
+func TestTokensDependOnPromptOnly(t *testing.T) {
 	is := is.New(t)
-	s := newStand(t, engine.Options{Slots: 4, TokenInterval: time.Millisecond})
+	s := newTestEngine(t, engine.Options{Slots: 4, TokenInterval: time.Millisecond})
 	prompt := "voicing note"
-	whole := token.MakeText(prompt, 20)
-	is.True(whole != token.MakeText("another", 20))
+	fullText := token.MakeText(prompt, 20)
+	is.True(fullText != token.MakeText("another", 20))
 
 	completion := engine.Completion{Model: "model", Prompt: prompt, MaxTokens: 20, Stream: true}
 	text, usage := readStream(t, s.send(context.Background(), http.MethodPost, "/v1/completions", completion).Body)
-	is.Equal(text, whole)
+	is.Equal(text, fullText)
 	is.Equal(usage.CompletionTokens, 20)
 	is.Equal(usage.PromptTokens, 2)
 
 	completion.ResumeFrom = 15
 	text, _ = readStream(t, s.send(context.Background(), http.MethodPost, "/v1/completions", completion).Body)
-	is.Equal(text, whole[15*token.Length:])
+	is.Equal(text, fullText[15*token.Length:])
 
 	var answer chunk
 	completion.Stream = false
 	completion.ResumeFrom = 0
 	is.Equal(s.call(http.MethodPost, "/v1/completions", completion, &answer), http.StatusOK)
-	is.Equal(answer.Choices[0].Text, whole)
-	runs := s.books.FindRuns()
+	is.Equal(answer.Choices[0].Text, fullText)
+	runs := s.ledger.FindRuns()
 	is.Equal(len(runs), 3)
 	is.True(!runs[2].Finished.IsZero())
 }
 
 func TestPrefixCache(t *testing.T) {
 	is := is.New(t)
-	s := newStand(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond, CacheBlocks: 3})
+	s := newTestEngine(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond, CacheBlocks: 3})
 	cached := func(prompt string) int {
 		var answer chunk
 		s.call(http.MethodPost, "/v1/completions", engine.Completion{Model: "model", Prompt: prompt, MaxTokens: 1}, &answer)
 		return answer.Usage.PromptDetails.CachedTokens
 	}
-	is.Equal(cached(words(40)), 0)
-	is.Equal(cached(words(40)), 32)  // whole blocks only
-	is.Equal(cached(words(100)), 32) // the longer prompt evicts its own start
-	is.Equal(cached(words(16)), 0)
+	is.Equal(cached(promptOf(40)), 0)
+	is.Equal(cached(promptOf(40)), 32)  // only complete blocks are cached
+	is.Equal(cached(promptOf(100)), 32) // this prompt has 6 blocks, so it evicts its own first ones
+	is.Equal(cached(promptOf(16)), 0)
 
 	var events engine.CacheEvents
 	s.call(http.MethodGet, "/cache-events?after=2", nil, &events)
@@ -173,28 +177,29 @@
 
 func TestCacheEventsHaveGaps(t *testing.T) {
 	is := is.New(t)
-	s := newStand(t, engine.Options{Slots: 1, CacheBlocks: 100, EventGap: 0.5, Seed: 1})
-	s.call(http.MethodPost, "/v1/completions", engine.Completion{Model: "model", Prompt: words(16 * 40), MaxTokens: 1}, nil)
+	s := newTestEngine(t, engine.Options{Slots: 1, CacheBlocks: 100, EventGap: 0.5, Seed: 1})
+	s.call(http.MethodPost, "/v1/completions", engine.Completion{Model: "model", Prompt: promptOf(16 * 40), MaxTokens: 1}, nil)
 	var events engine.CacheEvents
 	s.call(http.MethodGet, "/cache-events", nil, &events)
 	is.True(len(events.Events) > 0)
 	is.True(len(events.Events) < 40)
 }
 
-func TestCacheEventsAreLate(t *testing.T) {
+func TestReportsAreDelayed(t *testing.T) {
 	is := is.New(t)
-	s := newStand(t, engine.Options{Slots: 1, CacheBlocks: 100, EventLag: time.Hour, LoadLag: time.Hour})
-	s.call(http.MethodPost, "/v1/completions", engine.Completion{Model: "model", Prompt: words(32), MaxTokens: 1}, nil)
+	s := newTestEngine(t, engine.Options{Slots: 1, CacheBlocks: 100, EventLag: time.Hour, LoadLag: time.Hour})
+	s.call(http.MethodPost, "/v1/completions", engine.Completion{Model: "model", Prompt: promptOf(32), MaxTokens: 1}, nil)
 	var events engine.CacheEvents
 	s.call(http.MethodGet, "/cache-events", nil, &events)
 	is.Equal(len(events.Events), 0)
 	var load engine.Load
 	s.call(http.MethodGet, "/load", nil, &load)
-	is.Equal(load, engine.Load{Slots: 1}) // an hour ago there was nothing
+	is.Equal(load, engine.Load{Slots: 1}) // an hour ago there was no load
 }
 
-// load waits until the load is as wanted and fails the test by its own timeout otherwise.
-func (s *stand) waitLoad(running, waiting int) {
+// waitLoad waits until the engine reports these numbers of requests. If it never does, the test ends by
+// the timeout of the test run.
+func (s *testEngine) waitLoad(running, waiting int) {
 	s.t.Helper()
 	for {
 		var load engine.Load
@@ -206,42 +211,41 @@
 	}
 }
 
-// A caller hangs up in the middle of a long stream, and another while it
-// waits for the only slot. Both must be gone from the engine at once: the
-// server library does not end a request's context, so without the close hook
-// the slot would be held until the stream ends, which here is never.
-func TestHangUpFreesSlot(t *testing.T) {
+// One caller disconnects in the middle of a stream, another while it waits for the only slot. The engine
+// must drop both at once: the server library does not end a request's context, so without the close
+// hook the slot would be held until the stream ends, which never happens here.
+func TestDisconnectFreesSlot(t *testing.T) {
 	is := is.New(t)
-	s := newStand(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond})
+	s := newTestEngine(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond})
 	endless := engine.Completion{Model: "model", Prompt: "endless", MaxTokens: 1 << 30, Stream: true}
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	response := s.send(ctx, http.MethodPost, "/v1/completions", endless)
 	_, err := io.ReadFull(response.Body, make([]byte, 100))
 	is.NoErr(err)
 	s.waitLoad(1, 0)
 
-	waiter := &caller{stand: s, completion: endless, done: make(chan struct{})}
-	waiting, giveUp := context.WithCancel(context.Background())
-	go waiter.run(waiting)
+	waiter := &caller{engine: s, completion: endless, done: make(chan struct{})}
+	waitingCtx, cancelWaiting := context.WithCancel(context.Background())
+	go waiter.run(waitingCtx)
 	s.waitLoad(1, 1)
-	giveUp()
+	cancelWaiting()
 	<-waiter.done
 	s.waitLoad(1, 0)
-	is.Equal(len(s.books.FindRuns()), 1) // the one that waited never ran
+	is.Equal(len(s.ledger.FindRuns()), 1) // the waiting request never ran
 
-	hangUp()
+	disconnect()
 	s.waitLoad(0, 0)
-	is.True(s.books.FindRuns()[0].Finished.IsZero())
+	is.True(s.ledger.FindRuns()[0].Finished.IsZero())
 	var answer chunk
 	is.Equal(s.call(http.MethodPost, "/v1/completions", engine.Completion{Model: "model", Prompt: "next", MaxTokens: 2}, &answer), http.StatusOK)
 	is.Equal(answer.Choices[0].Text, token.MakeText("next", 2))
 }
 
-// The connection of a stream breaks off in the middle. What came is no whole
-// answer, and shows it by the missing end record; the slot is free again.
-func TestCutStream(t *testing.T) {
+// The connection of a stream breaks in the middle. The caller recognizes the incomplete answer by the
+// missing [DONE] event, and the engine frees the slot.
+func TestBrokenConnectionFreesSlot(t *testing.T) {
 	is := is.New(t)
-	s := newStand(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond})
+	s := newTestEngine(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond})
 	is.NoErr(s.server.SetFault(fault.Settings{CutAfter: 2, Methods: []string{http.MethodPost}}))
 	endless := engine.Completion{Model: "model", Prompt: "endless", MaxTokens: 1 << 30, Stream: true}
 	data, err := io.ReadAll(s.send(context.Background(), http.MethodPost, "/v1/completions", endless).Body)
@@ -251,9 +255,9 @@
 	s.waitLoad(0, 0)
 }
 
-// caller sends a completion and reads the answer on a goroutine of its own.
+// caller sends a completion and reads the answer in its own goroutine.
 type caller struct {
-	stand      *stand
+	engine     *testEngine
 	completion engine.Completion
 	done       chan struct{}
 }
@@ -264,7 +268,7 @@
 	if err != nil {
 		return
 	}
-	url := "http://" + c.stand.server.Address().String() + "/v1/completions"
+	url := "http://" + c.engine.server.Address().String() + "/v1/completions"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return
@@ -277,25 +281,25 @@
 	_ = response.Body.Close()
 }
 
-func TestPriorityGoesFirst(t *testing.T) {
+func TestWaitingRequestsRunByPriority(t *testing.T) {
 	is := is.New(t)
-	s := newStand(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond})
-	ctx, hangUp := context.WithCancel(context.Background())
+	s := newTestEngine(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond})
+	ctx, disconnect := context.WithCancel(context.Background())
 	s.send(ctx, http.MethodPost, "/v1/completions", engine.Completion{Model: "model", Prompt: "first", MaxTokens: 1 << 30, Stream: true})
 	s.waitLoad(1, 0)
 	callers := []*caller{}
 	for i, priority := range []int{2, 1, 1, 0} {
 		completion := engine.Completion{Model: "model", Prompt: "waits", MaxTokens: 1 + i, Priority: priority}
-		c := &caller{stand: s, completion: completion, done: make(chan struct{})}
+		c := &caller{engine: s, completion: completion, done: make(chan struct{})}
 		callers = append(callers, c)
 		go c.run(context.Background())
 		s.waitLoad(1, i+1)
 	}
-	hangUp()
+	disconnect()
 	for _, c := range callers {
 		<-c.done
 	}
-	runs := s.books.FindRuns()
+	runs := s.ledger.FindRuns()
 	order := []string{}
 	for _, run := range runs[1:] {
 		order = append(order, run.BodyDigest)
@@ -310,19 +314,19 @@
 }
 
 func TestOrders(t *testing.T) {
-	tests := map[engine.Fencing]int{
-		engine.FencingChecks:  http.StatusConflict,
-		engine.FencingIgnores: http.StatusOK,
+	tests := map[engine.FencingMode]int{
+		engine.FencingChecked: http.StatusConflict,
+		engine.FencingIgnored: http.StatusOK,
 	}
 	for fencing, want := range tests {
 		t.Run(string(fencing), func(t *testing.T) {
 			is := is.New(t)
-			s := newStand(t, engine.Options{Fencing: fencing})
-			newer := engine.Order{Kind: engine.OrderLoadModel, Model: "violin", Version: "2", Fencing: 5}
-			older := engine.Order{Kind: engine.OrderUnloadModel, Model: "violin", Fencing: 4}
-			is.Equal(s.call(http.MethodPost, "/orders", newer, nil), http.StatusOK)
-			is.Equal(s.call(http.MethodPost, "/orders", older, nil), want)
-			var models engine.ServedList
+			s := newTestEngine(t, engine.Options{Fencing: fencing})
+			newOrder := engine.Order{Kind: engine.OrderLoadModel, Model: "violin", Version: "2", FencingNumber: 5}
+			oldOrder := engine.Order{Kind: engine.OrderUnloadModel, Model: "violin", FencingNumber: 4}
+			is.Equal(s.call(http.MethodPost, "/orders", newOrder, nil), http.StatusOK)
+			is.Equal(s.call(http.MethodPost, "/orders", oldOrder, nil), want)
+			var models engine.ModelList
 			s.call(http.MethodGet, "/v1/models", nil, &models)
 			is.Equal(len(models.Data) == 2, want == http.StatusConflict)
 			var records []engine.OrderRecord
@@ -332,7 +336,7 @@
 	}
 	t.Run("unknown model", func(t *testing.T) {
 		is := is.New(t)
-		s := newStand(t, engine.Options{})
+		s := newTestEngine(t, engine.Options{})
 		is.Equal(s.call(http.MethodPost, "/v1/completions", engine.Completion{Model: "none", MaxTokens: 1}, nil), http.StatusNotFound)
 	})
 }
--- a/fakes/services/engine/orders.go
+++ b/fakes/services/engine/orders.go
@@ -11,18 +11,18 @@
 	"verbenaroad.example/fakes/modules/slots"
 )
 
-// Fencing says what the engine does with an order's fencing number.
-type Fencing string
+// FencingMode states how the engine treats the fencing number of an order.
+type FencingMode string
 
-// The ways to treat fencing numbers.
+// The fencing modes.
 const (
-	// FencingChecks refuses an order whose number is below the highest seen.
-	FencingChecks Fencing = "checks"
-	// FencingIgnores carries out every order.
-	FencingIgnores Fencing = "ignores"
+	// FencingChecked refuses an order whose fencing number is below the highest one received.
+	FencingChecked FencingMode = "checks"
+	// FencingIgnored executes every order.
+	FencingIgnored FencingMode = "ignores"
 )
 
-// OrderKind says what an order changes.
+// OrderKind is the kind of change that an order requests.
 type OrderKind string
 
 // The kinds of orders.
@@ -34,57 +34,58 @@
 	OrderSetRole       OrderKind = "set-role"
 )
 
-// Order tells the engine to change what it serves.
+// Order instructs the engine to change the models, adapters or role that it serves.
 type Order struct {
-	Kind    OrderKind `json:"order"`
-	Model   string    `json:"model,omitempty"`
-	Adapter string    `json:"adapter,omitempty"`
-	Version string    `json:"version,omitempty"`
-	Role    string    `json:"role,omitempty"`
-	Fencing uint64    `json:"fencing"`
+	Kind          OrderKind `json:"order"`
+	Model         string    `json:"model,omitempty"`
+	Adapter       string    `json:"adapter,omitempty"`
+	Version       string    `json:"version,omitempty"`
+	Role          string    `json:"role,omitempty"`
+	FencingNumber uint64    `json:"fencing"`
 }
 
-// OrderRecord is an order as it was received.
+// OrderRecord is an order that the engine received, refused ones included.
 type OrderRecord struct {
 	Order
 	Received time.Time `json:"received"`
-	// Applied is false for an order that was refused or is still being carried out.
+	// Applied is false for an order that was refused or has not been executed yet.
 	Applied bool `json:"applied"`
 }
 
-// Served is one model or adapter that requests may name.
-type Served struct {
+// ServedModel is a model or adapter that requests may name.
+type ServedModel struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Version string `json:"version,omitempty"`
-	// Parent is the model of an adapter.
+	// Parent is the base model of an adapter.
 	Parent string `json:"parent,omitempty"`
 }
 
-// ServedList is the answer of GET /v1/models.
-type ServedList struct {
-	Object string   `json:"object"`
-	Role   string   `json:"role,omitempty"`
-	Data   []Served `json:"data"`
+// ModelList is the answer of GET /v1/models.
+type ModelList struct {
+	Object string        `json:"object"`
+	Role   string        `json:"role,omitempty"`
+	Data   []ServedModel `json:"data"`
 }
 
-// catalog is what the engine serves and the orders that made it so.
+// catalog holds the models, adapters and role that the engine serves, and the orders received.
 type catalog struct {
-	fencing Fencing
-	// duration is how long an order takes.
-	duration time.Duration
-
-	mutex   sync.Mutex
-	served  map[string]Served
-	role    string
-	highest uint64
-	records []OrderRecord
+	fencing FencingMode
+	// orderTime is how long an order takes.
+	orderTime time.Duration
+
+	mutex  sync.Mutex
+	served map[string]ServedModel
+	role   string
+	// highestFencing is the highest fencing number received.
+	highestFencing uint64
+	records        []OrderRecord
 }
 
 func newCatalog(options Options) *catalog {
-	c := &catalog{fencing: options.Fencing, duration: options.OrderTime, served: map[string]Served{}}
+	c := &catalog{fencing: options.Fencing, orderTime: options.OrderTime, served: map[string]ServedModel{}}
 	for _, model := range options.Models {
-		c.served[model] = Served{ID: model, Object: "model", Version: "1"}
+		c.served[model] = ServedModel{ID: model, Object: "model", Version: "1"}
 	}
 	return c
 }
@@ -98,7 +99,7 @@
 
 func (c *catalog) getModels(w http.ResponseWriter, _ *http.Request) {
 	c.mutex.Lock()
-	list := ServedList{Object: "list", Role: c.role, Data: []Served{}}
+	list := ModelList{Object: "list", Role: c.role, Data: []ServedModel{}}
 	for _, s := range c.served {
 		list.Data = append(list.Data, s)
 	}
@@ -119,42 +120,45 @@
 	if !serve.ReadJSON(w, r, &order) {
 		return
 	}
-	number, accepted := c.receive(order)
+	index, accepted := c.receive(order)
 	if !accepted {
 		http.Error(w, "the fencing number is below the highest seen", http.StatusConflict)
 		return
 	}
-	// An order once accepted is carried out although its sender goes away.
-	slots.Work(context.WithoutCancel(r.Context()), c.duration)
-	if !c.apply(number) {
+	// An accepted order is executed even if its sender disconnects.
+	slots.Work(context.WithoutCancel(r.Context()), c.orderTime)
+	if !c.apply(index) {
 		http.Error(w, "no such order", http.StatusBadRequest)
 		return
 	}
 	serve.WriteJSON(w, true)
 }
 
-func (c *catalog) receive(order Order) (number int, accepted bool) {
+// receive records the order and checks its fencing number. It returns the index of the record and
+// whether the order is accepted.
+func (c *catalog) receive(order Order) (index int, accepted bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.records = append(c.records, OrderRecord{Order: order, Received: time.Now()})
-	if c.fencing == FencingChecks && order.Fencing < c.highest {
+	if c.fencing == FencingChecked && order.FencingNumber < c.highestFencing {
 		return 0, false
 	}
-	c.highest = max(c.highest, order.Fencing)
+	c.highestFencing = max(c.highestFencing, order.FencingNumber)
 	return len(c.records) - 1, true
 }
 
-func (c *catalog) apply(number int) bool {
+// apply executes the order of a record; it returns false if the order's kind is unknown.
+func (c *catalog) apply(index int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	record := &c.records[number]
+	record := &c.records[index]
 	switch record.Kind {
 	case OrderLoadModel:
-		c.served[record.Model] = Served{ID: record.Model, Object: "model", Version: record.Version}
+		c.served[record.Model] = ServedModel{ID: record.Model, Object: "model", Version: record.Version}
 	case OrderUnloadModel:
 		delete(c.served, record.Model)
 	case OrderLoadAdapter:
-		c.served[record.Adapter] = Served{ID: record.Adapter, Object: "model", Version: record.Version, Parent: record.Model}
+		c.served[record.Adapter] = ServedModel{ID: record.Adapter, Object: "model", Version: record.Version, Parent: record.Model}
 	case OrderUnloadAdapter:
 		delete(c.served, record.Adapter)
 	case OrderSetRole:
