--- a/fakes/services/pool/pool.go
+++ b/fakes/services/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool stands in for a pool of encoders, retrievers or rerankers.
-// Answers follow from the request alone, so a caller can check them.
+// Package pool is a stand-in for a backend server of a pool of encoders, retrievers or rerankers.
+// Answers depend on the request only, so a caller can check them.
 package pool
 
 import (
@@ -28,28 +28,28 @@
 type Options struct {
 	// Time is how long each call takes.
 	Time time.Duration
-	// Slots is how many calls run at once; more wait.
+	// Slots is the maximum number of calls that run at once; further calls wait.
 	Slots int
 }
 
-// Pool answers calls of all three kinds.
+// Pool answers embeddings, search and rerank calls.
 type Pool struct {
 	options Options
 	slots   *slots.Slots
 	ledger  *ledger.Ledger
 }
 
-// NewPool returns a Pool that records its runs in books.
-func NewPool(options Options, books *ledger.Ledger) *Pool {
-	return &Pool{options: options, slots: slots.NewSlots(options.Slots), ledger: books}
+// NewPool returns a Pool that records its runs in runLedger.
+func NewPool(options Options, runLedger *ledger.Ledger) *Pool {
+	return &Pool{options: options, slots: slots.NewSlots(options.Slots), ledger: runLedger}
 }
 
-// KindOf counts a call under its path.
+// KindOf returns the kind under which a call is counted: its path.
 func KindOf(r *http.Request) string {
 	return r.URL.Path
 }
 
-// NewRouter returns the Handler of the pool.
+// NewRouter returns the HTTP handler of the pool.
 func (p *Pool) NewRouter() http.Handler {
 	mux := http.NewServeMux()
 	p.ledger.Mount(mux)
@@ -59,7 +59,8 @@
 	return mux
 }
 
-// work decodes the call and spends the service time on it; false means that the call is over.
+// work decodes the call's body into v, waits for a slot and spends the service time. It returns false
+// if the body cannot be read or decoded, after answering with status 400, or if the caller disconnected.
 func (p *Pool) work(w http.ResponseWriter, r *http.Request, v any) bool {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -82,10 +83,10 @@
 	return true
 }
 
-// Texts is one text or a list of them, as the embeddings call takes both.
+// Texts is the input of an embeddings call, which is either one text or a list of texts.
 type Texts []string
 
-// UnmarshalJSON reads a string or a list of strings.
+// UnmarshalJSON decodes a string or a list of strings.
 func (t *Texts) UnmarshalJSON(data []byte) error {
 	if bytes.HasPrefix(bytes.TrimSpace(data), []byte(`"`)) {
 		var one string
@@ -128,7 +129,7 @@
 	serve.WriteJSON(w, answer)
 }
 
-// Embed returns the vector of a text.
+// Embed returns the embedding of a text.
 func Embed(text string) []float64 {
 	vector := make([]float64, dimensions)
 	for i := range vector {
@@ -137,7 +138,8 @@
 	return vector
 }
 
-// score maps a text to a number from 0 to 1 with few enough digits to survive JSON unchanged.
+// score maps a text to a number in [0, 1). The number has 24 bits, so that it is unchanged by encoding
+// to JSON and back.
 func score(text string) float64 {
 	return float64(xxhash.Sum64String(text)>>40) / float64(1<<24)
 }
@@ -165,7 +167,7 @@
 	serve.WriteJSON(w, searchAnswer{Documents: Search(body.Vector, body.Limit)})
 }
 
-// Search returns the documents near a vector; a limit of 0 stands for ten.
+// Search returns limit documents for a vector; a limit of 0 or below means ten.
 func Search(vector []float64, limit int) []Document {
 	if limit <= 0 {
 		limit = defaultLimit
@@ -190,9 +192,9 @@
 	TopN      int      `json:"top_n"`
 }
 
-// Ranked is a rerank result.
+// Ranked is the rerank result of one document.
 type Ranked struct {
-	// Index is the document's place in the request.
+	// Index is the document's index in the request.
 	Index int     `json:"index"`
 	Score float64 `json:"relevance_score"`
 }
@@ -210,7 +212,7 @@
 	serve.WriteJSON(w, rerankAnswer{Model: body.Model, Results: Rerank(body.Query, body.Documents, body.TopN)})
 }
 
-// Rerank orders documents by relevance, best first; a limit of 0 keeps all.
+// Rerank returns at most limit documents by descending relevance; a limit of 0 or below means all.
 func Rerank(query string, documents []string, limit int) []Ranked {
 	results := make([]Ranked, 0, len(documents))
 	for i, document := range documents {
--- a/fakes/services/pool/pool_test.go
+++ b/fakes/services/pool/pool_test.go
@@ -9,7 +9,7 @@
 	"verbenaroad.example/fakes/services/pool"
 )
 
-func TestAnswersFollowFromTheRequest(t *testing.T) {
+func TestAnswersDependOnRequestOnly(t *testing.T) {
 	is := is.New(t)
 	is.Equal(pool.Embed("a"), pool.Embed("a"))
 	is.True(pool.Embed("a")[0] != pool.Embed("b")[0])
@@ -18,7 +18,7 @@
 	is.NoErr(err)
 	var decoded []float64
 	is.NoErr(json.Unmarshal(data, &decoded))
-	is.Equal(pool.Search(decoded, 3), pool.Search(pool.Embed("a"), 3)) // JSON keeps the vector
+	is.Equal(pool.Search(decoded, 3), pool.Search(pool.Embed("a"), 3)) // the vector is unchanged by JSON
 	is.Equal(len(pool.Search(decoded, 3)), 3)
 
 	all := pool.Rerank("q", []string{"x", "y", "z"}, 0)
@@ -27,7 +27,7 @@
 	is.Equal(pool.Rerank("q", []string{"x", "y", "z"}, 2), all[:2])
 }
 
-func TestTextsAreOneOrMany(t *testing.T) {
+func TestTextsDecodeStringOrList(t *testing.T) {
 	tests := map[string]struct {
 		data string
 		want pool.Texts
