--- a/fakes/services/plain/service.go
+++ b/fakes/services/plain/service.go
@@ -1,5 +1,5 @@
-// Package plain stands in for a plain service: it takes any call, works for
-// a while and answers with a digest of the body.
+// Package plain is a stand-in for a backend server of a plain service. It accepts any call, waits for
+// the service time and answers with a digest of the body.
 package plain
 
 import (
@@ -17,38 +17,38 @@
 type Options struct {
 	// Time is how long each call takes.
 	Time time.Duration
-	// Slots is how many calls run at once; more wait.
+	// Slots is the maximum number of calls that run at once; further calls wait.
 	Slots int
 }
 
-// Service answers calls.
+// Service is the stand-in's HTTP service.
 type Service struct {
 	options Options
 	slots   *slots.Slots
 	ledger  *ledger.Ledger
 }
 
-// Answer is the body of every answer.
+// Answer is the JSON body of every answer.
 type Answer struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Key    string `json:"key"`
-	// BodyDigest is that of the ledger.
+	// BodyDigest is the digest of the request's body, as the ledger records it.
 	BodyDigest string `json:"body-digest"`
 	Run        int    `json:"run"`
 }
 
-// NewService returns a Service that records its runs in books.
-func NewService(options Options, books *ledger.Ledger) *Service {
-	return &Service{options: options, slots: slots.NewSlots(options.Slots), ledger: books}
+// NewService returns a Service that records its runs in runLedger.
+func NewService(options Options, runLedger *ledger.Ledger) *Service {
+	return &Service{options: options, slots: slots.NewSlots(options.Slots), ledger: runLedger}
 }
 
-// KindOf counts every call as a call.
+// KindOf returns the kind under which a call is counted, the same for every call.
 func KindOf(*http.Request) string {
 	return "call"
 }
 
-// NewRouter returns the Handler of the service.
+// NewRouter returns the HTTP handler of the service.
 func (s *Service) NewRouter() http.Handler {
 	mux := http.NewServeMux()
 	s.ledger.Mount(mux)
@@ -68,7 +68,7 @@
 	defer s.slots.Free()
 	run := s.ledger.Start(r, body)
 	defer s.ledger.Finish(run.Run)
-	// A run that has started goes on when its caller goes away: an order once taken is carried out.
+	// A run that has started continues if the caller disconnects: an accepted order is executed.
 	slots.Work(context.WithoutCancel(r.Context()), s.options.Time)
 	serve.WriteJSON(w, Answer{Method: run.Method, Path: run.Path, Key: run.Key, BodyDigest: run.BodyDigest, Run: run.Run})
 }
--- a/fakes/services/plain/service_test.go
+++ b/fakes/services/plain/service_test.go
@@ -18,11 +18,11 @@
 	"verbenaroad.example/fakes/services/plain"
 )
 
-func newServer(t *testing.T, options plain.Options, books *ledger.Ledger) *serve.Server {
+func newServer(t *testing.T, options plain.Options, runLedger *ledger.Ledger) *serve.Server {
 	t.Helper()
 	server := serve.NewServer(serve.Options{
 		Listen:  serve.AnyLoopbackPort(),
-		Handler: plain.NewService(options, books).NewRouter(),
+		Handler: plain.NewService(options, runLedger).NewRouter(),
 		KindOf:  plain.KindOf,
 	})
 	if err := server.Start(); err != nil {
@@ -36,13 +36,14 @@
 	return server
 }
 
+// order sends an order and returns the body of the answer.
 func order(ctx context.Context, server *serve.Server, key string) ([]byte, error) {
 	url := "http://" + server.Address().String() + "/orders/spruce"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("two boards"))
 	if err != nil {
 		return nil, err
 	}
-	// A body without GetBody and no Idempotency-Key: net/http does not send the order again.
+	// Without GetBody and an Idempotency-Key header, net/http does not retry the order.
 	request.GetBody = nil
 	request.Header.Set("X-Request-Id", key)
 	request.Header.Set("X-Attempt", "1")
@@ -57,8 +58,8 @@
 func TestRunsAreRecorded(t *testing.T) {
 	is := is.New(t)
 	file := &bytes.Buffer{}
-	books := ledger.NewLedger(file)
-	server := newServer(t, plain.Options{Slots: 1}, books)
+	runLedger := ledger.NewLedger(file)
+	server := newServer(t, plain.Options{Slots: 1}, runLedger)
 	body, err := order(context.Background(), server, "kranj-1")
 	is.NoErr(err)
 	var answer plain.Answer
@@ -72,26 +73,26 @@
 	})
 	_, err = order(context.Background(), server, "kranj-1")
 	is.NoErr(err)
-	runs := books.FindRuns()
-	is.Equal(len(runs), 2) // the stand-in runs whatever comes; it only counts
+	runs := runLedger.FindRuns()
+	is.Equal(len(runs), 2) // the stand-in does not deduplicate calls: it runs and records each of them
 	is.Equal(runs[1].Attempt, "1")
 	is.True(!runs[0].Finished.IsZero())
 	is.Equal(strings.Count(file.String(), "\n"), 4) // a line for each start and each end
 }
 
-// A caller's order is carried out and the connection closes before the
-// answer. The caller cannot tell; the ledger shows the one run.
-func TestLostAnswerLeavesRun(t *testing.T) {
+// The connection closes after an order was executed and before its answer. The caller sees only an
+// error, but the ledger holds the run.
+func TestLostAnswerRecordsRun(t *testing.T) {
 	is := is.New(t)
-	books := ledger.NewLedger(nil)
-	server := newServer(t, plain.Options{Slots: 1}, books)
+	runLedger := ledger.NewLedger(nil)
+	server := newServer(t, plain.Options{Slots: 1}, runLedger)
 	is.NoErr(server.SetFault(fault.Settings{LostAnswer: fault.LostAnswer{Count: 1}}))
 	_, err := order(context.Background(), server, "kranj-2")
 	is.True(err != nil)
-	is.Equal(len(books.FindRuns()), 1)
+	is.Equal(len(runLedger.FindRuns()), 1)
 }
 
-// caller sends an order on a goroutine of its own.
+// caller sends an order in its own goroutine.
 type caller struct {
 	server *serve.Server
 	key    string
@@ -104,7 +105,7 @@
 	_, c.err = order(ctx, c.server, c.key)
 }
 
-// startOrder returns once the stand-in holds as many calls as wanted.
+// startOrder sends an order and returns once the stand-in has the given number of calls in flight.
 func startOrder(ctx context.Context, server *serve.Server, key string, open int64) *caller {
 	c := &caller{server: server, key: key, done: make(chan struct{})}
 	go c.run(ctx)
@@ -112,45 +113,46 @@
 	return c
 }
 
+// waitOpen waits until the stand-in has the given number of calls in flight.
 func waitOpen(server *serve.Server, open int64) {
 	for server.GetCounts().Open["call"] != open {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A caller goes away while its order waits for the only slot. The order is
-// dropped and never runs.
-func TestCallerGoesAwayBeforeRun(t *testing.T) {
+// A caller disconnects while its order waits for the only slot. The order must be dropped and must not
+// run.
+func TestDisconnectBeforeRunDropsOrder(t *testing.T) {
 	is := is.New(t)
-	books := ledger.NewLedger(nil)
-	server := newServer(t, plain.Options{Slots: 1, Time: time.Minute}, books)
-	ctx, leave := context.WithCancel(context.Background())
+	runLedger := ledger.NewLedger(nil)
+	server := newServer(t, plain.Options{Slots: 1, Time: time.Minute}, runLedger)
+	ctx, disconnect := context.WithCancel(context.Background())
 	first := startOrder(ctx, server, "first", 1)
-	waiting, giveUp := context.WithCancel(context.Background())
-	second := startOrder(waiting, server, "second", 2)
-	giveUp()
+	waitingCtx, cancelWaiting := context.WithCancel(context.Background())
+	second := startOrder(waitingCtx, server, "second", 2)
+	cancelWaiting()
 	<-second.done
 	is.True(second.err != nil)
 	waitOpen(server, 1)
-	runs := books.FindRuns()
+	runs := runLedger.FindRuns()
 	is.Equal(len(runs), 1)
 	is.Equal(runs[0].Key, "first")
-	leave()
+	disconnect()
 	<-first.done
 }
 
-// A caller goes away after its order has started. The order is carried out.
-func TestCallerGoesAwayDuringRun(t *testing.T) {
+// A caller disconnects after its order has started. The order must be executed to the end.
+func TestDisconnectDuringRunCompletesOrder(t *testing.T) {
 	is := is.New(t)
-	books := ledger.NewLedger(nil)
-	server := newServer(t, plain.Options{Slots: 1, Time: 100 * time.Millisecond}, books)
-	ctx, leave := context.WithCancel(context.Background())
+	runLedger := ledger.NewLedger(nil)
+	server := newServer(t, plain.Options{Slots: 1, Time: 100 * time.Millisecond}, runLedger)
+	ctx, disconnect := context.WithCancel(context.Background())
 	first := startOrder(ctx, server, "first", 1)
-	for len(books.FindRuns()) == 0 {
+	for len(runLedger.FindRuns()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	leave()
+	disconnect()
 	<-first.done
 	waitOpen(server, 0)
-	is.True(!books.FindRuns()[0].Finished.IsZero())
+	is.True(!runLedger.FindRuns()[0].Finished.IsZero())
 }
