--- a/fakes/services/relay/relay.go
+++ b/fakes/services/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay stands in for the links between regions: it carries TCP
-// connections with a delay in each direction, counts their bytes, and can cut
-// the links of a region without closing a connection.
+// Package relay is a stand-in for the network links between regions. It forwards TCP connections with
+// a delay in each direction, counts their bytes, and can cut the links of a region without closing a
+// connection.
 package relay
 
 import (
@@ -17,30 +17,31 @@
 var ErrRelay = errs.Class("relay") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
 const (
-	dialTimeout = 5 * time.Second
-	pieceBytes  = 32 << 10
-	// inFlight bounds the pieces on their way in one direction, as a link's buffers do.
-	inFlight = 1024
+	dialTimeout   = 5 * time.Second
+	maxChunkBytes = 32 << 10
+	// maxChunksInFlight limits the chunks in flight in one direction of a connection, as the buffers of a
+	// network link do.
+	maxChunksInFlight = 1024
 )
 
-// Target is where one listener's connections lead.
+// Target is the address to which the connections of one listener are forwarded.
 type Target struct {
 	Name string
-	// Region is the one that the target stands in; a cut of it stops the link.
+	// Region is the region of the target; while it is cut off, the link forwards nothing.
 	Region  string
 	Address netip.AddrPort
 }
 
-// Relay carries the connections of its links.
+// Relay forwards the connections of its links.
 type Relay struct {
 	delay time.Duration
 
 	lock  sync.Mutex
 	links []*link
-	// lifted is closed when the cuts in force change; cut names the regions that are cut off.
-	lifted chan struct{}
-	cut    map[string]bool
-	bytes  uint64
+	// cutChanged is closed and replaced when cut, the set of regions that are cut off, is replaced.
+	cutChanged chan struct{}
+	cut        map[string]bool
+	bytes      uint64
 }
 
 // link is one listener and its target.
@@ -50,12 +51,13 @@
 	listener net.Listener
 }
 
-// NewRelay returns a relay that delays each direction.
+// NewRelay returns a Relay that delays the bytes of each direction by delay.
 func NewRelay(delay time.Duration) *Relay {
-	return &Relay{delay: delay, lifted: make(chan struct{}), cut: map[string]bool{}}
+	return &Relay{delay: delay, cutChanged: make(chan struct{}), cut: map[string]bool{}}
 }
 
-// Open listens on a free port of loopback for the target.
+// Open listens on a free loopback port, forwards its connections to the target, and returns the
+// listener's address.
 func (r *Relay) Open(target Target) (netip.AddrPort, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,7 +71,7 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// SetCut cuts off these regions and no others.
+// SetCut cuts off exactly the given regions; it restores all others.
 func (r *Relay) SetCut(regions []string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -77,18 +79,18 @@
 	for _, region := range regions {
 		r.cut[region] = true
 	}
-	close(r.lifted)
-	r.lifted = make(chan struct{})
+	close(r.cutChanged)
+	r.cutChanged = make(chan struct{})
 }
 
-// Bytes returns how many were carried.
+// Bytes returns the number of bytes received from both ends of all connections.
 func (r *Relay) Bytes() uint64 {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.bytes
 }
 
-// Close ends the listeners; connections end with the process.
+// Close closes the listeners. It does not close the connections, which end with the process.
 func (r *Relay) Close() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -97,17 +99,17 @@
 	}
 }
 
-// wait returns once the region is not cut off. Bytes that meet a cut are kept
-// until then, since TCP would send them again.
-func (r *Relay) wait(region string) {
+// waitWhileCut blocks while the region is cut off. Bytes that reach a cut link are kept until then, since
+// TCP would retransmit them.
+func (r *Relay) waitWhileCut(region string) {
 	for {
 		r.lock.Lock()
-		cut, lifted := r.cut[region], r.lifted
+		cut, changed := r.cut[region], r.cutChanged
 		r.lock.Unlock()
 		if !cut {
 			return
 		}
-		<-lifted
+		<-changed
 	}
 }
 
@@ -117,67 +119,67 @@
 	r.bytes += uint64(n) //nolint:gosec // a length
 }
 
-// loop takes connections until the listener closes.
+// loop accepts connections until the listener is closed.
 func (l *link) loop() {
 	for {
-		near, err := l.listener.Accept()
+		client, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		c := &carrier{link: l, near: near}
+		c := &forwarder{link: l, client: client}
 		go c.run()
 	}
 }
 
-// carrier is one connection.
-type carrier struct {
-	link *link
-	near net.Conn
+// forwarder forwards one connection.
+type forwarder struct {
+	link   *link
+	client net.Conn
 }
 
-func (c *carrier) run() {
-	c.link.relay.wait(c.link.target.Region)
+func (c *forwarder) run() {
+	c.link.relay.waitWhileCut(c.link.target.Region)
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	far, err := dialer.DialContext(context.Background(), "tcp", c.link.target.Address.String())
+	server, err := dialer.DialContext(context.Background(), "tcp", c.link.target.Address.String())
 	if err != nil {
-		_ = c.near.Close()
+		_ = c.client.Close()
 		return
 	}
-	out := newPipe(c.link, c.near, far)
-	back := newPipe(c.link, far, c.near)
+	out := newPipe(c.link, c.client, server)
+	back := newPipe(c.link, server, c.client)
 	go out.runRead()
 	go out.runWrite()
 	go back.runRead()
 	go back.runWrite()
 }
 
-// pipe is one direction of a connection.
+// pipe forwards one direction of a connection.
 type pipe struct {
 	link   *link
 	from   net.Conn
 	to     net.Conn
-	pieces chan piece
+	chunks chan chunk
 }
 
-// piece arrives at its due time.
-type piece struct {
+// chunk is a part of the bytes of one direction, to be written at its due time.
+type chunk struct {
 	due  time.Time
 	data []byte
 }
 
 func newPipe(l *link, from, to net.Conn) *pipe {
-	return &pipe{link: l, from: from, to: to, pieces: make(chan piece, inFlight)}
+	return &pipe{link: l, from: from, to: to, chunks: make(chan chunk, maxChunksInFlight)}
 }
 
-// runRead takes what one end sends.
+// runRead reads chunks from one end and queues them with their due time.
 func (p *pipe) runRead() {
-	defer close(p.pieces)
+	defer close(p.chunks)
 	for {
-		data := make([]byte, pieceBytes)
+		data := make([]byte, maxChunkBytes)
 		n, err := p.from.Read(data)
 		if n > 0 {
 			p.link.relay.count(n)
-			p.pieces <- piece{due: time.Now().Add(p.link.relay.delay), data: data[:n]}
+			p.chunks <- chunk{due: time.Now().Add(p.link.relay.delay), data: data[:n]}
 		}
 		if err != nil {
 			return
@@ -185,22 +187,25 @@
 	}
 }
 
-// runWrite hands it on when it is due. The close of an end passes the same way.
+// runWrite writes the queued chunks when they are due. The close of the reading end is forwarded with
+// the same delay.
 func (p *pipe) runWrite() {
 	last := time.Now()
-	for next := range p.pieces {
+	for next := range p.chunks {
 		last = next.due
-		p.pass(next)
+		p.write(next)
 	}
 	time.Sleep(time.Until(last))
-	p.link.relay.wait(p.link.target.Region)
+	p.link.relay.waitWhileCut(p.link.target.Region)
 	_ = p.to.Close()
 	_ = p.from.Close()
 }
 
-func (p *pipe) pass(next piece) {
+// write writes a chunk when it is due and the region is not cut off. If the write fails, it closes the
+// reading end.
+func (p *pipe) write(next chunk) {
 	time.Sleep(time.Until(next.due))
-	p.link.relay.wait(p.link.target.Region)
+	p.link.relay.waitWhileCut(p.link.target.Region)
 	if _, err := p.to.Write(next.data); err != nil {
 		_ = p.from.Close()
 	}
--- a/fakes/services/relay/relay_test.go
+++ b/fakes/services/relay/relay_test.go
@@ -11,12 +11,12 @@
 	"verbenaroad.example/fakes/services/relay"
 )
 
-// echo answers each connection with what it reads.
-type echo struct {
+// echoServer writes back the bytes that it reads on each connection.
+type echoServer struct {
 	listener net.Listener
 }
 
-func (e *echo) loop() {
+func (e *echoServer) loop() {
 	for {
 		conn, err := e.listener.Accept()
 		if err != nil {
@@ -26,7 +26,7 @@
 	}
 }
 
-func (e *echo) run(conn net.Conn) {
+func (e *echoServer) run(conn net.Conn) {
 	data := make([]byte, 64)
 	for {
 		n, err := conn.Read(data)
@@ -37,13 +37,14 @@
 	}
 }
 
+// dial starts an echo server and returns a connection to it through the relay.
 func dial(t *testing.T, r *relay.Relay) net.Conn {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &echo{listener: listener}
+	e := &echoServer{listener: listener}
 	go e.loop()
 	address, err := r.Open(relay.Target{Name: "a", Region: "north", Address: netip.MustParseAddrPort(listener.Addr().String())})
 	if err != nil {
@@ -68,12 +69,11 @@
 	_, err = conn.Read(answer)
 	is.NoErr(err)
 	is.Equal(string(answer), "order")
-	is.True(time.Since(started) >= 2*delay) // a lower bound: the delay is the subject
+	is.True(time.Since(started) >= 2*delay) // a lower bound only: a slow machine takes longer
 }
 
-// A caller sees an open connection that answers nothing for a while: its
-// region is cut off, which closes no connection. Once the cut is lifted, what
-// was sent meanwhile arrives.
+// The region of a connection is cut off, so the connection stays open but delivers nothing. Once the cut
+// ends, the bytes that were sent meanwhile must arrive.
 func TestRelayKeepsBytesDuringCut(t *testing.T) {
 	is := is.New(t)
 	r := relay.NewRelay(0)
@@ -84,7 +84,7 @@
 	answer := make([]byte, 5)
 	is.NoErr(conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond)))
 	_, err = conn.Read(answer)
-	is.True(err != nil) // nothing comes while the region is cut off
+	is.True(err != nil) // nothing arrives while the region is cut off
 	is.NoErr(conn.SetReadDeadline(time.Time{}))
 	r.SetCut(nil)
 	_, err = conn.Read(answer)
--- a/fakes/services/relay/router.go
+++ b/fakes/services/relay/router.go
@@ -7,7 +7,7 @@
 	"verbenaroad.example/fakes/modules/serve"
 )
 
-// Cut is the body of PUT /cut: the regions whose links carry nothing.
+// Cut is the body of PUT /cut: the regions that are cut off.
 type Cut struct {
 	Regions []string `json:"regions"`
 }
@@ -17,7 +17,7 @@
 	Bytes uint64 `json:"bytes"`
 }
 
-// NewRouter returns the Handler of the relay's control address.
+// NewRouter returns the HTTP handler of the relay's control address.
 func (r *Relay) NewRouter() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /cut", r.putCut)
@@ -25,7 +25,7 @@
 	return mux
 }
 
-// KindOf counts a call under its path.
+// KindOf returns the kind under which a call is counted: its path.
 func KindOf(r *http.Request) string {
 	return r.URL.Path
 }
