--- a/fakes/services/roster/compress.go
+++ b/fakes/services/roster/compress.go
@@ -9,8 +9,8 @@
 	"verbenaroad.example/fakes/modules/serve"
 )
 
-// writeCompressed answers as Consul does: compressed for callers that take it,
-// which makes a long list some ten times shorter.
+// writeCompressed writes value as JSON, compressed if the caller accepts gzip, as Consul does. This
+// makes a long list about ten times shorter.
 func writeCompressed(w http.ResponseWriter, r *http.Request, value any) {
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		serve.WriteJSON(w, value)
@@ -18,7 +18,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Encoding", "gzip")
-	zipped := gzip.NewWriter(w)
-	defer func() { _ = zipped.Close() }()
-	_ = json.NewEncoder(zipped).Encode(value)
+	compressed := gzip.NewWriter(w)
+	defer func() { _ = compressed.Close() }()
+	_ = json.NewEncoder(compressed).Encode(value)
 }
--- a/fakes/services/roster/list.go
+++ b/fakes/services/roster/list.go
@@ -1,5 +1,5 @@
-// Package roster stands in for the platform's lagging list of instances, in
-// the format of Consul's catalog.
+// Package roster is a stand-in for the platform's list of instances, in the format of Consul's
+// catalog. Changes become visible only after a lag.
 package roster
 
 import (
@@ -12,7 +12,7 @@
 	"verbenaroad.example/fakes/modules/serve"
 )
 
-// node is one element of the catalog's answer; the names are the format's own.
+// node is one element of the catalog's answer; the field names are part of Consul's format.
 type node struct {
 	Node           string
 	Address        string
@@ -23,6 +23,7 @@
 	ServiceMeta    map[string]string
 }
 
+// registration is the body of a call that registers an instance.
 type registration struct {
 	Node    string
 	Address string
@@ -35,24 +36,26 @@
 	}
 }
 
+// deregistration is the body of a call that removes an instance.
 type deregistration struct {
 	Node      string
 	ServiceID string
 }
 
-// change is a registration that is visible from a moment on; a nil node removes the id.
+// change is a registration or deregistration that becomes visible at a certain time. A nil node removes
+// the instance with the id.
 type change struct {
-	visible time.Time
-	id      string
-	node    *node
+	visibleAt time.Time
+	id        string
+	node      *node
 }
 
-// List holds the instances.
+// List holds the registered instances by id and the changes that are not visible yet.
 type List struct {
 	mutex sync.Mutex
 	lag   time.Duration
 	nodes map[string]node
-	// pending is in the order of the changes, so of their visibility too.
+	// pending is in the order of the changes, which is also the order in which they become visible.
 	pending []change
 }
 
@@ -61,7 +64,7 @@
 	return &List{lag: lag, nodes: map[string]node{}}
 }
 
-// NewRouter returns the Handler of the catalog.
+// NewRouter returns the HTTP handler of the catalog.
 func (l *List) NewRouter() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/catalog/service/{name}", l.getService)
@@ -70,7 +73,7 @@
 	return mux
 }
 
-// KindOf counts a call as read or write.
+// KindOf returns the kind under which a call is counted: read or write.
 func KindOf(r *http.Request) string {
 	if r.Method == http.MethodGet {
 		return "read"
@@ -82,6 +85,7 @@
 	writeCompressed(w, r, l.find(r.PathValue("name")))
 }
 
+// find returns the visible instances of a service, sorted by id.
 func (l *List) find(name string) []node {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -96,8 +100,9 @@
 	return found
 }
 
+// applyLocked applies the pending changes that have become visible.
 func (l *List) applyLocked(now time.Time) {
-	for len(l.pending) > 0 && !l.pending[0].visible.After(now) {
+	for len(l.pending) > 0 && !l.pending[0].visibleAt.After(now) {
 		c := l.pending[0]
 		l.pending = l.pending[1:]
 		if c.node == nil {
@@ -108,10 +113,11 @@
 	}
 }
 
-func (l *List) change(id string, n *node) {
+// addChange queues a change that becomes visible after the lag.
+func (l *List) addChange(id string, n *node) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.pending = append(l.pending, change{visible: time.Now().Add(l.lag), id: id, node: n})
+	l.pending = append(l.pending, change{visibleAt: time.Now().Add(l.lag), id: id, node: n})
 }
 
 func (l *List) putRegister(w http.ResponseWriter, r *http.Request) {
@@ -124,7 +130,7 @@
 	if id == "" {
 		id = body.Service.Service
 	}
-	l.change(id, &node{
+	l.addChange(id, &node{
 		Node:           body.Node,
 		Address:        body.Address,
 		ServiceID:      id,
@@ -142,6 +148,6 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	l.change(body.ServiceID, nil)
+	l.addChange(body.ServiceID, nil)
 	serve.WriteJSON(w, true)
 }
--- a/fakes/services/roster/list_test.go
+++ b/fakes/services/roster/list_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestInstancesComeBackAsRegistered(t *testing.T) {
+func TestFindReturnsRegisteredInstances(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	list := newClient(t, 0)
@@ -76,7 +76,7 @@
 	is.Equal(len(agents), 0)
 }
 
-func TestListLags(t *testing.T) {
+func TestChangesBecomeVisibleAfterLag(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	list := newClient(t, time.Hour)
@@ -86,9 +86,9 @@
 	is.Equal(len(agents), 0)
 }
 
-// Someone registers an instance without a usable address.
-// The other instances must still be found.
-func TestUnreadableInstanceIsLeftOut(t *testing.T) {
+// One instance is registered without a valid address. The client must skip and count it, and still find
+// the other instances.
+func TestInvalidInstanceIsSkipped(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	list := newClient(t, 0)
