--- a/fakes/services/weight/store.go
+++ b/fakes/services/weight/store.go
@@ -1,4 +1,4 @@
-// Package weight stands in for the rate-limited weight store.
+// Package weight is a stand-in for the rate-limited store of model weights.
 package weight
 
 import (
@@ -12,24 +12,25 @@
 
 const (
 	chunkBytes = 64 << 10
-	// burst is how far a download may run ahead of the rate; timers are too coarse to pace each chunk.
+	// burst is how far the downloads may run ahead of the rate, because timers are too coarse to delay
+	// each chunk.
 	burst = 10 * time.Millisecond
 )
 
 // Options holds the settings of a Store.
 type Options struct {
-	// Bytes is the size of every set of weights.
+	// Bytes is the size of each model's weights.
 	Bytes int64
-	// Rate is the limit in bytes per second over all downloads together.
+	// Rate is the limit in bytes per second for all downloads together.
 	Rate int64
 }
 
-// Store serves weights.
+// Store serves downloads of weights.
 type Store struct {
 	options Options
 	mutex   sync.Mutex
-	// free is when the rate allows the next chunk.
-	free time.Time
+	// reservedUntil is the end of the last reservation, which is when its chunk may be sent.
+	reservedUntil time.Time
 }
 
 // NewStore returns a Store.
@@ -38,12 +39,12 @@
 	return &Store{options: options}
 }
 
-// KindOf counts every call as a download.
+// KindOf returns the kind under which a call is counted, the same for every call.
 func KindOf(*http.Request) string {
 	return "download"
 }
 
-// NewRouter returns the Handler of the store.
+// NewRouter returns the HTTP handler of the store.
 func (s *Store) NewRouter() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{model}/{version}", s.getWeights)
@@ -66,14 +67,15 @@
 	}
 }
 
-// reserve takes n bytes of the rate and returns how long to wait before they may be sent.
+// reserve reserves n bytes of the rate and returns the time to wait before they may be sent. A
+// reservation starts at the end of the previous one, but no earlier than burst ago.
 func (s *Store) reserve(n int) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
-	if earliest := now.Add(-burst); s.free.Before(earliest) {
-		s.free = earliest
+	if earliest := now.Add(-burst); s.reservedUntil.Before(earliest) {
+		s.reservedUntil = earliest
 	}
-	s.free = s.free.Add(time.Duration(int64(n) * int64(time.Second) / s.options.Rate))
-	return s.free.Sub(now)
+	s.reservedUntil = s.reservedUntil.Add(time.Duration(int64(n) * int64(time.Second) / s.options.Rate))
+	return s.reservedUntil.Sub(now)
 }
--- a/fakes/services/weight/store_test.go
+++ b/fakes/services/weight/store_test.go
@@ -11,12 +11,12 @@
 	"verbenaroad.example/fakes/services/weight"
 )
 
-func TestRateBoundsDownloads(t *testing.T) {
+func TestRateLimitsDownloads(t *testing.T) {
 	is := is.New(t)
 	store := weight.NewStore(weight.Options{Bytes: 1 << 20, Rate: 10 << 20})
 	answer := httptest.NewRecorder()
 	begin := time.Now()
 	store.NewRouter().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/weights/model/1", nil))
 	is.Equal(answer.Body.Len(), 1<<20)
-	is.True(time.Since(begin) >= 80*time.Millisecond) // 100 ms less the burst; a slow machine only takes longer
+	is.True(time.Since(begin) >= 80*time.Millisecond) // 100 ms minus the burst; a slow machine only takes longer
 }
