--- a/fakes/cmds/backends.go
+++ b/fakes/cmds/backends.go
@@ -28,39 +28,39 @@
 
 func newService(log *zap.Logger, output io.Writer) *ffcli.Command {
 	flags := newFlagSet("service", output)
-	c := newCommon("service", log, flags)
+	c := newStandIn("service", log, flags)
 	c.addLedgerFlag(flags)
 	options := plain.Options{}
 	flags.DurationVar(&options.Time, "service-time", defaultServiceTime, "time that each call takes")
 	flags.IntVar(&options.Slots, "slots", defaultPlainSlots, "calls that run at once")
 	return newCommand("service", "a plain service", flags, func(ctx context.Context) error {
-		books, err := c.openLedger()
+		runLedger, err := c.openLedger()
 		if err != nil {
 			return err
 		}
-		return c.run(ctx, plain.NewService(options, books).NewRouter(), plain.KindOf, books)
+		return c.run(ctx, plain.NewService(options, runLedger).NewRouter(), plain.KindOf, runLedger)
 	})
 }
 
 func newPool(log *zap.Logger, output io.Writer) *ffcli.Command {
 	flags := newFlagSet("pool", output)
-	c := newCommon("pool", log, flags)
+	c := newStandIn("pool", log, flags)
 	c.addLedgerFlag(flags)
 	options := pool.Options{}
 	flags.DurationVar(&options.Time, "service-time", defaultServiceTime, "time that each call takes")
 	flags.IntVar(&options.Slots, "slots", defaultPlainSlots, "calls that run at once")
 	return newCommand("pool", "a pool of encoders, retrievers and rerankers", flags, func(ctx context.Context) error {
-		books, err := c.openLedger()
+		runLedger, err := c.openLedger()
 		if err != nil {
 			return err
 		}
-		return c.run(ctx, pool.NewPool(options, books).NewRouter(), pool.KindOf, books)
+		return c.run(ctx, pool.NewPool(options, runLedger).NewRouter(), pool.KindOf, runLedger)
 	})
 }
 
 func newEngine(log *zap.Logger, output io.Writer) *ffcli.Command {
 	flags := newFlagSet("engine", output)
-	c := newCommon("engine", log, flags)
+	c := newStandIn("engine", log, flags)
 	c.addLedgerFlag(flags)
 	options := engine.Options{}
 	addEngineFlags(flags, &options)
@@ -72,14 +72,14 @@
 		if options.Fencing != engine.FencingChecked && options.Fencing != engine.FencingIgnored {
 			return errCommand.New("--fencing %s: want checks or ignores", *fencing)
 		}
-		books, err := c.openLedger()
+		runLedger, err := c.openLedger()
 		if err != nil {
 			return err
 		}
-		e := engine.NewEngine(options, books)
+		e := engine.NewEngine(options, runLedger)
 		e.Start()
 		defer e.Stop()
-		return c.run(ctx, e.NewRouter(), engine.KindOf, books)
+		return c.run(ctx, e.NewRouter(), engine.KindOf, runLedger)
 	})
 }
 
--- a/fakes/cmds/hosted.go
+++ b/fakes/cmds/hosted.go
@@ -11,8 +11,8 @@
 	"verbenaroad.example/fakes/services/hosted"
 )
 
-// newHosted is the users' platform in one process: its store, and two servers each of
-// a plain service, an engine and a pool, with a configuration for them.
+// newHosted returns the subcommand that runs the users' platform in one process: its store, and two
+// servers each of a plain service, an engine and a pool, with a configuration for them.
 func newHosted(output io.Writer) *ffcli.Command {
 	flags := newFlagSet("hosted", output)
 	return newCommand("hosted", "the users' platform with servers, for ingresses", flags, func(ctx context.Context) error {
@@ -32,7 +32,7 @@
 	})
 }
 
-// fillWorld adds servers in two failure domains and writes the configuration.
+// fillWorld adds the servers, in two failure domains, and writes the configuration.
 func fillWorld(w *hosted.World) error {
 	for _, zone := range []string{"a1", "b1"} {
 		for _, s := range []*hosted.Server{
--- a/fakes/cmds/main.go
+++ b/fakes/cmds/main.go
@@ -19,11 +19,11 @@
 	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
-	// envPrefix starts the environment variables that stand for flags.
+	// envPrefix is the prefix of the environment variables that set flags.
 	envPrefix = "FAKES"
 )
 
-// Main runs the subcommand that args name until ctx ends, and returns the exit code of the process.
+// Main runs the subcommand named by args until ctx ends, and returns the exit code of the process.
 func Main(ctx context.Context, args []string, output io.Writer) int {
 	logging.SetLevel(logging.LevelNone)
 	log := newLogger(output)
--- a/fakes/cmds/main_test.go
+++ b/fakes/cmds/main_test.go
@@ -17,18 +17,19 @@
 	"verbenaroad.example/fakes/modules/serve"
 )
 
-// program is a stand-in that runs within the test.
-type program struct {
+// runningStandIn is a stand-in that runs in the process of the test.
+type runningStandIn struct {
 	file   string
 	cancel context.CancelFunc
 	code   int
 	done   chan struct{}
 }
 
-func startProgram(t *testing.T, args ...string) *program {
+// startStandIn starts a stand-in and returns once it has written its address files.
+func startStandIn(t *testing.T, args ...string) *runningStandIn {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &program{file: filepath.Join(t.TempDir(), "address"), cancel: cancel, done: make(chan struct{})}
+	p := &runningStandIn{file: filepath.Join(t.TempDir(), "address"), cancel: cancel, done: make(chan struct{})}
 	go p.run(ctx, append(args, "--address-file", p.file))
 	t.Cleanup(func() {
 		cancel()
@@ -40,18 +41,19 @@
 		}
 		select {
 		case <-p.done:
-			t.Fatal("the stand-in ended at once")
+			t.Fatal("the stand-in ended before it wrote its address file")
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-func (p *program) run(ctx context.Context, args []string) {
+func (p *runningStandIn) run(ctx context.Context, args []string) {
 	defer close(p.done)
 	p.code = cmds.Main(ctx, args, io.Discard)
 }
 
-func (p *program) url(t *testing.T, suffix, path string) string {
+// url returns the URL of a path at the address in the file with the given suffix.
+func (p *runningStandIn) url(t *testing.T, suffix, path string) string {
 	t.Helper()
 	address, err := os.ReadFile(p.file + suffix)
 	if err != nil {
@@ -90,9 +92,9 @@
 	for name, path := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := startProgram(t, name)
+			p := startStandIn(t, name)
 			status, _ := call(t, http.MethodGet, p.url(t, "", path), "")
-			if name != "kv" { // it has no key yet
+			if name != "kv" { // the store has no key yet, so the status is 404
 				is.Equal(status, http.StatusOK)
 			}
 			control := p.url(t, ".control", "/fault")
@@ -110,7 +112,7 @@
 	}
 }
 
-// caller sends one call on a goroutine of its own.
+// caller sends one call in its own goroutine.
 type caller struct {
 	t      *testing.T
 	url    string
@@ -123,10 +125,10 @@
 	c.status, _ = call(c.t, http.MethodPost, c.url, "order")
 }
 
-// A stand-in is stopped while it works on a call. The caller still gets its answer.
+// A stand-in is stopped while it runs a call. The caller must still receive its answer.
 func TestStopIsGraceful(t *testing.T) {
 	is := is.New(t)
-	p := startProgram(t, "service", "--service-time", "200ms")
+	p := startStandIn(t, "service", "--service-time", "200ms")
 	c := &caller{t: t, url: p.url(t, "", "/orders"), done: make(chan struct{})}
 	go c.run()
 	for {
@@ -144,7 +146,7 @@
 	is.Equal(p.code, 0)
 }
 
-func TestUnknownFlag(t *testing.T) {
+func TestInvalidArguments(t *testing.T) {
 	is := is.New(t)
 	is.Equal(cmds.Main(context.Background(), []string{"kv", "--no-such-flag"}, io.Discard), 1)
 	is.Equal(cmds.Main(context.Background(), nil, io.Discard), 2)
--- a/fakes/cmds/platform.go
+++ b/fakes/cmds/platform.go
@@ -20,7 +20,7 @@
 
 func newKV(log *zap.Logger, output io.Writer) *ffcli.Command {
 	flags := newFlagSet("kv", output)
-	c := newCommon("kv", log, flags)
+	c := newStandIn("kv", log, flags)
 	return newCommand("kv", "the key-value service", flags, func(ctx context.Context) error {
 		return c.run(ctx, keyval.NewStore().NewRouter(), keyval.KindOf, nil)
 	})
@@ -28,7 +28,7 @@
 
 func newList(log *zap.Logger, output io.Writer) *ffcli.Command {
 	flags := newFlagSet("list", output)
-	c := newCommon("list", log, flags)
+	c := newStandIn("list", log, flags)
 	var lag time.Duration
 	flags.DurationVar(&lag, "lag", 0, "time until a change of the list is visible")
 	return newCommand("list", "the lagging list of instances", flags, func(ctx context.Context) error {
@@ -38,7 +38,7 @@
 
 func newWeights(log *zap.Logger, output io.Writer) *ffcli.Command {
 	flags := newFlagSet("weights", output)
-	c := newCommon("weights", log, flags)
+	c := newStandIn("weights", log, flags)
 	options := weight.Options{}
 	flags.Int64Var(&options.Bytes, "bytes", defaultWeightBytes, "size of every set of weights")
 	flags.Int64Var(&options.Rate, "rate", defaultWeightRate, "bytes per second over all downloads")
--- a/fakes/cmds/register.go
+++ b/fakes/cmds/register.go
@@ -13,12 +13,13 @@
 	"verbenaroad.example/share/models/roster"
 )
 
-// newRegister does what the platform does by itself: it puts an instance on the list or takes it off.
+// newRegister returns the subcommand that adds an instance to the list or removes it. The real platform
+// does this by itself.
 func newRegister(output io.Writer) *ffcli.Command {
 	flags := newFlagSet("register", output)
 	instance := member.Instance{}
-	list, remove, role, labels := netip.AddrPort{}, false, "", ""
-	flags.TextVar(&list, "list", netip.AddrPort{}, "`ip:port` of the list")
+	listAddress, remove, role, labels := netip.AddrPort{}, false, "", ""
+	flags.TextVar(&listAddress, "list", netip.AddrPort{}, "`ip:port` of the list")
 	flags.TextVar(&instance.Address, "address", netip.AddrPort{}, "`ip:port` where the instance takes sessions")
 	flags.StringVar(&instance.Name, "name", "", "`name` of the instance")
 	flags.StringVar(&role, "role", string(member.RoleAgent), "entry or agent")
@@ -29,7 +30,7 @@
 	flags.BoolVar(&instance.Leaving, "leaving", false, "mark the instance as leaving")
 	flags.BoolVar(&remove, "remove", false, "take the instance off the list")
 	return newCommand("register", "puts an instance on the list, or takes it off", flags, func(ctx context.Context) error {
-		client := roster.NewClient(roster.Options{Address: list})
+		client := roster.NewClient(roster.Options{Address: listAddress})
 		if remove {
 			return client.DeregisterInstance(ctx, instance.Name)
 		}
--- a/fakes/cmds/relay.go
+++ b/fakes/cmds/relay.go
@@ -19,15 +19,16 @@
 
 const defaultRelayDelay = 12 * time.Millisecond
 
-// newRelay carries the connections of one region's entry to agents of other regions.
+// newRelay returns the subcommand that forwards the connections of one region's entry to agents of other
+// regions.
 func newRelay(log *zap.Logger, output io.Writer) *ffcli.Command {
 	flags := newFlagSet("relay", output)
-	c := newCommon("relay", log, flags)
-	targets, delay := "", time.Duration(0)
-	flags.StringVar(&targets, "targets", "", "`file` with a line \"name region ip:port\" for each target; the address file gets \"name=ip:port\" lines")
+	c := newStandIn("relay", log, flags)
+	targetsFile, delay := "", time.Duration(0)
+	flags.StringVar(&targetsFile, "targets", "", "`file` with a line \"name region ip:port\" for each target; the address file gets \"name=ip:port\" lines")
 	flags.DurationVar(&delay, "delay", defaultRelayDelay, "delay in each direction")
 	return newCommand("relay", "the links between regions", flags, func(ctx context.Context) error {
-		list, err := readTargets(targets)
+		list, err := readTargets(targetsFile)
 		if err != nil {
 			return err
 		}
@@ -35,6 +36,7 @@
 	})
 }
 
+// readTargets parses a file with a line "name region ip:port" for each target.
 func readTargets(name string) ([]relay.Target, error) {
 	file, err := os.Open(name) //nolint:gosec // the operator of the stand-in names it
 	if err != nil {
@@ -57,7 +59,9 @@
 	return list, errCommand.Wrap(lines.Err())
 }
 
-func (c *common) runRelay(ctx context.Context, r *relay.Relay, targets []relay.Target) error {
+// runRelay opens the links, serves the control address, writes the address files and blocks until ctx
+// ends.
+func (c *standIn) runRelay(ctx context.Context, r *relay.Relay, targets []relay.Target) error {
 	defer r.Close()
 	lines := []string{}
 	for _, target := range targets {
--- a/fakes/cmds/stand.go
+++ b/fakes/cmds/stand.go
@@ -17,7 +17,7 @@
 
 const (
 	defaultGrace = 10 * time.Second
-	// controlSuffix is added to the address file's name for the control address.
+	// controlSuffix is appended to the name of the address file to name the file with the control address.
 	controlSuffix = ".control"
 	fileMode      = 0o644
 )
@@ -25,8 +25,8 @@
 // errCommand is the class of errors of the subcommands.
 var errCommand = errs.Class("command") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// common holds the flags of every subcommand.
-type common struct {
+// standIn holds the name, the logger and the common flags of a stand-in's subcommand.
+type standIn struct {
 	name        string
 	log         *zap.Logger
 	listen      netip.AddrPort
@@ -36,8 +36,8 @@
 	grace       time.Duration
 }
 
-func newCommon(name string, log *zap.Logger, flags *flag.FlagSet) *common {
-	c := &common{name: name, log: log}
+func newStandIn(name string, log *zap.Logger, flags *flag.FlagSet) *standIn {
+	c := &standIn{name: name, log: log}
 	loopback := serve.AnyLoopbackPort()
 	flags.TextVar(&c.listen, "listen", loopback, "address for callers; port 0 takes a free one")
 	flags.TextVar(&c.control, "control", loopback, "address of the fault switch and the call counts")
@@ -46,13 +46,14 @@
 	return c
 }
 
-// addLedgerFlag is for the stand-ins that record their runs.
-func (c *common) addLedgerFlag(flags *flag.FlagSet) {
+// addLedgerFlag adds the flag of the stand-ins that record their runs.
+func (c *standIn) addLedgerFlag(flags *flag.FlagSet) {
 	flags.StringVar(&c.ledgerFile, "ledger-file", "", "file that takes a JSON line at the start and the end of each run")
 }
 
-// openLedger returns the ledger that the flags ask for.
-func (c *common) openLedger() (*ledger.Ledger, error) {
+// openLedger returns a ledger that appends to the file set by the flag, or that has no file if none is
+// set.
+func (c *standIn) openLedger() (*ledger.Ledger, error) {
 	if c.ledgerFile == "" {
 		return ledger.NewLedger(nil), nil
 	}
@@ -63,15 +64,16 @@
 	return ledger.NewLedger(file), nil
 }
 
-// run serves handler until ctx ends, then stops gracefully. books may be nil.
-func (c *common) run(ctx context.Context, handler http.Handler, kindOf func(*http.Request) string, books *ledger.Ledger) error {
+// run serves handler and the control address until ctx ends, then stops gracefully. If runLedger is not
+// nil, the control address serves it too.
+func (c *standIn) run(ctx context.Context, handler http.Handler, kindOf func(*http.Request) string, runLedger *ledger.Ledger) error {
 	server := serve.NewServer(serve.Options{Listen: c.listen, Handler: handler, KindOf: kindOf})
 	if err := server.Start(); err != nil {
 		return err
 	}
 	routes := server.NewControl()
-	if books != nil {
-		books.Mount(routes)
+	if runLedger != nil {
+		runLedger.Mount(routes)
 	}
 	control := serve.NewServer(serve.Options{Listen: c.control, Handler: routes, KindOf: kindOf})
 	if err := control.Start(); err != nil {
@@ -84,7 +86,8 @@
 	return c.stop(server, control)
 }
 
-func (c *common) stop(server, control *serve.Server) error {
+// stop stops both servers within the grace period and logs whether the calls in flight could end.
+func (c *standIn) stop(server, control *serve.Server) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.grace)
 	defer cancel()
 	err := server.Stop(ctx)
@@ -93,8 +96,9 @@
 	return err
 }
 
-// announce tells the addresses; the callers' file comes last, so that both exist once it does.
-func (c *common) announce(address, control netip.AddrPort) error {
+// announce logs the addresses and writes the address files. The file with the callers' address is
+// written last, so that both files exist once it does.
+func (c *standIn) announce(address, control netip.AddrPort) error {
 	c.log.Info("listening",
 		zap.String("stand-in", c.name),
 		zap.Stringer("address", address),
@@ -108,7 +112,7 @@
 	return writeFile(c.addressFile, address.String())
 }
 
-// writeFile writes a file that readers see whole or not at all.
+// writeFile replaces a file atomically, so that readers never see partial content.
 func writeFile(path, content string) error {
 	temporary := path + ".new"
 	if err := os.WriteFile(temporary, []byte(content+"\n"), fileMode); err != nil {
