--- a/fakes/cmds/register.go
+++ b/fakes/cmds/register.go
@@ -13,8 +13,8 @@
 	"verbenaroad.example/share/models/roster"
 )
 
-// newRegister returns the subcommand that adds an instance to the list or removes it. The real platform
-// does this by itself.
+// newRegister returns the subcommand that adds an instance to the list or removes it. The real
+// platform does this by itself.
 func newRegister(output io.Writer) *ffcli.Command {
 	flags := newFlagSet("register", output)
 	instance := member.Instance{}
--- a/fakes/cmds/relay.go
+++ b/fakes/cmds/relay.go
@@ -19,8 +19,8 @@
 
 const defaultRelayDelay = 12 * time.Millisecond
 
-// newRelay returns the subcommand that forwards the connections of one region's entry to agents of other
-// regions.
+// newRelay returns the subcommand that forwards the connections of one region's entry to agents of
+// other regions.
 func newRelay(log *zap.Logger, output io.Writer) *ffcli.Command {
 	flags := newFlagSet("relay", output)
 	c := newStandIn("relay", log, flags)
--- a/fakes/cmds/stand.go
+++ b/fakes/cmds/stand.go
@@ -17,7 +17,8 @@
 
 const (
 	defaultGrace = 10 * time.Second
-	// controlSuffix is appended to the name of the address file to name the file with the control address.
+	// controlSuffix is appended to the name of the address file to name the file with the control
+	// address.
 	controlSuffix = ".control"
 	fileMode      = 0o644
 )
@@ -51,8 +52,8 @@
 	flags.StringVar(&c.ledgerFile, "ledger-file", "", "file that takes a JSON line at the start and the end of each run")
 }
 
-// openLedger returns a ledger that appends to the file set by the flag, or that has no file if none is
-// set.
+// openLedger returns a ledger that appends to the file set by the flag, or that has no file if none
+// is set.
 func (c *standIn) openLedger() (*ledger.Ledger, error) {
 	if c.ledgerFile == "" {
 		return ledger.NewLedger(nil), nil
@@ -64,8 +65,8 @@
 	return ledger.NewLedger(file), nil
 }
 
-// run serves handler and the control address until ctx ends, then stops gracefully. If runLedger is not
-// nil, the control address serves it too.
+// run serves handler and the control address until ctx ends, then stops gracefully. If runLedger is
+// not nil, the control address serves it too.
 func (c *standIn) run(ctx context.Context, handler http.Handler, kindOf func(*http.Request) string, runLedger *ledger.Ledger) error {
 	server := serve.NewServer(serve.Options{Listen: c.listen, Handler: handler, KindOf: kindOf})
 	if err := server.Start(); err != nil {
--- a/fakes/services/engine/batch.go
+++ b/fakes/services/engine/batch.go
@@ -120,8 +120,8 @@
 	return advanced
 }
 
-// step generates a token for every prefilled sequence, adds these sequences to advanced, removes those
-// that are complete, schedules the next step and admits waiting sequences.
+// step generates a token for every prefilled sequence, adds these sequences to advanced, removes
+// those that are complete, schedules the next step and admits waiting sequences.
 func (b *batch) step(at time.Time, advanced map[*sequence]struct{}) {
 	kept := b.running[:0]
 	decoding := 0
--- a/fakes/services/engine/cache.go
+++ b/fakes/services/engine/cache.go
@@ -8,7 +8,8 @@
 	"verbenaroad.example/fakes/modules/token"
 )
 
-// maxEvents limits the cache events kept. A caller that asks too late does not receive the older ones.
+// maxEvents limits the cache events kept. A caller that asks too late does not receive the older
+// ones.
 const maxEvents = 10000
 
 // CacheChange is the kind of change of a block in the prefix cache.
@@ -20,8 +21,8 @@
 	CacheRemoved CacheChange = "removed"
 )
 
-// CacheEvent reports one change. Sequence numbers increase by one, so a caller detects a lost event by
-// the gap.
+// CacheEvent reports one change. Sequence numbers increase by one, so a caller detects a lost event
+// by the gap.
 type CacheEvent struct {
 	Sequence uint64      `json:"sequence"`
 	Change   CacheChange `json:"change"`
--- a/fakes/services/engine/engine.go
+++ b/fakes/services/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in for a model engine with continuous batching. It streams completions in
-// the OpenAI format, caches prompt prefixes in limited memory, admits requests by priority and accepts
-// orders that change what it serves.
+// Package engine is a stand-in for a model engine with continuous batching. It streams completions
+// in the OpenAI format, caches prompt prefixes in limited memory, admits requests by priority and
+// accepts orders that change what it serves.
 package engine
 
 import (
--- a/fakes/services/engine/engine_test.go
+++ b/fakes/services/engine/engine_test.go
@@ -90,8 +90,8 @@
 	Usage *engine.Usage `json:"usage"`
 }
 
-// readStream returns the complete text and the usage of a stream. It fails the test if the stream ends
-// without its [DONE] event.
+// readStream returns the complete text and the usage of a stream. It fails the test if the stream
+// ends without its [DONE] event.
 func readStream(t *testing.T, body io.Reader) (string, engine.Usage) {
 	t.Helper()
 	var text strings.Builder
@@ -197,8 +197,8 @@
 	is.Equal(load, engine.Load{Slots: 1}) // an hour ago there was no load
 }
 
-// waitLoad waits until the engine reports these numbers of requests. If it never does, the test ends by
-// the timeout of the test run.
+// waitLoad waits until the engine reports these numbers of requests. If it never does, the test
+// ends by the timeout of the test run.
 func (s *testEngine) waitLoad(running, waiting int) {
 	s.t.Helper()
 	for {
@@ -211,9 +211,9 @@
 	}
 }
 
-// One caller disconnects in the middle of a stream, another while it waits for the only slot. The engine
-// must drop both at once: the server library does not end a request's context, so without the close
-// hook the slot would be held until the stream ends, which never happens here.
+// One caller disconnects in the middle of a stream, another while it waits for the only slot. The
+// engine must drop both at once: the server library does not end a request's context, so without
+// the close hook the slot would be held until the stream ends, which never happens here.
 func TestDisconnectFreesSlot(t *testing.T) {
 	is := is.New(t)
 	s := newTestEngine(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond})
--- a/fakes/services/plain/service_test.go
+++ b/fakes/services/plain/service_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// A caller disconnects while its order waits for the only slot. The order must be dropped and must not
-// run.
+// A caller disconnects while its order waits for the only slot. The order must be dropped and must
+// not run.
 func TestDisconnectBeforeRunDropsOrder(t *testing.T) {
 	is := is.New(t)
 	runLedger := ledger.NewLedger(nil)
--- a/fakes/services/pool/pool.go
+++ b/fakes/services/pool/pool.go
@@ -59,8 +59,9 @@
 	return mux
 }
 
-// work decodes the call's body into v, waits for a slot and spends the service time. It returns false
-// if the body cannot be read or decoded, after answering with status 400, or if the caller disconnected.
+// work decodes the call's body into v, waits for a slot and spends the service time. It returns
+// false if the body cannot be read or decoded, after answering with status 400, or if the caller
+// disconnected.
 func (p *Pool) work(w http.ResponseWriter, r *http.Request, v any) bool {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -138,8 +139,8 @@
 	return vector
 }
 
-// score maps a text to a number in [0, 1). The number has 24 bits, so that it is unchanged by encoding
-// to JSON and back.
+// score maps a text to a number in [0, 1). The number has 24 bits, so that it is unchanged by
+// encoding to JSON and back.
 func score(text string) float64 {
 	return float64(xxhash.Sum64String(text)>>40) / float64(1<<24)
 }
--- a/fakes/services/relay/relay.go
+++ b/fakes/services/relay/relay.go
@@ -19,8 +19,8 @@
 const (
 	dialTimeout   = 5 * time.Second
 	maxChunkBytes = 32 << 10
-	// maxChunksInFlight limits the chunks in flight in one direction of a connection, as the buffers of a
-	// network link do.
+	// maxChunksInFlight limits the chunks in flight in one direction of a connection, as the
+	// buffers of a network link do.
 	maxChunksInFlight = 1024
 )
 
@@ -99,8 +99,8 @@
 	}
 }
 
-// waitWhileCut blocks while the region is cut off. Bytes that reach a cut link are kept until then, since
-// TCP would retransmit them.
+// waitWhileCut blocks while the region is cut off. Bytes that reach a cut link are kept until then,
+// since TCP would retransmit them.
 func (r *Relay) waitWhileCut(region string) {
 	for {
 		r.lock.Lock()
@@ -201,8 +201,8 @@
 	_ = p.from.Close()
 }
 
-// write writes a chunk when it is due and the region is not cut off. If the write fails, it closes the
-// reading end.
+// write writes a chunk when it is due and the region is not cut off. If the write fails, it closes
+// the reading end.
 func (p *pipe) write(next chunk) {
 	time.Sleep(time.Until(next.due))
 	p.link.relay.waitWhileCut(p.link.target.Region)
--- a/fakes/services/relay/relay_test.go
+++ b/fakes/services/relay/relay_test.go
@@ -72,8 +72,8 @@
 	is.True(time.Since(started) >= 2*delay) // a lower bound only: a slow machine takes longer
 }
 
-// The region of a connection is cut off, so the connection stays open but delivers nothing. Once the cut
-// ends, the bytes that were sent meanwhile must arrive.
+// The region of a connection is cut off, so the connection stays open but delivers nothing. Once
+// the cut ends, the bytes that were sent meanwhile must arrive.
 func TestRelayKeepsBytesDuringCut(t *testing.T) {
 	is := is.New(t)
 	r := relay.NewRelay(0)
--- a/fakes/services/roster/list.go
+++ b/fakes/services/roster/list.go
@@ -42,8 +42,8 @@
 	ServiceID string
 }
 
-// change is a registration or deregistration that becomes visible at a certain time. A nil node removes
-// the instance with the id.
+// change is a registration or deregistration that becomes visible at a certain time. A nil node
+// removes the instance with the id.
 type change struct {
 	visibleAt time.Time
 	id        string
--- a/fakes/services/roster/list_test.go
+++ b/fakes/services/roster/list_test.go
@@ -86,8 +86,8 @@
 	is.Equal(len(agents), 0)
 }
 
-// One instance is registered without a valid address. The client must skip and count it, and still find
-// the other instances.
+// One instance is registered without a valid address. The client must skip and count it, and still
+// find the other instances.
 func TestInvalidInstanceIsSkipped(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/fakes/services/weight/store.go
+++ b/fakes/services/weight/store.go
@@ -12,8 +12,8 @@
 
 const (
 	chunkBytes = 64 << 10
-	// burst is how far the downloads may run ahead of the rate, because timers are too coarse to delay
-	// each chunk.
+	// burst is how far the downloads may run ahead of the rate, because timers are too coarse to
+	// delay each chunk.
 	burst = 10 * time.Millisecond
 )
 
