--- a/vload/models/report/files.go
+++ b/vload/models/report/files.go
@@ -9,12 +9,12 @@
 	"text/tabwriter"
 )
 
-// columns are the header of result.csv.
+// columns returns the column names in the header of result.csv.
 func columns() []string {
 	return []string{"scenario", "policy", "seed", "run", "class", "metric", "value", "unit"}
 }
 
-// WriteCSV writes the rows under a header.
+// WriteCSV writes a header and one record per row.
 func WriteCSV(w io.Writer, rows []Row) error {
 	writer := csv.NewWriter(w)
 	if err := writer.Write(columns()); err != nil {
@@ -31,7 +31,7 @@
 	return ErrReport.Wrap(writer.Error())
 }
 
-// ReadCSV reads what WriteCSV writes.
+// ReadCSV parses the format that WriteCSV writes.
 func ReadCSV(r io.Reader) ([]Row, error) {
 	reader := csv.NewReader(r)
 	reader.FieldsPerRecord = len(columns())
@@ -40,7 +40,7 @@
 		return nil, ErrReport.Wrap(err)
 	}
 	if len(records) == 0 {
-		return nil, ErrReport.New("no header")
+		return nil, ErrReport.New("the file is empty, a header is required")
 	}
 	rows := make([]Row, 0, len(records)-1)
 	for i, record := range records[1:] {
@@ -53,7 +53,7 @@
 	return rows, nil
 }
 
-// parseRow reads one record.
+// parseRow converts one CSV record to a row.
 func parseRow(record []string) (Row, error) {
 	seed, err := strconv.ParseUint(record[2], 10, 64)
 	if err != nil {
@@ -73,14 +73,15 @@
 	}, nil
 }
 
-// WriteJSON writes the rows as one indented array.
+// WriteJSON writes the rows as one indented JSON array.
 func WriteJSON(w io.Writer, rows []Row) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", " ")
 	return ErrReport.Wrap(encoder.Encode(rows))
 }
 
-// WriteTable writes the rows for a reader, in aligned columns.
+// WriteTable writes class, metric, value and unit of the rows in aligned columns, for people to
+// read.
 func WriteTable(w io.Writer, rows []Row) error {
 	const padding = 2
 	table := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
@@ -95,7 +96,7 @@
 	return ErrReport.Wrap(table.Flush())
 }
 
-// Short writes a figure with as many digits as a reader needs.
+// Short formats a figure with six significant digits, for tables that people read.
 func (f Figure) Short() string {
 	const digits = 6
 	if !f.Available() {
--- a/vload/models/report/files_test.go
+++ b/vload/models/report/files_test.go
@@ -9,7 +9,7 @@
 	"verbenaroad.example/vload/models/report"
 )
 
-func TestCSVReadsBack(t *testing.T) {
+func TestReadCSVReturnsWrittenRows(t *testing.T) {
 	is := is.New(t)
 	rows := []report.Row{
 		{Scenario: "a,b", Policy: "ours", Seed: 1 << 63, Run: 2, Class: "all", Metric: "attainment", Value: 0.1234567891, Unit: "ratio"},
@@ -22,7 +22,7 @@
 	is.Equal(read, rows)
 }
 
-func TestFigureThatIsNotAvailable(t *testing.T) {
+func TestUnavailableFigureInCSVAndJSON(t *testing.T) {
 	is := is.New(t)
 	rows := []report.Row{{Metric: "cost", Value: report.NotAvailable()}}
 	var table, object strings.Builder
@@ -34,7 +34,7 @@
 	is.True(strings.Contains(object.String(), `"value": null`))
 }
 
-func TestReadCSVNamesTheLine(t *testing.T) {
+func TestReadCSVReportsLineOfError(t *testing.T) {
 	is := is.New(t)
 	_, err := report.ReadCSV(strings.NewReader("scenario,policy,seed,run,class,metric,value,unit\na,b,1,1,all,x,much,\n"))
 	is.True(err != nil)
--- a/vload/models/report/row.go
+++ b/vload/models/report/row.go
@@ -1,4 +1,4 @@
-// Package report holds measured figures in tidy form, one figure a row.
+// Package report defines the rows of measured figures, one figure per row, and their file formats.
 package report
 
 import (
@@ -11,18 +11,18 @@
 // ErrReport is the class of errors of this package.
 var ErrReport = errs.Class("report") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// notAvailable stands for a figure that could not be had.
+// notAvailable is the text of a figure that could not be measured.
 const notAvailable = "not-available"
 
 // Figure is a measured value; NaN means that it is not available.
 type Figure float64
 
-// Available says whether the figure could be had.
+// Available reports whether the figure could be measured.
 func (f Figure) Available() bool {
 	return !math.IsNaN(float64(f))
 }
 
-// String writes the shortest text that reads back as the same figure.
+// String returns the shortest text that ParseFigure parses to the same figure.
 func (f Figure) String() string {
 	if !f.Available() {
 		return notAvailable
@@ -30,7 +30,7 @@
 	return strconv.FormatFloat(float64(f), 'f', -1, 64)
 }
 
-// MarshalJSON writes a figure that is not available as null.
+// MarshalJSON encodes a figure that is not available as null.
 func (f Figure) MarshalJSON() ([]byte, error) {
 	if !f.Available() {
 		return []byte("null"), nil
@@ -38,7 +38,7 @@
 	return []byte(f.String()), nil
 }
 
-// ParseFigure reads what String writes.
+// ParseFigure parses a text that String returned.
 func ParseFigure(text string) (Figure, error) {
 	if text == notAvailable {
 		return Figure(math.NaN()), nil
@@ -53,14 +53,14 @@
 	Policy   string `json:"policy"`
 	Seed     uint64 `json:"seed"`
 	Run      int    `json:"run"`
-	// Class is a class of requests or a group such as all, team:name or priority:name.
+	// Class is a class of requests or a group of classes: all, team:NAME or priority:NAME.
 	Class  string `json:"class"`
 	Metric string `json:"metric"`
 	Value  Figure `json:"value"`
 	Unit   string `json:"unit"`
 }
 
-// NotAvailable returns the figure that could not be had.
+// NotAvailable returns the figure that stands for a missing measurement.
 func NotAvailable() Figure {
 	return Figure(math.NaN())
 }
