--- a/vload/models/scene/load.go
+++ b/vload/models/scene/load.go
@@ -21,7 +21,7 @@
 	defaultLateWait    = time.Second
 )
 
-// Load reads a scenario file; the error names every fault of it.
+// Load reads a scenario file. The error lists every fault of the scenario.
 func Load(file string) (*Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -30,7 +30,8 @@
 	return Parse(text)
 }
 
-// Parse reads a scenario; the error names every fault of it.
+// Parse parses a scenario and fills in the defaults. The error lists every fault, unknown keys
+// included.
 func Parse(text []byte) (*Scenario, error) {
 	s := &Scenario{}
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -52,14 +53,14 @@
 	return s, c.err()
 }
 
-// Check returns every fault of a scenario that was changed after it was read.
+// Check checks a scenario again after a change. The error lists every fault.
 func Check(s *Scenario) error {
 	c := &checker{}
 	c.checkScenario(s)
 	return c.err()
 }
 
-// setDefaults fills what the file left out.
+// setDefaults sets the defaults of settings that the file omits.
 func (s *Scenario) setDefaults() {
 	if s.Mode == "" {
 		s.Mode = ModeOpen
@@ -83,7 +84,8 @@
 	}
 }
 
-// setDefaults fills what the file left out of the class.
+// setDefaults sets the defaults of class settings that the file omits. A weight of 0 counts as
+// omitted.
 func (c *Class) setDefaults() {
 	if c.Method == "" {
 		c.Method = http.MethodPost
--- a/vload/models/scene/load_test.go
+++ b/vload/models/scene/load_test.go
@@ -10,7 +10,7 @@
 	"verbenaroad.example/vload/models/scene"
 )
 
-func TestExampleIsValid(t *testing.T) {
+func TestExampleScenarioIsValid(t *testing.T) {
 	is := is.New(t)
 	s, err := scene.Load("../../example.toml")
 	is.NoErr(err)
@@ -19,11 +19,11 @@
 	is.Equal(s.Classes[1].Prompt.Length, scene.DistributionFixed)
 }
 
-func TestParseNamesEveryFault(t *testing.T) {
+func TestParseReportsEveryFault(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("../../example.toml")
 	is.NoErr(err)
-	broken := strings.NewReplacer(
+	invalid := strings.NewReplacer(
 		"seed = 7", "sead = 7",
 		`arrivals = "uniform"`, `arrivals = "bursty"`,
 		"mix = { drafts = 10.0 }", "mix = { draft = 10.0 }",
@@ -31,9 +31,9 @@
 		"key-repeats = 2", "key-repeats = 1",
 		"max = 2000", "max = 2",
 	).Replace(string(text))
-	_, err = scene.Parse([]byte(broken))
+	_, err = scene.Parse([]byte(invalid))
 	is.True(err != nil)
 	for _, want := range []string{"sead", "bursty", `no class "draft"`, `"high"`, "key-repeats", "prompt.max"} {
-		is.True(strings.Contains(err.Error(), want)) // every fault is named at once
+		is.True(strings.Contains(err.Error(), want)) // every fault is reported at once
 	}
 }
