--- a/vload/modules/pace/schedule.go
+++ b/vload/modules/pace/schedule.go
@@ -1,4 +1,4 @@
-// Package pace spaces requests in time from a fixed seed.
+// Package pace generates reproducible schedules of request arrivals from a seed.
 package pace
 
 import (
@@ -6,91 +6,97 @@
 	"time"
 )
 
-// Segment is a stretch of constant mean rate.
+// Segment is a period with a constant mean arrival rate.
 type Segment struct {
 	Duration time.Duration
 	// Rate is the mean number of arrivals per second and is over 0.
 	Rate float64
-	// Poisson draws exponential gaps; otherwise all gaps are equal.
+	// Poisson draws the times between arrivals from an exponential distribution; otherwise all are
+	// equal.
 	Poisson bool
-	// Weights holds each kind's share of the arrivals; their sum is over 0.
+	// Weights holds the relative share of the arrivals for each kind of request; their sum is over
+	// 0.
 	Weights []float64
 }
 
-// Arrival is one intended request.
+// Arrival is one scheduled request.
 type Arrival struct {
-	// Offset is the intended send time, counted from the start of the run.
+	// Offset is the scheduled send time, measured from the start of the run.
 	Offset time.Duration
-	// Sequence counts the arrivals of the run from 0.
+	// Sequence is the number of the arrival in the run, counted from 0.
 	Sequence uint64
-	// Segment and Kind are indices into the segments and their weights.
+	// Segment is the index of the segment, Kind the index into its weights.
 	Segment int
 	Kind    int
-	// Seed decides what the request carries.
+	// Seed is the seed for the content of the request.
 	Seed uint64
 }
 
-// Schedule yields the arrivals of all segments in order of time; the same seed gives the same arrivals.
+// Schedule generates the arrivals of all segments in order of time. The same seed gives the same
+// arrivals.
 type Schedule struct {
 	segments []Segment
 	random   *rand.Rand
 	segment  int
-	// start is the offset of the current segment, at the next arrival within it.
+	// start is the offset of the current segment in the run; next is the offset of the next arrival
+	// within that segment.
 	start    time.Duration
-	at       time.Duration
+	next     time.Duration
 	sequence uint64
 }
 
-// streamSalt keeps the schedule's draws apart from those of other users of the seed.
+// streamSalt is the second half of the generator's seed. It makes the random numbers of schedules
+// independent of those that other code draws from the same seed.
 const streamSalt = 0x9e3779b97f4a7c15
 
-// NewSchedule returns the schedule of the segments.
+// NewSchedule returns the schedule of consecutive segments.
 func NewSchedule(seed uint64, segments []Segment) *Schedule {
 	s := &Schedule{segments: segments, random: rand.New(rand.NewPCG(seed, streamSalt))}
 	if len(segments) > 0 {
-		s.at = s.gap()
+		s.next = s.drawGap()
 	}
 	return s
 }
 
-// Next returns the next arrival, or false after the last.
+// Next returns the next arrival, or false after the last one.
 func (s *Schedule) Next() (Arrival, bool) {
 	for s.segment < len(s.segments) {
 		current := &s.segments[s.segment]
-		if s.at < current.Duration {
-			a := s.arrival(s.start+s.at, s.segment)
-			s.at += s.gap()
+		if s.next < current.Duration {
+			a := s.newArrival(s.start+s.next, s.segment)
+			s.next += s.drawGap()
 			return a, true
 		}
 		s.start += current.Duration
 		s.segment++
 		if s.segment < len(s.segments) {
-			s.at = s.gap()
+			s.next = s.drawGap()
 		}
 	}
 	return Arrival{}, false
 }
 
-// Draw returns an arrival of the segment at the offset, for senders that keep their own time.
+// Draw returns an arrival in the segment at the given offset, for senders that choose the time
+// themselves.
 func (s *Schedule) Draw(offset time.Duration, segment int) Arrival {
-	return s.arrival(offset, segment)
+	return s.newArrival(offset, segment)
 }
 
-// arrival draws kind and seed and counts the arrival.
-func (s *Schedule) arrival(offset time.Duration, segment int) Arrival {
+// newArrival draws the kind and the seed of an arrival and gives it the next sequence number.
+func (s *Schedule) newArrival(offset time.Duration, segment int) Arrival {
 	a := Arrival{
 		Offset:   offset,
 		Sequence: s.sequence,
 		Segment:  segment,
-		Kind:     s.kind(s.segments[segment].Weights),
+		Kind:     s.drawKind(s.segments[segment].Weights),
 		Seed:     s.random.Uint64(),
 	}
 	s.sequence++
 	return a
 }
 
-// gap draws the time to the next arrival.
-func (s *Schedule) gap() time.Duration {
+// drawGap draws the time between two arrivals of the current segment.
+func (s *Schedule) drawGap() time.Duration {
 	current := &s.segments[s.segment]
 	mean := float64(time.Second) / current.Rate
 	if current.Poisson {
@@ -99,23 +105,24 @@
 	return time.Duration(mean)
 }
 
-// kind draws an index by weight.
-func (s *Schedule) kind(weights []float64) int {
+// drawKind draws an index with a probability proportional to its weight. A rounding error in the
+// subtractions can leave no index selected; the last one with a weight is then returned.
+func (s *Schedule) drawKind(weights []float64) int {
 	total := 0.0
 	for _, w := range weights {
 		total += w
 	}
-	left := s.random.Float64() * total
-	last := 0
+	remaining := s.random.Float64() * total
+	lastWeighted := 0
 	for i, w := range weights {
 		if w <= 0 {
 			continue
 		}
-		if left < w {
+		if remaining < w {
 			return i
 		}
-		left -= w
-		last = i
+		remaining -= w
+		lastWeighted = i
 	}
-	return last
+	return lastWeighted
 }
--- a/vload/modules/pace/schedule_test.go
+++ b/vload/modules/pace/schedule_test.go
@@ -9,8 +9,8 @@
 	"verbenaroad.example/vload/modules/pace"
 )
 
-// drain returns all arrivals of a schedule.
-func drain(s *pace.Schedule) []pace.Arrival {
+// allArrivals returns the remaining arrivals of a schedule.
+func allArrivals(s *pace.Schedule) []pace.Arrival {
 	var all []pace.Arrival
 	for a, ok := s.Next(); ok; a, ok = s.Next() {
 		all = append(all, a)
@@ -18,15 +18,15 @@
 	return all
 }
 
-func TestScheduleIsFixedBySeed(t *testing.T) {
+func TestSameSeedGivesSameSchedule(t *testing.T) {
 	is := is.New(t)
 	segments := []pace.Segment{
 		{Duration: 2 * time.Second, Rate: 500, Poisson: true, Weights: []float64{1, 3}},
 		{Duration: time.Second, Rate: 100, Weights: []float64{0, 1}},
 	}
-	first := drain(pace.NewSchedule(7, segments))
-	is.Equal(first, drain(pace.NewSchedule(7, segments)))
-	other := drain(pace.NewSchedule(8, segments))
+	first := allArrivals(pace.NewSchedule(7, segments))
+	is.Equal(first, allArrivals(pace.NewSchedule(7, segments)))
+	other := allArrivals(pace.NewSchedule(8, segments))
 	is.True(first[0] != other[0])
 	kinds := make([]int, 2)
 	uniform := 0
@@ -40,7 +40,7 @@
 		}
 		kinds[a.Kind]++
 	}
-	is.Equal(uniform, 99)                               // gaps of 10 ms within one second, the first after a gap
+	is.Equal(uniform, 99)                               // 10 ms between arrivals for one second; the first arrival is at 10 ms
 	is.True(kinds[0]+kinds[1] > 850)                    // 1,000 expected
 	is.True(kinds[0]+kinds[1] < 1150)                   // 1,000 expected
 	is.True(kinds[1] > 2*kinds[0] && kinds[0] > 0)      // weights 1 to 3
