--- a/vload/services/slope/line.go
+++ b/vload/services/slope/line.go
@@ -11,14 +11,15 @@
 // ErrSlope is the class of errors of this package.
 var ErrSlope = errs.Class("slope") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// minPoints leaves one degree of freedom for the errors.
+// minPoints is the minimum number of points: the standard errors need at least one degree of
+// freedom.
 const minPoints = 3
 
-// Line is a least-squares line through points.
+// Line is the least-squares fit of a straight line to points.
 type Line struct {
 	Slope     float64
 	Intercept float64
-	// SlopeError and InterceptError are standard errors.
+	// SlopeError and InterceptError are the standard errors of the two.
 	SlopeError     float64
 	InterceptError float64
 	RSquared       float64
@@ -31,7 +32,7 @@
 		return Line{}, ErrSlope.New("%d values of x and %d of y", len(x), len(y))
 	}
 	if len(x) < minPoints {
-		return Line{}, ErrSlope.New("%d points; a line with its error needs %d", len(x), minPoints)
+		return Line{}, ErrSlope.New("%d points; a line with standard errors needs at least %d", len(x), minPoints)
 	}
 	mean, variance := stat.MeanVariance(x, nil)
 	if variance == 0 {
@@ -41,14 +42,14 @@
 	line.Intercept, line.Slope = stat.LinearRegression(x, y, nil, false)
 	line.RSquared = stat.RSquared(x, y, nil, line.Intercept, line.Slope)
 	count := float64(len(x))
-	squares := variance * (count - 1)
-	residual := math.Sqrt(residualSquares(x, y, &line) / (count - 2))
-	line.SlopeError = residual / math.Sqrt(squares)
-	line.InterceptError = residual * math.Sqrt(1/count+mean*mean/squares)
+	squaresOfX := variance * (count - 1)
+	residualError := math.Sqrt(residualSquares(x, y, &line) / (count - 2))
+	line.SlopeError = residualError / math.Sqrt(squaresOfX)
+	line.InterceptError = residualError * math.Sqrt(1/count+mean*mean/squaresOfX)
 	return line, nil
 }
 
-// residualSquares sums the squared distances of the points from the line.
+// residualSquares returns the sum of the squared vertical distances of the points from the line.
 func residualSquares(x, y []float64, line *Line) float64 {
 	sum := 0.0
 	for i := range x {
