--- a/vload/services/merge/merge.go
+++ b/vload/services/merge/merge.go
@@ -1,4 +1,4 @@
-// Package merge sums up the same figure over several runs.
+// Package merge summarizes each figure over several runs.
 package merge
 
 import (
@@ -8,7 +8,7 @@
 	"verbenaroad.example/vload/models/report"
 )
 
-// Key names a figure of one policy in one scenario.
+// Key identifies a figure of one policy in one scenario.
 type Key struct {
 	Scenario string
 	Class    string
@@ -17,10 +17,10 @@
 	Policy   string
 }
 
-// Summary is a figure over all runs in which it was available.
+// Summary summarizes a figure over all runs in which it was available.
 type Summary struct {
 	Key
-	// Runs counts the runs with the figure; Missing those in which it was not available.
+	// Runs counts the runs in which the figure was available, Missing those in which it was not.
 	Runs    int
 	Missing int
 	// Median, Min and Max are not available when Runs is 0.
@@ -29,7 +29,7 @@
 	Max    report.Figure
 }
 
-// Summarize returns one summary for each key, sorted by scenario, class, metric, policy.
+// Summarize returns one summary for each key, sorted by scenario, class, metric, policy and unit.
 func Summarize(rows []report.Row) []Summary {
 	values := make(map[Key][]report.Figure)
 	for _, r := range rows {
@@ -44,7 +44,7 @@
 	return all
 }
 
-// compare orders summaries so that policies stand side by side.
+// compare orders summaries so that the policies of one metric are adjacent.
 func compare(a, b Summary) int {
 	return cmp.Or(
 		cmp.Compare(a.Scenario, b.Scenario),
@@ -55,7 +55,7 @@
 	)
 }
 
-// summarize works out one summary.
+// summarize returns the summary of one key.
 func summarize(key Key, figures []report.Figure) Summary {
 	available := make([]report.Figure, 0, len(figures))
 	for _, f := range figures {
@@ -64,12 +64,13 @@
 		}
 	}
 	s := Summary{Key: key, Runs: len(available), Missing: len(figures) - len(available)}
-	s.Median, s.Min, s.Max = spread(available)
+	s.Median, s.Min, s.Max = medianAndRange(available)
 	return s
 }
 
-// spread returns median, least and greatest; the median of an even count is the mean of the middle two.
-func spread(figures []report.Figure) (median, least, greatest report.Figure) {
+// medianAndRange sorts figures and returns the median, the lowest and the highest figure. The
+// median of an even number of figures is the mean of the middle two.
+func medianAndRange(figures []report.Figure) (median, lowest, highest report.Figure) {
 	if len(figures) == 0 {
 		none := report.NotAvailable()
 		return none, none, none
--- a/vload/services/merge/merge_test.go
+++ b/vload/services/merge/merge_test.go
@@ -10,7 +10,7 @@
 	"verbenaroad.example/vload/services/merge"
 )
 
-// rows returns one row for each figure, as from as many runs.
+// rows returns one row for each figure, each from another run.
 func rows(policy string, figures ...report.Figure) []report.Row {
 	var all []report.Row
 	for i, f := range figures {
@@ -23,9 +23,9 @@
 
 func TestSummarize(t *testing.T) {
 	tests := map[string]struct {
-		figures            []report.Figure
-		median, least, top report.Figure
-		runs, missing      int
+		figures                 []report.Figure
+		median, lowest, highest report.Figure
+		runs, missing           int
 	}{
 		"odd":           {[]report.Figure{0.9, 0.5, 0.7}, 0.7, 0.5, 0.9, 3, 0},
 		"even":          {[]report.Figure{4, 1, 2, 10}, 3, 1, 10, 4, 0},
@@ -38,15 +38,15 @@
 			all := merge.Summarize(rows("ours", test.figures...))
 			is.Equal(len(all), 1)
 			is.Equal(all[0].Median, test.median)
-			is.Equal(all[0].Min, test.least)
-			is.Equal(all[0].Max, test.top)
+			is.Equal(all[0].Min, test.lowest)
+			is.Equal(all[0].Max, test.highest)
 			is.Equal(all[0].Runs, test.runs)
 			is.Equal(all[0].Missing, test.missing)
 		})
 	}
 }
 
-func TestPoliciesStandSideBySide(t *testing.T) {
+func TestPoliciesOfMetricAreAdjacent(t *testing.T) {
 	is := is.New(t)
 	all := merge.Summarize(append(rows("random", 0.5), rows("ours", report.NotAvailable())...))
 	is.Equal(all[0].Policy, "ours")
--- a/vload/services/merge/write.go
+++ b/vload/services/merge/write.go
@@ -9,7 +9,7 @@
 	"verbenaroad.example/vload/models/report"
 )
 
-// WriteCSV writes one line for each summary under a header.
+// WriteCSV writes a header and one record for each summary.
 func WriteCSV(w io.Writer, all []Summary) error {
 	writer := csv.NewWriter(w)
 	header := []string{"scenario", "class", "metric", "policy", "runs", "missing", "median", "min", "max", "unit"}
@@ -29,7 +29,7 @@
 	return report.ErrReport.Wrap(writer.Error())
 }
 
-// WriteMarkdown writes one table for each scenario.
+// WriteMarkdown writes one table for each scenario. The summaries must be sorted by scenario.
 func WriteMarkdown(w io.Writer, all []Summary) error {
 	scenario := ""
 	for i, s := range all {
@@ -46,14 +46,15 @@
 	return nil
 }
 
-// writeHeader begins the table of a scenario.
+// writeHeader writes the heading and the table header of a scenario.
 func writeHeader(w io.Writer, scenario string) error {
 	const header = "\n### %s\n\n| class | metric | policy | median | min..max | unit | runs |\n|---|---|---|---:|---:|---|---:|\n"
 	_, err := fmt.Fprintf(w, header, scenario)
 	return report.ErrReport.Wrap(err)
 }
 
-// writeLine writes one summary; runs without the figure are named.
+// writeLine writes one summary as a table row, with the number of runs in which the figure is
+// missing.
 func writeLine(w io.Writer, s *Summary) error {
 	runs := strconv.Itoa(s.Runs)
 	if s.Missing > 0 {
