--- a/vload/services/chart/chart.go
+++ b/vload/services/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws the plots of comparisons and fitted lines.
+// Package chart draws plots of compared runs and of fitted lines.
 package chart
 
 import (
@@ -22,16 +22,20 @@
 const (
 	chartWidth  = 22 * vg.Centimeter
 	chartHeight = 12 * vg.Centimeter
-	// groupWidth is the part of the room of one class that its bars fill together.
-	groupWidth = 14 * vg.Centimeter
-	textSize   = font.Length(11)
-	// legendLine is the part of the height that one line of the legend takes.
+	// barsWidth is the maximum total width of all bars of a chart; a single bar is at most 1 cm
+	// wide.
+	barsWidth = 14 * vg.Centimeter
+	textSize  = font.Length(11)
+	// legendLine is the height reserved above the highest whisker for each line of the legend, as a
+	// share of the height of that whisker.
 	legendLine = 0.08
-	// levelClasses is how many names fit under the x axis side by side.
-	levelClasses = 6
+	// maxLevelLabels is the largest number of class names that fit under the x axis without
+	// rotation.
+	maxLevelLabels = 6
 )
 
-// palette returns the Okabe and Ito colours, which readers with a colour vision deficiency can tell apart.
+// palette returns the colours of Okabe and Ito, which remain distinguishable with a colour vision
+// deficiency.
 func palette() []color.RGBA {
 	return []color.RGBA{
 		{R: 0, G: 114, B: 178, A: 255},
@@ -44,7 +48,7 @@
 	}
 }
 
-// newPlot returns an empty plot in the common style.
+// newPlot returns an empty plot with the style that all charts share.
 func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
@@ -58,40 +62,41 @@
 	return p
 }
 
-// Bars draws one metric of one scenario: a group of bars for each class, a bar for each policy,
-// with whiskers from the least to the greatest run.
+// Bars draws one metric of one scenario: a group of bars for each class with one bar for each
+// policy. A bar shows the median of the runs, its whiskers the lowest and the highest run.
 func Bars(all []merge.Summary, scenario, metric string, classes []string, file string) error {
 	g := newGrid(all, scenario, metric, classes)
 	if len(g.policies) == 0 {
 		return ErrChart.New("scenario %s has no available figure of %s", scenario, metric)
 	}
 	p := newPlot(scenario+": "+metric+" (median, min..max of runs)", "class", metric+" ["+g.unit+"]")
-	width := min(groupWidth/vg.Length(len(g.classes)*len(g.policies)), vg.Centimeter)
+	width := min(barsWidth/vg.Length(len(g.classes)*len(g.policies)), vg.Centimeter)
 	for i, policy := range g.policies {
-		tint := palette()[i%len(palette())]
+		fill := palette()[i%len(palette())]
 		bars, err := plotter.NewBarChart(g.medians(policy), width)
 		if err != nil {
 			return ErrChart.Wrap(err)
 		}
-		bars.Color = tint
+		bars.Color = fill
 		bars.LineStyle.Width = 0
 		bars.Offset = width * (vg.Length(i) - vg.Length(len(g.policies)-1)/2)
-		whiskers := &whisker{points: g.spreads(policy), offset: bars.Offset}
+		whiskers := &whisker{points: g.ranges(policy), offset: bars.Offset}
 		p.Add(bars, whiskers)
-		p.Legend.Add(policyName(policy), bars)
+		p.Legend.Add(policyLabel(policy), bars)
 	}
-	nameClasses(p, g.classes)
+	labelClasses(p, g.classes)
 	p.Y.Min = 0
-	p.Y.Max = g.top() * (1 + legendLine*float64(len(g.policies)))
+	p.Y.Max = g.maximum() * (1 + legendLine*float64(len(g.policies)))
 	return ErrChart.Wrap(p.Save(chartWidth, chartHeight, file))
 }
 
-// nameClasses writes the classes under the x axis, slanted where they are many.
-func nameClasses(p *plot.Plot, classes []string) {
+// labelClasses writes the class names under the x axis, rotated if there are more than
+// maxLevelLabels.
+func labelClasses(p *plot.Plot, classes []string) {
 	p.NominalX(classes...)
 	p.X.Min = -0.5
 	p.X.Max = float64(len(classes)) - 0.5
-	if len(classes) <= levelClasses {
+	if len(classes) <= maxLevelLabels {
 		return
 	}
 	p.X.Tick.Label.Rotation = math.Pi / 6
@@ -99,15 +104,16 @@
 	p.X.Tick.Label.YAlign = text.YCenter
 }
 
-// policyName names the bars of runs without a policy label.
-func policyName(policy string) string {
+// policyLabel returns the legend text of a policy: its name, or a placeholder for runs without a
+// policy.
+func policyLabel(policy string) string {
 	if policy == "" {
 		return "(no policy)"
 	}
 	return policy
 }
 
-// Fit draws points and the line through them; the names are axis titles and hold their units.
+// Fit draws points and the line fitted to them. The names are the axis titles, units included.
 func Fit(x, y []float64, line *slope.Line, xName, yName, file string) error {
 	p := newPlot(yName+" over "+xName, xName, yName)
 	points := make(plotter.XYs, len(x))
@@ -119,12 +125,12 @@
 		return ErrChart.Wrap(err)
 	}
 	scatter.Color = palette()[0]
-	drawn := plotter.NewFunction(line.At)
-	drawn.Color = palette()[5]
-	drawn.Width = vg.Points(1.5)
-	p.Add(scatter, drawn)
+	fitted := plotter.NewFunction(line.At)
+	fitted.Color = palette()[5]
+	fitted.Width = vg.Points(1.5)
+	p.Add(scatter, fitted)
 	p.Legend.Add("measured", scatter)
-	p.Legend.Add("least squares", drawn)
+	p.Legend.Add("least squares", fitted)
 	p.Legend.Left = true
 	p.X.Min = 0
 	p.Y.Min = min(0, p.Y.Min)
--- a/vload/services/chart/grid.go
+++ b/vload/services/chart/grid.go
@@ -11,108 +11,109 @@
 	"verbenaroad.example/vload/services/merge"
 )
 
-// grid holds one metric of one scenario by class and policy.
+// grid holds the summaries of one metric of one scenario by class and policy.
 type grid struct {
 	classes  []string
 	policies []string
 	unit     string
-	cells    map[spot]merge.Summary
+	cells    map[cellKey]merge.Summary
 }
 
-// spot is a class under a policy.
-type spot struct {
+// cellKey identifies a summary in a grid by class and policy.
+type cellKey struct {
 	class  string
 	policy string
 }
 
-// newGrid picks the available figures; the classes keep their order.
+// newGrid selects the available figures of the metric for the given classes. Classes keep their
+// order; those without a figure are omitted.
 func newGrid(all []merge.Summary, scenario, metric string, classes []string) *grid {
-	g := &grid{cells: make(map[spot]merge.Summary)}
+	g := &grid{cells: make(map[cellKey]merge.Summary)}
 	for _, s := range all {
 		if s.Scenario != scenario || s.Metric != metric || s.Runs == 0 || !slices.Contains(classes, s.Class) {
 			continue
 		}
 		g.unit = s.Unit
-		g.cells[spot{s.Class, s.Policy}] = s
+		g.cells[cellKey{s.Class, s.Policy}] = s
 		if !slices.Contains(g.policies, s.Policy) {
 			g.policies = append(g.policies, s.Policy)
 		}
 	}
 	slices.Sort(g.policies)
 	for _, class := range classes {
-		if g.has(class) {
+		if g.hasClass(class) {
 			g.classes = append(g.classes, class)
 		}
 	}
 	return g
 }
 
-// has says whether any policy has the class.
-func (g *grid) has(class string) bool {
+// hasClass reports whether any policy has a figure for the class.
+func (g *grid) hasClass(class string) bool {
 	for _, policy := range g.policies {
-		if _, ok := g.cells[spot{class, policy}]; ok {
+		if _, ok := g.cells[cellKey{class, policy}]; ok {
 			return true
 		}
 	}
 	return false
 }
 
-// medians returns the bars of a policy; a class without a figure has none.
+// medians returns the heights of the bars of a policy; they are 0 for classes without a figure.
 func (g *grid) medians(policy string) plotter.Values {
 	values := make(plotter.Values, 0, len(g.classes))
 	for _, class := range g.classes {
-		values = append(values, float64(g.cells[spot{class, policy}].Median))
+		values = append(values, float64(g.cells[cellKey{class, policy}].Median))
 	}
 	return values
 }
 
-// spreads returns the whiskers of a policy.
-func (g *grid) spreads(policy string) []extent {
+// ranges returns the ranges of a policy for the classes that have a figure.
+func (g *grid) ranges(policy string) []extent {
 	var all []extent
 	for i, class := range g.classes {
-		s, ok := g.cells[spot{class, policy}]
+		s, ok := g.cells[cellKey{class, policy}]
 		if ok {
-			all = append(all, extent{at: float64(i), least: float64(s.Min), greatest: float64(s.Max)})
+			all = append(all, extent{position: float64(i), lowest: float64(s.Min), highest: float64(s.Max)})
 		}
 	}
 	return all
 }
 
-// top returns the greatest figure.
-func (g *grid) top() float64 {
-	top := 0.0
+// maximum returns the highest figure of any run, or 1 if no figure is over 0.
+func (g *grid) maximum() float64 {
+	highest := 0.0
 	for _, s := range g.cells {
-		top = max(top, float64(s.Max))
+		highest = max(highest, float64(s.Max))
 	}
-	if top == 0 {
-		return 1 // an axis of no height cannot be drawn
+	if highest == 0 {
+		return 1 // the y axis cannot have a height of 0
 	}
-	return top
+	return highest
 }
 
-// extent is the reach of the runs at one place of the x axis.
+// extent is the range of the runs at one position of the x axis.
 type extent struct {
-	at       float64
-	least    float64
-	greatest float64
+	position float64
+	lowest   float64
+	highest  float64
 }
 
-// whisker draws extents beside the middle of their place, as bars are.
+// whisker draws extents as whiskers, shifted by the offset of the bars that they belong to.
 type whisker struct {
 	points []extent
 	offset vg.Length
 }
 
-// Plot draws a line with caps for each extent.
+// Plot draws a vertical line with caps for each extent.
 func (w *whisker) Plot(c draw.Canvas, p *plot.Plot) {
-	const half = vg.Length(3)
+	const halfCap = vg.Length(3)
 	style := plotter.DefaultLineStyle
 	toX, toY := p.Transforms(&c)
 	for _, e := range w.points {
-		x := toX(e.at) + w.offset
-		low, high := toY(e.least), toY(e.greatest)
+		x := toX(e.position) + w.offset
+		low, high := toY(e.lowest), toY(e.highest)
 		c.StrokeLine2(style, x, low, x, high)
-		c.StrokeLine2(style, x-half, low, x+half, low)
-		c.StrokeLine2(style, x-half, high, x+half, high)
+		c.StrokeLine2(style, x-halfCap, low, x+halfCap, low)
+		c.StrokeLine2(style, x-halfCap, high, x+halfCap, high)
 	}
 }
