--- a/vload/services/draft/draft.go
+++ b/vload/services/draft/draft.go
@@ -1,4 +1,4 @@
-// Package draft writes configurations of any size for measurements.
+// Package draft generates configurations of any size for measurements.
 package draft
 
 import (
@@ -9,24 +9,26 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// Options say how large the configuration is.
+// Options sets the size of the configuration.
 type Options struct {
 	Teams     int
 	Pipelines int
-	// Services is the number of engine services beside encoder, retriever, reranker and orders.
+	// Services is the number of engine services, in addition to encoder, retriever, reranker and
+	// orders.
 	Services int
 }
 
-// digestOf returns the digest that stands for a token made from the name.
-func digestOf(name string) string {
+// tokenDigest returns the digest of the token "token-of-NAME".
+func tokenDigest(name string) string {
 	return config.DigestToken("token-of-" + name)
 }
 
-// WriteTOML writes a whole configuration; team-00000 has the token "token-of-team-00000".
+// WriteTOML writes a complete configuration. The token of each team is "token-of-" and its name,
+// for example "token-of-team-00000".
 func WriteTOML(w io.Writer, o Options) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[[limits]]\nname = \"deployment\"\nstale-after = \"0s\"\nclaim-retention = \"48h\"\n")
-	fmt.Fprintf(&text, "[[operator]]\nname = \"ana\"\ntoken-sha256 = %q\nrole = \"change\"\n", digestOf("ana"))
+	fmt.Fprintf(&text, "[[operator]]\nname = \"ana\"\ntoken-sha256 = %q\nrole = \"change\"\n", tokenDigest("ana"))
 	for i := range o.Services {
 		fmt.Fprintf(&text, "[[service]]\nname = \"service-%02d\"\nkind = \"engine\"\ndeadline = \"4s\"\nretry-share = 0.1\n", i)
 	}
@@ -56,10 +58,11 @@
 
 func writeTeam(text *strings.Builder, i int) {
 	name := fmt.Sprintf("team-%05d", i)
-	fmt.Fprintf(text, "[[team]]\nname = %q\ntoken-sha256 = [%q]\npriority = \"normal\"\nweight = 1.0\n[team.labels]\ntier = \"workshop\"\nregion = \"north\"\n", name, digestOf(name))
+	fmt.Fprintf(text, "[[team]]\nname = %q\ntoken-sha256 = [%q]\npriority = \"normal\"\nweight = 1.0\n[team.labels]\ntier = \"workshop\"\nregion = \"north\"\n", name, tokenDigest(name))
 }
 
-// WriteChange writes a change of one team; each number gives another weight.
+// WriteChange writes the document of one team with a changed weight. The number determines the
+// weight, which repeats every 900 numbers.
 func WriteChange(w io.Writer, team, number int) error {
 	var text strings.Builder
 	writeTeam(&text, team)
--- a/vload/services/draft/draft_test.go
+++ b/vload/services/draft/draft_test.go
@@ -10,7 +10,7 @@
 	"verbenaroad.example/vload/services/draft"
 )
 
-func TestDraftPassesTheChecks(t *testing.T) {
+func TestGeneratedConfigurationIsValid(t *testing.T) {
 	is := is.New(t)
 	var text strings.Builder
 	is.NoErr(draft.WriteTOML(&text, draft.Options{Teams: 30, Pipelines: 29, Services: 23}))
@@ -23,7 +23,7 @@
 	is.Equal(set.Teams[0].TokenSHA256[0], config.DigestToken("token-of-team-00000"))
 }
 
-func TestChangesDiffer(t *testing.T) {
+func TestChangeNumbersGiveDifferentWeights(t *testing.T) {
 	is := is.New(t)
 	var first, second strings.Builder
 	is.NoErr(draft.WriteChange(&first, 7, 1))
