--- a/vload/cmds/run.go
+++ b/vload/cmds/run.go
@@ -96,7 +96,7 @@
 func (l *loader) offer(ctx context.Context, s *scene.Scenario) error {
 	book := tally.NewBook(s)
 	reader := gauge.NewReader()
-	before := gauge.StartMarker(ctx, reader, s.Metrics.Addresses, s.LeadingWarmUp())
+	before := gauge.StartDelayedRead(ctx, reader, s.Metrics.Addresses, s.LeadingWarmUp())
 	if err := runner.New(s, book, rand.Text()).Run(ctx); err != nil {
 		return ErrCommand.Wrap(err)
 	}
--- a/vload/services/gauge/gauge.go
+++ b/vload/services/gauge/gauge.go
@@ -1,4 +1,4 @@
-// Package gauge reads figures from the expvar pages of processes.
+// Package gauge reads figures from the expvar pages (/debug/vars) of processes.
 package gauge
 
 import (
@@ -21,10 +21,11 @@
 // ErrGauge is the class of errors of this package.
 var ErrGauge = errs.Class("gauge") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// readTimeout bounds one page: a process that does not answer must not hold up the run.
+// readTimeout limits the time for one page, so that a process that does not answer cannot block the
+// run.
 const readTimeout = 5 * time.Second
 
-// Page holds the variables of one process.
+// Page holds the expvar variables of one process.
 type Page map[string]any
 
 // Reader reads expvar pages.
@@ -37,7 +38,7 @@
 	return &Reader{client: &http.Client{Timeout: readTimeout}}
 }
 
-// Read fetches the page of one process.
+// Read fetches the page of the process at the address.
 func (r *Reader) Read(ctx context.Context, address netip.AddrPort) (Page, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/debug/vars", http.NoBody)
 	if err != nil {
@@ -55,7 +56,8 @@
 	return page, ErrGauge.Wrap(json.NewDecoder(response.Body).Decode(&page))
 }
 
-// ReadAll fetches all pages; the page of a process that does not answer is nil.
+// ReadAll fetches the pages of all processes one after another. The page is nil if it cannot be
+// read.
 func (r *Reader) ReadAll(ctx context.Context, addresses []netip.AddrPort) []Page {
 	pages := make([]Page, 0, len(addresses))
 	for _, address := range addresses {
@@ -68,17 +70,18 @@
 	return pages
 }
 
-// Find returns the figures at a path: one under the empty name, or one for each key of a map of figures.
+// Find returns the figures at a path, by name. A single figure has the empty name; a map of figures
+// gives one for each of its keys.
 func (p Page) Find(path string) map[string]float64 {
-	var at any = map[string]any(p)
+	var node any = map[string]any(p)
 	for part := range strings.SplitSeq(path, "/") {
-		object, ok := at.(map[string]any)
+		object, ok := node.(map[string]any)
 		if !ok {
 			return nil
 		}
-		at = object[part]
+		node = object[part]
 	}
-	switch value := at.(type) {
+	switch value := node.(type) {
 	case float64:
 		return map[string]float64{"": value}
 	case map[string]any:
@@ -88,7 +91,7 @@
 	}
 }
 
-// figures returns the members of an object that are numbers.
+// figures returns the members of a JSON object that are numbers.
 func figures(object map[string]any) map[string]float64 {
 	found := make(map[string]float64, len(object))
 	for key, value := range object {
@@ -99,12 +102,13 @@
 	return found
 }
 
-// Rows returns for each key the growth from before to after, summed over the processes.
-// A figure that any process lacks is not available: a sum over some of them would pass for the whole.
+// Rows returns the increase of each figure from before to after, summed over the processes. If the
+// path of a figure is missing from any process, the figure is not available, because a partial sum
+// would look like a total.
 func Rows(keys []scene.MetricKey, before, after []Page, offered int64) []report.Row {
 	var rows []report.Row
 	for _, key := range keys {
-		sums := growth(key.Path, before, after)
+		sums := increases(key.Path, before, after)
 		for _, name := range slices.Sorted(maps.Keys(sums)) {
 			metric := key.Name
 			if name != "" {
@@ -128,20 +132,21 @@
 	return report.Row{Class: "all", Metric: metric + "-per-offered", Value: value, Unit: unit + "/request"}
 }
 
-// growth sums the differences at one path; a key that first shows afterwards started from 0.
-func growth(path string, before, after []Page) map[string]float64 {
+// increases returns the increase of each figure at the path, summed over the processes. A key of a
+// map that is missing before the load counts as 0 there.
+func increases(path string, before, after []Page) map[string]float64 {
 	sums := make(map[string]float64)
 	for i := range after {
 		if before[i] == nil || after[i] == nil {
 			return unavailable()
 		}
-		last := after[i].Find(path)
-		if last == nil {
+		current := after[i].Find(path)
+		if current == nil {
 			return unavailable()
 		}
-		first := before[i].Find(path)
-		for name, value := range last {
-			sums[name] += value - first[name]
+		previous := before[i].Find(path)
+		for name, value := range current {
+			sums[name] += value - previous[name]
 		}
 	}
 	if len(sums) == 0 {
@@ -150,7 +155,7 @@
 	return sums
 }
 
-// unavailable stands for a path that some process lacks.
+// unavailable returns the result for a path that is missing from some process.
 func unavailable() map[string]float64 {
 	return map[string]float64{"": math.NaN()}
 }
--- a/vload/services/gauge/gauge_test.go
+++ b/vload/services/gauge/gauge_test.go
@@ -16,8 +16,8 @@
 	"verbenaroad.example/vload/services/gauge"
 )
 
-// pageOf serves one page and returns its address.
-func pageOf(t *testing.T, text string) netip.AddrPort {
+// servePage serves an expvar page with the text and returns its address.
+func servePage(t *testing.T, text string) netip.AddrPort {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(text))
 	}))
@@ -25,19 +25,19 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// read returns the pages of processes that serve the texts.
-func read(t *testing.T, texts ...string) []gauge.Page {
+// readPages returns the pages of processes that serve the texts.
+func readPages(t *testing.T, texts ...string) []gauge.Page {
 	var addresses []netip.AddrPort
 	for _, text := range texts {
-		addresses = append(addresses, pageOf(t, text))
+		addresses = append(addresses, servePage(t, text))
 	}
 	return gauge.NewReader().ReadAll(t.Context(), addresses)
 }
 
-func TestRowsAreDifferencesSummedOverProcesses(t *testing.T) {
+func TestRowsAreIncreasesSummedOverProcesses(t *testing.T) {
 	is := is.New(t)
-	before := read(t, `{"cost":{"encode":1},"retries":{"sent":2}}`, `{"cost":{"encode":10},"retries":{"sent":0}}`)
-	after := read(t, `{"cost":{"encode":4,"generate":5},"retries":{"sent":3}}`, `{"cost":{"encode":11},"retries":{"sent":7}}`)
+	before := readPages(t, `{"cost":{"encode":1},"retries":{"sent":2}}`, `{"cost":{"encode":10},"retries":{"sent":0}}`)
+	after := readPages(t, `{"cost":{"encode":4,"generate":5},"retries":{"sent":3}}`, `{"cost":{"encode":11},"retries":{"sent":7}}`)
 	keys := []scene.MetricKey{{Name: "cost", Path: "cost", Unit: "units"}, {Name: "retries", Path: "retries/sent", Unit: "requests", PerOffered: true}}
 	is.Equal(gauge.Rows(keys, before, after, 16), []report.Row{
 		{Class: "all", Metric: "cost/encode", Value: 4, Unit: "units"},
@@ -50,9 +50,9 @@
 func TestMissingFiguresAreNotAvailable(t *testing.T) {
 	keys := []scene.MetricKey{{Name: "retries", Path: "retries"}}
 	tests := map[string]struct{ before, after []gauge.Page }{
-		"no such key":    {read(t, `{}`), read(t, `{}`)},
-		"one lacks it":   {read(t, `{"retries":1}`, `{}`), read(t, `{"retries":1}`, `{}`)},
-		"one is down":    {read(t, `{"retries":1}`, `{"retries":1}`), []gauge.Page{read(t, `{"retries":1}`)[0], nil}},
+		"no such key":    {readPages(t, `{}`), readPages(t, `{}`)},
+		"one lacks it":   {readPages(t, `{"retries":1}`, `{}`), readPages(t, `{"retries":1}`, `{}`)},
+		"one is down":    {readPages(t, `{"retries":1}`, `{"retries":1}`), []gauge.Page{readPages(t, `{"retries":1}`)[0], nil}},
 		"no page at all": {nil, nil},
 	}
 	for name, test := range tests {
@@ -65,13 +65,13 @@
 	}
 }
 
-func TestMarkerReadsAfterTheWait(t *testing.T) {
+func TestDelayedRead(t *testing.T) {
 	is := is.New(t)
 	r := gauge.NewReader()
-	addresses := []netip.AddrPort{pageOf(t, `{"retries":1}`)}
-	is.Equal(gauge.StartMarker(t.Context(), r, addresses, time.Millisecond).Pages()[0].Find("retries")[""], 1.0)
-	is.Equal(gauge.StartMarker(t.Context(), r, addresses, 0).Pages()[0].Find("retries")[""], 1.0)
+	addresses := []netip.AddrPort{servePage(t, `{"retries":1}`)}
+	is.Equal(gauge.StartDelayedRead(t.Context(), r, addresses, time.Millisecond).Pages()[0].Find("retries")[""], 1.0)
+	is.Equal(gauge.StartDelayedRead(t.Context(), r, addresses, 0).Pages()[0].Find("retries")[""], 1.0)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.Equal(len(gauge.StartMarker(ctx, r, addresses, time.Hour).Pages()), 1)
+	is.Equal(len(gauge.StartDelayedRead(ctx, r, addresses, time.Hour).Pages()), 1)
 }
