--- a/vload/cmds/capacity.go
+++ b/vload/cmds/capacity.go
@@ -53,11 +53,11 @@
 	if err != nil {
 		return err
 	}
-	for _, fault := range result.Faults {
+	for _, fault := range result.Mismatches {
 		_, _ = fmt.Fprintln(c.out, fault)
 	}
-	if len(result.Faults) > 0 {
-		return ErrCommand.New("%d of %d rows differ from the series", len(result.Faults), result.Rows)
+	if len(result.Mismatches) > 0 {
+		return ErrCommand.New("%d of %d rows differ from the series", len(result.Mismatches), result.Rows)
 	}
 	_, _ = fmt.Fprintf(c.out, "capacity: %d rows agree with the series\n", result.Rows)
 	return nil
--- a/vload/services/sheet/page.go
+++ b/vload/services/sheet/page.go
@@ -1,10 +1,10 @@
-// Package sheet works out the tables of a page of Markdown from measured series.
+// Package sheet recalculates the tables of a Markdown page from measured series.
 //
-// Two kinds of tables are known by their headers. A table of lines has the
-// columns name, series, x, y, slope and further figures of the fit: each row
-// is fitted anew and defines its name as the slope and nameBase as the
-// intercept. A table of figures has the columns name, value, kind and formula:
-// a formula is arithmetic over the names above it. Other tables are left alone.
+// It recognizes two kinds of tables by their headers. A table of lines has the columns name,
+// series, x, y, slope, intercept and optionally further figures of the fit. Each row is fitted
+// again; it defines its name as the slope and the name with the suffix Base as the intercept. A
+// table of figures has the columns name, value, kind and formula. A formula is arithmetic over the
+// names that are defined above it. Other tables are ignored.
 package sheet
 
 import (
@@ -18,7 +18,7 @@
 // ErrSheet is the class of errors of this package.
 var ErrSheet = errs.Class("capacity") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// Columns of both kinds of tables.
+// Names of the columns of both kinds of tables.
 const (
 	columnName           = "name"
 	columnSeries         = "series"
@@ -38,47 +38,47 @@
 	columnFits           = "fits"
 )
 
-// Page is the text of a page by lines.
+// Page is a Markdown page, split into lines.
 type Page struct {
 	lines []string
 }
 
-// table is a run of table rows of a page.
+// table is one table of a page.
 type table struct {
-	// header holds the names of the columns; rows are indices of the page's lines.
+	// header holds the names of the columns; rows holds the indices of the page's lines.
 	header []string
 	rows   []int
 }
 
-// ParsePage reads a page.
+// ParsePage splits the text of a page into lines.
 func ParsePage(text string) *Page {
 	return &Page{lines: strings.Split(text, "\n")}
 }
 
-// String returns the page as it stands now.
+// String returns the current text of the page.
 func (p *Page) String() string {
 	return strings.Join(p.lines, "\n")
 }
 
-// tables finds every table: a header, a line of dashes, and rows.
+// tables returns every table: a header, a line of dashes and the rows.
 func (p *Page) tables() []table {
 	var all []table
-	rule := regexp.MustCompile(`^\|[\s|:-]+\|$`)
+	separator := regexp.MustCompile(`^\|[\s|:-]+\|$`)
 	for i := 1; i < len(p.lines); i++ {
-		if !rule.MatchString(p.lines[i]) || !strings.HasPrefix(p.lines[i-1], "|") {
+		if !separator.MatchString(p.lines[i]) || !strings.HasPrefix(p.lines[i-1], "|") {
 			continue
 		}
 		t := table{header: splitRow(p.lines[i-1])}
-		for at := i + 1; at < len(p.lines) && strings.HasPrefix(p.lines[at], "|"); at++ {
-			t.rows = append(t.rows, at)
+		for line := i + 1; line < len(p.lines) && strings.HasPrefix(p.lines[line], "|"); line++ {
+			t.rows = append(t.rows, line)
 		}
 		all = append(all, t)
 	}
 	return all
 }
 
-// has says whether a table has all of the columns.
-func (t *table) has(columns ...string) bool {
+// hasColumns reports whether the table has all of the columns.
+func (t *table) hasColumns(columns ...string) bool {
 	for _, column := range columns {
 		if !slices.Contains(t.header, column) {
 			return false
@@ -87,7 +87,7 @@
 	return true
 }
 
-// row is one row of a table, by columns.
+// row is one row of a table.
 type row struct {
 	page   *Page
 	line   int
@@ -95,7 +95,8 @@
 	cells  []string
 }
 
-// newRow reads a row; every row has as many cells as the header.
+// newRow parses the row at a line of the page. It fails unless the row has as many cells as the
+// header.
 func (p *Page) newRow(t *table, line int) (*row, error) {
 	cells := splitRow(p.lines[line])
 	if len(cells) != len(t.header) {
@@ -104,26 +105,27 @@
 	return &row{page: p, line: line, header: t.header, cells: cells}, nil
 }
 
-// get returns a cell without the marks of code; an empty text where there is no such column.
+// get returns a cell without the backquotes of inline code, or an empty text if there is no such
+// column.
 func (r *row) get(column string) string {
-	at := slices.Index(r.header, column)
-	if at < 0 {
+	index := slices.Index(r.header, column)
+	if index < 0 {
 		return ""
 	}
-	return strings.Trim(r.cells[at], "`")
+	return strings.Trim(r.cells[index], "`")
 }
 
-// set replaces a cell in the page; a column that the table lacks is passed over.
+// set replaces a cell in the page. It does nothing if the table has no such column.
 func (r *row) set(column, text string) {
-	at := slices.Index(r.header, column)
-	if at < 0 {
+	index := slices.Index(r.header, column)
+	if index < 0 {
 		return
 	}
-	r.cells[at] = text
+	r.cells[index] = text
 	r.page.lines[r.line] = "| " + strings.Join(r.cells, " | ") + " |"
 }
 
-// splitRow returns the trimmed cells of a row.
+// splitRow returns the cells of a row without surrounding space.
 func splitRow(line string) []string {
 	inner := strings.TrimSuffix(strings.TrimPrefix(strings.TrimSpace(line), "|"), "|")
 	cells := strings.Split(inner, "|")
--- a/vload/services/sheet/series.go
+++ b/vload/services/sheet/series.go
@@ -6,17 +6,17 @@
 	"verbenaroad.example/vload/services/slope"
 )
 
-// Series are measured points in CSV files of one directory.
+// Series gives access to the measured series in the CSV files of one directory.
 type Series struct {
 	files fs.FS
 }
 
-// NewSeries returns the series of a directory.
+// NewSeries returns the series in a directory.
 func NewSeries(files fs.FS) *Series {
 	return &Series{files: files}
 }
 
-// points reads two columns of a series.
+// points reads the columns x and y of a series.
 func (s *Series) points(series, x, y string) (xs, ys []float64, err error) {
 	file, err := s.files.Open(series + ".csv")
 	if err != nil {
@@ -30,7 +30,7 @@
 	return xs, ys, nil
 }
 
-// fit returns the line of y over x with its points.
+// fit returns the least-squares line of y over x with its points.
 func (s *Series) fit(series, x, y string) (Line, error) {
 	line := Line{Series: series, XName: x, YName: y}
 	var err error
@@ -45,7 +45,7 @@
 	return line, nil
 }
 
-// mean returns the mean of y over the points at one x.
+// mean returns the mean of y over the points at which x has the given value.
 func (s *Series) mean(series, x string, at float64, y string) (float64, error) {
 	xs, ys, err := s.points(series, x, y)
 	if err != nil {
--- a/vload/services/sheet/sheet_test.go
+++ b/vload/services/sheet/sheet_test.go
@@ -32,41 +32,41 @@
 	return sheet.NewSeries(fstest.MapFS{"peers.csv": &fstest.MapFile{Data: []byte(text)}})
 }
 
-func TestCheckAgrees(t *testing.T) {
+func TestCheckAcceptsMatchingPage(t *testing.T) {
 	is := is.New(t)
 	result, err := sheet.Check(sheet.ParsePage(page), newSeries())
 	is.NoErr(err)
-	is.Equal(len(result.Faults), 0)
+	is.Equal(len(result.Mismatches), 0)
 	is.Equal(result.Rows, 4)
 }
 
-func TestCheckFindsDifferences(t *testing.T) {
-	tests := map[string]struct{ old, replacement, fault string }{
-		"slope over 2%":    {"| 2 | 0 | 3", "| 2.05 | 0 | 3", "line 5, beat: slope"},
-		"value over 2%":    {"2,003", "2,050", "line 10, all: value"},
-		"does not fit":     {"| 8000 | yes", "| 2000 | yes", "line 10, all: fits"},
-		"fits and says no": {"| 20 | **no**", "| 30 | **no**", "line 11, some: fits"},
-		"no in plain type": {"**no**", "no", "line 11, some: fits"},
+func TestCheckReportsMismatches(t *testing.T) {
+	tests := map[string]struct{ old, replacement, mismatch string }{
+		"slope differs by over 2%": {"| 2 | 0 | 3", "| 2.05 | 0 | 3", "line 5, beat: slope"},
+		"value differs by over 2%": {"2,003", "2,050", "line 10, all: value"},
+		"over limit but says yes":  {"| 8000 | yes", "| 2000 | yes", "line 10, all: fits"},
+		"within limit but says no": {"| 20 | **no**", "| 30 | **no**", "line 11, some: fits"},
+		"no is not bold":           {"**no**", "no", "line 11, some: fits"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			result, err := sheet.Check(sheet.ParsePage(strings.Replace(page, test.old, test.replacement, 1)), newSeries())
 			is.NoErr(err)
-			is.Equal(len(result.Faults), 1)
-			is.True(strings.HasPrefix(result.Faults[0], test.fault))
+			is.Equal(len(result.Mismatches), 1)
+			is.True(strings.HasPrefix(result.Mismatches[0], test.mismatch))
 		})
 	}
 }
 
-func TestCheckTakesDifferencesUpToTwoPercent(t *testing.T) {
+func TestCheckAcceptsDifferencesUpToTwoPercent(t *testing.T) {
 	is := is.New(t)
 	result, err := sheet.Check(sheet.ParsePage(strings.Replace(page, "2,003", "2,040", 1)), newSeries())
 	is.NoErr(err)
-	is.Equal(len(result.Faults), 0)
+	is.Equal(len(result.Mismatches), 0)
 }
 
-func TestCheckRefuses(t *testing.T) {
+func TestCheckRejectsInvalidPages(t *testing.T) {
 	tests := map[string]struct{ old, replacement string }{
 		"unknown name":   {"beat * sessions", "beats * sessions"},
 		"unknown series": {"| beat | peers |", "| beat | pears |"},
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestWriteMakesThePageAgree(t *testing.T) {
+func TestCheckAcceptsWrittenPage(t *testing.T) {
 	is := is.New(t)
 	stale := strings.NewReplacer("2,003", "1", "| 2 | 0 | 3 |", "| | | |", "| yes |", "| |").Replace(page)
 	written := sheet.ParsePage(stale)
@@ -96,5 +96,5 @@
 	is.True(strings.Contains(written.String(), "| left | alone |"))
 	result, err := sheet.Check(sheet.ParsePage(written.String()), newSeries())
 	is.NoErr(err)
-	is.Equal(len(result.Faults), 0)
+	is.Equal(len(result.Mismatches), 0)
 }
