--- a/vload/cmds/capacity.go
+++ b/vload/cmds/capacity.go
@@ -13,8 +13,8 @@
 	"verbenaroad.example/vload/services/sheet"
 )
 
-// capacity holds the flags of capacity.
-type capacity struct {
+// capacityCommand implements the subcommand capacity: it recalculates the tables of a page.
+type capacityCommand struct {
 	out    io.Writer
 	page   string
 	series string
@@ -22,9 +22,10 @@
 	plots  string
 }
 
-// newCapacityCommand returns the subcommand that works out a page's tables from measured series.
+// newCapacityCommand returns the subcommand that recalculates the tables of a page from measured
+// series and either checks or rewrites the page.
 func newCapacityCommand(out io.Writer) *ffcli.Command {
-	c := &capacity{out: out}
+	c := &capacityCommand{out: out}
 	flags := newFlags("capacity")
 	flags.StringVar(&c.page, "page", "docs/CAPACITY.md", "page with tables of lines and figures")
 	flags.StringVar(&c.series, "slopes", "docs/slopes", "directory of the measured series")
@@ -39,7 +40,8 @@
 	}
 }
 
-func (c *capacity) exec(context.Context, []string) error {
+// exec checks the page and fails if any figure differs, or rewrites the page with --write.
+func (c *capacityCommand) exec(context.Context, []string) error {
 	text, err := os.ReadFile(c.page)
 	if err != nil {
 		return ErrCommand.Wrap(err)
@@ -53,8 +55,8 @@
 	if err != nil {
 		return err
 	}
-	for _, fault := range result.Mismatches {
-		_, _ = fmt.Fprintln(c.out, fault)
+	for _, mismatch := range result.Mismatches {
+		_, _ = fmt.Fprintln(c.out, mismatch)
 	}
 	if len(result.Mismatches) > 0 {
 		return ErrCommand.New("%d of %d rows differ from the series", len(result.Mismatches), result.Rows)
@@ -63,7 +65,8 @@
 	return nil
 }
 
-func (c *capacity) rewrite(page *sheet.Page, series *sheet.Series) error {
+// rewrite writes the recalculated figures into the page and plots the fitted lines.
+func (c *capacityCommand) rewrite(page *sheet.Page, series *sheet.Series) error {
 	result, err := sheet.Write(page, series)
 	if err != nil {
 		return err
@@ -75,15 +78,15 @@
 		return nil
 	}
 	for i := range result.Lines {
-		if err := c.draw(&result.Lines[i]); err != nil {
+		if err := c.plot(&result.Lines[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// draw plots one line under its series and column.
-func (c *capacity) draw(line *sheet.Line) error {
+// plot writes the plot of one line to a file named after the series and the column of y.
+func (c *capacityCommand) plot(line *sheet.Line) error {
 	file := filepath.Join(c.plots, line.Series+"-"+line.YName+".svg")
 	return chart.Fit(line.X, line.Y, &line.Fit, line.XName, line.YName, file)
 }
--- a/vload/cmds/causes.go
+++ b/vload/cmds/causes.go
@@ -11,31 +11,33 @@
 	"verbenaroad.example/vload/services/cause"
 )
 
-// explainer reads log lines and prints where the time of requests went.
-type explainer struct {
+// causesCommand implements the subcommand causes: it reads log lines and reports where requests
+// spent their time.
+type causesCommand struct {
 	out    io.Writer
 	window time.Duration
 }
 
-// newCausesCommand returns the subcommand that explains a run from its logs.
+// newCausesCommand returns the subcommand that analyzes a run from the logs of its ingresses.
 func newCausesCommand(out io.Writer) *ffcli.Command {
-	e := &explainer{out: out}
+	c := &causesCommand{out: out}
 	flags := newFlags("causes")
-	flags.DurationVar(&e.window, "window", 2*time.Second, "`time` over which calls are summed up")
+	flags.DurationVar(&c.window, "window", 2*time.Second, "`time` over which calls are summed up")
 	return &ffcli.Command{
 		Name:       "causes",
 		ShortUsage: "vload causes [--window TIME] FILE...",
 		ShortHelp:  "from the log lines of ingresses: where time went, how full calls were, why requests were not served",
 		FlagSet:    flags,
-		Exec:       e.exec,
+		Exec:       c.exec,
 	}
 }
 
-func (e *explainer) exec(_ context.Context, files []string) error {
+// exec reads all log files and prints the report.
+func (c *causesCommand) exec(_ context.Context, files []string) error {
 	if len(files) == 0 {
-		return ErrCommand.New("causes: name the files that hold the log lines")
+		return ErrCommand.New("causes: no log files given")
 	}
-	if e.window <= 0 {
+	if c.window <= 0 {
 		return ErrCommand.New("causes: --window: must be above 0")
 	}
 	readers := []io.Reader{}
@@ -47,9 +49,9 @@
 		defer func() { _ = file.Close() }()
 		readers = append(readers, file)
 	}
-	report := cause.NewReport(e.window)
+	report := cause.NewReport(c.window)
 	if err := report.Read(io.MultiReader(readers...)); err != nil {
 		return err
 	}
-	return report.Write(e.out)
+	return report.Write(c.out)
 }
--- a/vload/cmds/cmds_test.go
+++ b/vload/cmds/cmds_test.go
@@ -16,7 +16,8 @@
 	"verbenaroad.example/vload/cmds"
 )
 
-// scenario loads an engine for a moment.
+// scenario offers load to an engine for 100 ms. Its verbs take the addresses of the target and of
+// the expvar page.
 const scenario = `
 name = "short"
 [target]
@@ -41,7 +42,7 @@
 stream = true
 `
 
-// serveEngine starts a server that streams two tokens.
+// serveEngine starts a server that streams two tokens for each request and returns its address.
 func serveEngine(t *testing.T) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -77,7 +78,7 @@
 	is.True(strings.Contains(string(plot), "direct-engine"))
 }
 
-func TestFit(t *testing.T) {
+func TestFitWritesLineAndPlot(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	file, plot := filepath.Join(dir, "points.csv"), filepath.Join(dir, "line.svg")
@@ -89,7 +90,7 @@
 	is.NoErr(err)
 }
 
-func TestBadCommandLines(t *testing.T) {
+func TestInvalidCommandLinesFail(t *testing.T) {
 	tests := map[string][]string{
 		"run without scenario": {"run"},
 		"compare nothing":      {"compare", "--dir", t.TempDir()},
--- a/vload/cmds/compare.go
+++ b/vload/cmds/compare.go
@@ -17,8 +17,8 @@
 	"verbenaroad.example/vload/services/merge"
 )
 
-// comparer merges the runs below a directory.
-type comparer struct {
+// compareCommand implements the subcommand compare: it summarizes the runs below a directory.
+type compareCommand struct {
 	out    io.Writer
 	dir    string
 	to     string
@@ -27,9 +27,9 @@
 	format string
 }
 
-// newCompareCommand returns the subcommand that sums up several runs.
+// newCompareCommand returns the subcommand that summarizes several runs.
 func newCompareCommand(out io.Writer) *ffcli.Command {
-	c := &comparer{out: out}
+	c := &compareCommand{out: out}
 	flags := newFlags("compare")
 	flags.StringVar(&c.dir, "dir", "", "directory searched for "+csvFile+" files")
 	flags.StringVar(&c.to, "to", "", "directory for compare.csv, compare.md and the plots; default: --dir")
@@ -45,9 +45,9 @@
 	}
 }
 
-// exec writes the tables and plots.
-func (c *comparer) exec(context.Context, []string) error {
-	pattern, err := c.check()
+// exec writes the tables and the plots.
+func (c *compareCommand) exec(context.Context, []string) error {
+	pattern, err := c.prepare()
 	if err != nil {
 		return err
 	}
@@ -62,11 +62,12 @@
 	if err := c.writeTables(all); err != nil {
 		return err
 	}
-	return c.draw(all, pattern)
+	return c.plot(all, pattern)
 }
 
-// check reads the flags and fills in their defaults.
-func (c *comparer) check() (*regexp.Regexp, error) {
+// prepare checks the flags, sets their defaults, creates the output directory and returns the
+// pattern of the classes to plot.
+func (c *compareCommand) prepare() (*regexp.Regexp, error) {
 	if c.dir == "" {
 		return nil, ErrCommand.New("--dir is missing")
 	}
@@ -83,7 +84,7 @@
 	return pattern, ErrCommand.Wrap(err)
 }
 
-// readRuns reads every result file below a directory.
+// readRuns reads every result.csv below a directory.
 func readRuns(dir string) ([]report.Row, error) {
 	var rows []report.Row
 	err := filepath.WalkDir(dir, func(name string, entry fs.DirEntry, err error) error {
@@ -114,8 +115,8 @@
 	return rows, nil
 }
 
-// writeTables writes the summaries as CSV and markdown.
-func (c *comparer) writeTables(all []merge.Summary) error {
+// writeTables writes the summaries as CSV and Markdown.
+func (c *compareCommand) writeTables(all []merge.Summary) error {
 	var table, text strings.Builder
 	if err := merge.WriteCSV(&table, all); err != nil {
 		return err
@@ -129,8 +130,8 @@
 	return ErrCommand.Wrap(os.WriteFile(filepath.Join(c.to, "compare.md"), []byte(text.String()), fileMode))
 }
 
-// draw makes one plot for each scenario.
-func (c *comparer) draw(all []merge.Summary, pattern *regexp.Regexp) error {
+// plot writes one plot for each scenario, with the classes that match the pattern.
+func (c *compareCommand) plot(all []merge.Summary, pattern *regexp.Regexp) error {
 	var scenarios, classes []string
 	for _, s := range all {
 		if !slices.Contains(scenarios, s.Scenario) {
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// fileName returns a text without separators of paths.
+// fileName replaces slashes and spaces in a text by hyphens, for use in a file name.
 func fileName(text string) string {
 	return strings.NewReplacer("/", "-", " ", "-").Replace(text)
 }
--- a/vload/cmds/draft.go
+++ b/vload/cmds/draft.go
@@ -9,7 +9,7 @@
 	"verbenaroad.example/vload/services/draft"
 )
 
-// newDraftCommand returns the subcommand that writes a configuration of any size.
+// newDraftCommand returns the subcommand that generates a configuration of any size.
 func newDraftCommand(out io.Writer) *ffcli.Command {
 	var o draft.Options
 	change := 0
--- a/vload/cmds/fit.go
+++ b/vload/cmds/fit.go
@@ -12,22 +12,22 @@
 	"verbenaroad.example/vload/services/slope"
 )
 
-// fitter draws a line through two columns.
-type fitter struct {
+// fitCommand implements the subcommand fit: it fits a line to two columns of a CSV file.
+type fitCommand struct {
 	out   io.Writer
 	csv   string
 	x     string
 	y     string
 	plot  string
 	toCSV string
-	// unitX and unitY are only shown.
+	// unitX and unitY are used only in the axis titles of the plot.
 	unitX string
 	unitY string
 }
 
-// newFitCommand returns the subcommand that fits a line.
+// newFitCommand returns the subcommand that fits a line to measured points.
 func newFitCommand(out io.Writer) *ffcli.Command {
-	f := &fitter{out: out}
+	f := &fitCommand{out: out}
 	flags := newFlags("fit")
 	flags.StringVar(&f.csv, "csv", "", "file with a header")
 	flags.StringVar(&f.x, "x", "", "column of x")
@@ -45,8 +45,8 @@
 	}
 }
 
-// exec fits, prints and draws the line.
-func (f *fitter) exec(context.Context, []string) error {
+// exec fits the line, prints it and draws the plot.
+func (f *fitCommand) exec(context.Context, []string) error {
 	text, err := os.ReadFile(f.csv)
 	if err != nil {
 		return ErrCommand.Wrap(err)
@@ -65,19 +65,19 @@
 	if f.plot == "" {
 		return nil
 	}
-	return chart.Fit(x, y, &line, titleOf(f.x, f.unitX), titleOf(f.y, f.unitY), f.plot)
+	return chart.Fit(x, y, &line, axisTitle(f.x, f.unitX), axisTitle(f.y, f.unitY), f.plot)
 }
 
-// titleOf returns the title of an axis.
-func titleOf(name, unit string) string {
+// axisTitle returns the title of an axis: its name and, if given, its unit.
+func axisTitle(name, unit string) string {
 	if unit == "" {
 		return name
 	}
 	return name + " [" + unit + "]"
 }
 
-// write puts the line on the writer and into its file.
-func (f *fitter) write(line *slope.Line) error {
+// write prints the line as CSV and writes it to the file of --to, if given.
+func (f *fitCommand) write(line *slope.Line) error {
 	var text bytes.Buffer
 	if err := line.WriteCSV(&text, f.x, f.y); err != nil {
 		return err
--- a/vload/cmds/meter.go
+++ b/vload/cmds/meter.go
@@ -13,8 +13,8 @@
 	"verbenaroad.example/vload/services/meter"
 )
 
-// metering holds the flags of meter.
-type metering struct {
+// meterCommand implements the subcommand meter: it measures the resource use of processes.
+type meterCommand struct {
 	options meter.Options
 	targets string
 	given   string
@@ -22,9 +22,10 @@
 	windows int
 }
 
-// newMeterCommand returns the subcommand that measures processes over windows.
+// newMeterCommand returns the subcommand that measures the resource use of processes over time
+// windows.
 func newMeterCommand(_ io.Writer) *ffcli.Command {
-	m := &metering{}
+	m := &meterCommand{}
 	flags := newFlags("meter")
 	flags.StringVar(&m.targets, "targets", "", "PID@IP:PORT of processes and their expvar pages, separated by commas; the mean is recorded")
 	flags.TextVar(&m.options.Store, "store", netip.AddrPort{}, "ip:port of the control address of the key-value stand-in")
@@ -42,8 +43,9 @@
 	}
 }
 
-func (m *metering) exec(ctx context.Context, _ []string) error {
-	if err := m.read(); err != nil {
+// exec measures one window after another and appends a record for each.
+func (m *meterCommand) exec(ctx context.Context, _ []string) error {
+	if err := m.parseFlags(); err != nil {
 		return err
 	}
 	for range m.windows {
@@ -58,7 +60,8 @@
 	return nil
 }
 
-func (m *metering) read() error {
+// parseFlags parses the values of --targets and --row.
+func (m *meterCommand) parseFlags() error {
 	for part := range strings.SplitSeq(m.targets, ",") {
 		pid, address, _ := strings.Cut(part, "@")
 		number, err := strconv.Atoi(pid)
--- a/vload/cmds/root.go
+++ b/vload/cmds/root.go
@@ -1,4 +1,4 @@
-// Package cmds holds the subcommands of vload.
+// Package cmds implements the subcommands of vload.
 package cmds
 
 import (
@@ -13,7 +13,7 @@
 // ErrCommand is the class of errors of this package.
 var ErrCommand = errs.Class("vload") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// Run executes the command line and writes what it prints to out.
+// Run executes the subcommand in args and writes its output to out.
 func Run(ctx context.Context, args []string, out io.Writer) error {
 	root := &ffcli.Command{
 		Name:       "vload",
@@ -36,12 +36,12 @@
 	return root.ParseAndRun(ctx, args)
 }
 
-// showHelp is what a call without a subcommand does.
+// showHelp runs when no subcommand is given. It returns the error for which ffcli prints the help.
 func showHelp(context.Context, []string) error {
 	return flag.ErrHelp
 }
 
-// newFlags returns the flags of a subcommand.
+// newFlags returns an empty flag set for a subcommand.
 func newFlags(name string) *flag.FlagSet {
 	return flag.NewFlagSet("vload "+name, flag.ContinueOnError)
 }
--- a/vload/cmds/run.go
+++ b/vload/cmds/run.go
@@ -20,20 +20,20 @@
 	"verbenaroad.example/vload/services/tally"
 )
 
-// The files of one run; compare looks for the first.
+// Names of the result files of a run. The subcommand compare reads the CSV files.
 const (
 	csvFile  = "result.csv"
 	jsonFile = "result.json"
 )
 
-// Modes of what is written: results are for everyone who may read the directory.
+// Modes of the directories and files that are written: every user may read them.
 const (
 	directoryMode = 0o755
 	fileMode      = 0o644
 )
 
-// loader offers the load of one scenario file.
-type loader struct {
+// runCommand implements the subcommand run: it offers the load of one scenario file.
+type runCommand struct {
 	out      io.Writer
 	scenario string
 	dir      string
@@ -42,58 +42,59 @@
 	run      int
 }
 
-// register adds the flags common to run and direct.
-func (l *loader) register(flags *flag.FlagSet) {
-	flags.StringVar(&l.scenario, "scenario", "", "scenario file")
-	flags.StringVar(&l.dir, "out", "", "directory for result.csv and result.json; none: only the table")
-	flags.StringVar(&l.policy, "policy", "", "replaces the scenario's policy label")
-	flags.Uint64Var(&l.seed, "seed", 0, "replaces the scenario's seed unless 0")
-	flags.IntVar(&l.run, "run", 1, "number of this run in the results")
+// register adds the flags that run and direct share.
+func (r *runCommand) register(flags *flag.FlagSet) {
+	flags.StringVar(&r.scenario, "scenario", "", "scenario file")
+	flags.StringVar(&r.dir, "out", "", "directory for result.csv and result.json; none: only the table")
+	flags.StringVar(&r.policy, "policy", "", "replaces the scenario's policy label")
+	flags.Uint64Var(&r.seed, "seed", 0, "replaces the scenario's seed unless 0")
+	flags.IntVar(&r.run, "run", 1, "number of this run in the results")
 }
 
-// newRunCommand returns the subcommand that loads the scenario's own target.
+// newRunCommand returns the subcommand that offers load to the target in the scenario file.
 func newRunCommand(out io.Writer) *ffcli.Command {
-	l := &loader{out: out}
+	r := &runCommand{out: out}
 	flags := newFlags("run")
-	l.register(flags)
+	r.register(flags)
 	return &ffcli.Command{
 		Name:       "run",
 		ShortUsage: "vload run --scenario FILE [--out DIR] [--seed N] [--run N] [--policy NAME]",
 		ShortHelp:  "offers the load of a scenario",
 		FlagSet:    flags,
-		Exec:       l.exec,
+		Exec:       r.exec,
 	}
 }
 
-// exec loads the target that the file names.
-func (l *loader) exec(ctx context.Context, _ []string) error {
-	s, err := l.load()
+// exec offers the load to the target in the scenario file.
+func (r *runCommand) exec(ctx context.Context, _ []string) error {
+	s, err := r.loadScenario()
 	if err != nil {
 		return err
 	}
-	return l.offer(ctx, s)
+	return r.offer(ctx, s)
 }
 
-// load reads the scenario and applies the flags.
-func (l *loader) load() (*scene.Scenario, error) {
-	if l.scenario == "" {
+// loadScenario reads the scenario file and applies the flags.
+func (r *runCommand) loadScenario() (*scene.Scenario, error) {
+	if r.scenario == "" {
 		return nil, ErrCommand.New("--scenario is missing")
 	}
-	s, err := scene.Load(l.scenario)
+	s, err := scene.Load(r.scenario)
 	if err != nil {
 		return nil, err
 	}
-	if l.seed != 0 {
-		s.Seed = l.seed
+	if r.seed != 0 {
+		s.Seed = r.seed
 	}
-	if l.policy != "" {
-		s.Policy = l.policy
+	if r.policy != "" {
+		s.Policy = r.policy
 	}
 	return s, nil
 }
 
-// offer runs the load and writes the results. An interrupted run writes none, since its figures are not those of the scenario.
-func (l *loader) offer(ctx context.Context, s *scene.Scenario) error {
+// offer offers the load and writes the results. An interrupted run writes no results, because its
+// figures do not cover the whole scenario.
+func (r *runCommand) offer(ctx context.Context, s *scene.Scenario) error {
 	book := tally.NewBook(s)
 	reader := gauge.NewReader()
 	before := gauge.StartDelayedRead(ctx, reader, s.Metrics.Addresses, s.LeadingWarmUp())
@@ -106,26 +107,26 @@
 		rows[i].Scenario = s.Name
 		rows[i].Policy = s.Policy
 		rows[i].Seed = s.Seed
-		rows[i].Run = l.run
+		rows[i].Run = r.run
 	}
-	return l.write(rows)
+	return r.write(rows)
 }
 
-// write puts the rows on the writer and into the directory.
-func (l *loader) write(rows []report.Row) error {
-	if err := report.WriteTable(l.out, rows); err != nil {
+// write prints the rows as a table and writes them to the output directory, if one is given.
+func (r *runCommand) write(rows []report.Row) error {
+	if err := report.WriteTable(r.out, rows); err != nil {
 		return err
 	}
-	if l.dir == "" {
+	if r.dir == "" {
 		return nil
 	}
-	if err := writeFile(filepath.Join(l.dir, csvFile), rows, report.WriteCSV); err != nil {
+	if err := writeFile(filepath.Join(r.dir, csvFile), rows, report.WriteCSV); err != nil {
 		return err
 	}
-	return writeFile(filepath.Join(l.dir, jsonFile), rows, report.WriteJSON)
+	return writeFile(filepath.Join(r.dir, jsonFile), rows, report.WriteJSON)
 }
 
-// writeFile writes rows to a file and makes its directory.
+// writeFile writes rows to a file in the format of write and creates the directory of the file.
 func writeFile(name string, rows []report.Row, write func(io.Writer, []report.Row) error) error {
 	if err := os.MkdirAll(filepath.Dir(name), directoryMode); err != nil {
 		return ErrCommand.Wrap(err)
@@ -137,17 +138,19 @@
 	return ErrCommand.Wrap(os.WriteFile(name, []byte(text.String()), fileMode))
 }
 
-// direct loads backend servers without the system between.
-type direct struct {
-	loader
+// directCommand implements the subcommand direct: it offers load to backend servers directly,
+// bypassing entries, ingresses and agents.
+type directCommand struct {
+	runCommand
 	kind      string
 	addresses string
 	model     string
 }
 
-// newDirectCommand returns the subcommand that replaces the scenario's target.
+// newDirectCommand returns the subcommand that offers load to backend servers in place of the
+// target in the scenario file.
 func newDirectCommand(out io.Writer) *ffcli.Command {
-	d := &direct{loader: loader{out: out}}
+	d := &directCommand{runCommand: runCommand{out: out}}
 	flags := newFlags("direct")
 	d.register(flags)
 	flags.StringVar(&d.kind, "kind", string(scene.TargetEngine), "engine or http")
@@ -162,9 +165,9 @@
 	}
 }
 
-// exec loads the backend servers of the flags.
-func (d *direct) exec(ctx context.Context, _ []string) error {
-	s, err := d.load()
+// exec offers the load to the backend servers in the flags.
+func (d *directCommand) exec(ctx context.Context, _ []string) error {
+	s, err := d.loadScenario()
 	if err != nil {
 		return err
 	}
@@ -185,7 +188,7 @@
 	return d.offer(ctx, s)
 }
 
-// parseAddresses reads a list separated by commas; an empty text has none.
+// parseAddresses parses a list of addresses separated by commas, which may be empty.
 func parseAddresses(text string) ([]netip.AddrPort, error) {
 	var all []netip.AddrPort
 	for part := range strings.SplitSeq(text, ",") {
--- a/vload/cmds/sample.go
+++ b/vload/cmds/sample.go
@@ -13,8 +13,8 @@
 	"verbenaroad.example/vload/services/sample"
 )
 
-// watcher records what processes use.
-type watcher struct {
+// sampleCommand implements the subcommand sample: it records the resource use of processes.
+type sampleCommand struct {
 	out       io.Writer
 	pids      string
 	file      string
@@ -23,9 +23,10 @@
 	options   sample.Options
 }
 
-// newSampleCommand returns the subcommand that records processes.
+// newSampleCommand returns the subcommand that records the resource use and expvar figures of
+// processes.
 func newSampleCommand(out io.Writer) *ffcli.Command {
-	w := &watcher{out: out}
+	w := &sampleCommand{out: out}
 	flags := newFlags("sample")
 	flags.StringVar(&w.pids, "pids", "", `file with lines "PID" or "NAME PID"`)
 	flags.StringVar(&w.file, "out", "", "CSV file; none: printed")
@@ -42,9 +43,9 @@
 	}
 }
 
-// exec records until the time is over or ctx ends.
-func (w *watcher) exec(ctx context.Context, _ []string) error {
-	if err := w.read(); err != nil {
+// exec records until the length of --for has passed or ctx is canceled.
+func (w *sampleCommand) exec(ctx context.Context, _ []string) error {
+	if err := w.parseFlags(); err != nil {
 		return err
 	}
 	out := w.out
@@ -59,8 +60,8 @@
 	return sample.NewSampler(w.options, out).Record(ctx)
 }
 
-// read turns the flags into options.
-func (w *watcher) read() error {
+// parseFlags checks the flags and sets the options from them.
+func (w *sampleCommand) parseFlags() error {
 	if w.options.Every <= 0 {
 		return ErrCommand.New("--every must be over 0")
 	}
@@ -82,7 +83,7 @@
 	return err
 }
 
-// parseKeys reads pairs such as "reads=kv/reads" separated by commas.
+// parseKeys parses pairs of a name and a path, for example "reads=kv/reads", separated by commas.
 func parseKeys(text string) ([]scene.MetricKey, error) {
 	var all []scene.MetricKey
 	for part := range strings.SplitSeq(text, ",") {
--- a/vload/cmds/stand.go
+++ b/vload/cmds/stand.go
@@ -12,7 +12,8 @@
 	"verbenaroad.example/vload/services/stand"
 )
 
-// newStandCommand returns the subcommand that keeps stand-ins of agents and entries.
+// newStandCommand returns the subcommand that runs stand-ins of agents and entries until it is
+// interrupted.
 func newStandCommand(out io.Writer) *ffcli.Command {
 	var o stand.Options
 	flags := newFlags("stand")
