--- a/fakes/cmds/hosted.go
+++ b/fakes/cmds/hosted.go
@@ -36,9 +36,9 @@
 func fillWorld(w *hosted.World) error {
 	for _, zone := range []string{"a1", "b1"} {
 		for _, s := range []*hosted.Server{
-			{Service: "orders", Zone: zone, Work: 20 * time.Millisecond},
-			{Service: "models", Zone: zone, Events: 6, Gap: 40 * time.Millisecond},
-			{Service: "encoders", Zone: zone, Work: 50 * time.Millisecond, Batch: 8, Room: 50},
+			{Service: "orders", Zone: zone, WorkTime: 20 * time.Millisecond},
+			{Service: "models", Zone: zone, Events: 6, EventInterval: 40 * time.Millisecond},
+			{Service: "encoders", Zone: zone, WorkTime: 50 * time.Millisecond, MaxBatch: 8, MaxResults: 50},
 		} {
 			if _, err := w.Add(s); err != nil {
 				return err
--- a/fakes/services/hosted/calls.go
+++ b/fakes/services/hosted/calls.go
@@ -10,7 +10,7 @@
 )
 
 func (s *Store) serve(p *port, w http.ResponseWriter, r *http.Request) {
-	if !s.answers(p, w, r) {
+	if !s.checkFault(p, w, r) {
 		return
 	}
 	path := r.URL.Path
@@ -24,16 +24,16 @@
 	case path == "/api/kv-lease":
 		s.serveGrant(w, r)
 	case strings.HasPrefix(path, "/api/kv-keep/"):
-		s.serveKeep(w, strings.TrimPrefix(path, "/api/kv-keep/"), false)
+		s.serveLease(w, strings.TrimPrefix(path, "/api/kv-keep/"), false)
 	case strings.HasPrefix(path, "/api/kv-lease-end/"):
-		s.serveKeep(w, strings.TrimPrefix(path, "/api/kv-lease-end/"), true)
+		s.serveLease(w, strings.TrimPrefix(path, "/api/kv-lease-end/"), true)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// answers fails as the address is set to.
-func (s *Store) answers(p *port, w http.ResponseWriter, r *http.Request) bool {
+// checkFault applies the fault of the address to the request and reports whether the request is to be served.
+func (s *Store) checkFault(p *port, w http.ResponseWriter, r *http.Request) bool {
 	s.lock.Lock()
 	fault := p.fault
 	s.lock.Unlock()
@@ -50,6 +50,7 @@
 	return false
 }
 
+// serveRange lists a page of the items under a prefix.
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -69,9 +70,11 @@
 	reply(w, http.StatusOK, map[string]any{"Items": items, "HasMore": more, "At": s.revision})
 }
 
-// pageItems is the size of a page; small, so that tests see several.
+// pageItems is the maximum number of items of a page of a listing. It is small so that listings in tests
+// have several pages.
 const pageItems = 10
 
+// serveWatch returns the events under a prefix after a revision, and waits for one if there is none yet.
 func (s *Store) serveWatch(p *port, w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get("After"), 10, 64)
@@ -80,16 +83,16 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	ends := time.Now().Add(time.Duration(wait) * time.Millisecond)
+	deadline := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for {
-		// An address that fails tells nothing any more, also not to a watch that waits.
-		if p.fault != StoreWell {
+		// An address with a fault also resets the watches that are already waiting.
+		if p.fault != NoStoreFault {
 			cut(w)
 			return
 		}
-		if after < s.dropped {
+		if after < s.compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -99,7 +102,7 @@
 				events = append(events, i)
 			}
 		}
-		if len(events) > 0 || time.Now().After(ends) || s.closed || r.Context().Err() != nil {
+		if len(events) > 0 || time.Now().After(deadline) || s.closed || r.Context().Err() != nil {
 			reply(w, http.StatusOK, map[string]any{"events": events, "At": s.revision})
 			return
 		}
@@ -107,6 +110,7 @@
 	}
 }
 
+// serveWrite writes items; it writes none if the lease of one of them does not exist.
 func (s *Store) serveWrite(w http.ResponseWriter, r *http.Request) {
 	body := struct{ SetKeys []item }{}
 	if json.NewDecoder(r.Body).Decode(&body) != nil {
@@ -128,7 +132,7 @@
 }
 
 func (s *Store) serveGrant(w http.ResponseWriter, r *http.Request) {
-	body := struct{ TtlMs int64 }{} //nolint:revive // the platform's spelling
+	body := struct{ TtlMs int64 }{} //nolint:revive // the field name of the platform
 	if json.NewDecoder(r.Body).Decode(&body) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -141,7 +145,8 @@
 	reply(w, http.StatusOK, map[string]any{"Lease": s.lastLease, "TtlMs": body.TtlMs})
 }
 
-func (s *Store) serveKeep(w http.ResponseWriter, id string, end bool) {
+// serveLease renews a lease, or ends it if end is set.
+func (s *Store) serveLease(w http.ResponseWriter, id string, end bool) {
 	lease, err := strconv.ParseUint(id, 10, 64)
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/fakes/services/hosted/http.go
+++ b/fakes/services/hosted/http.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// httpServer is a server on a loopback address of its own.
+// httpServer is an HTTP server with its own listener on a loopback address.
 type httpServer struct {
 	server   *http.Server
 	listener net.Listener
@@ -28,17 +28,17 @@
 	if err != nil {
 		return nil, err
 	}
-	at, err := netip.ParseAddrPort(listener.Addr().String())
+	bound, err := netip.ParseAddrPort(listener.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	s := &httpServer{server: &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}, listener: listener, address: at}
+	s := &httpServer{server: &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}, listener: listener, address: bound}
 	go s.run()
 	return s, nil
 }
 
 func (s *httpServer) run() {
-	_ = s.server.Serve(s.listener) // ends when it is closed
+	_ = s.server.Serve(s.listener) // returns when the server is closed
 }
 
 func (s *httpServer) close() { _ = s.server.Close() }
@@ -46,10 +46,10 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(body) // an error means that the caller has disconnected
 }
 
-// cut resets the connection without an answer.
+// cut resets the connection of a request instead of completing the answer.
 func cut(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
@@ -60,7 +60,7 @@
 		return
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // a reset and not an orderly end
+		_ = tcp.SetLinger(0) // Close sends a reset instead of a FIN
 	}
 	_ = conn.Close()
 }
--- a/fakes/services/hosted/pool.go
+++ b/fakes/services/hosted/pool.go
@@ -8,7 +8,7 @@
 )
 
 type stageItem struct {
-	Id      string //nolint:revive // the platform's spelling
+	Id      string //nolint:revive // the field name of the platform
 	Phase   int
 	Segment int
 	Key     string
@@ -21,16 +21,16 @@
 }
 
 const (
-	// maxWaiting is how many calls may wait for their turn.
+	// maxWaiting is the maximum number of calls that wait for their turn.
 	maxWaiting = 2
-	// keepTime is how long a result is held unless it is released.
-	keepTime = 4 * time.Second
+	// resultTTL is how long a result is held unless it is released.
+	resultTTL = 4 * time.Second
 )
 
-// serveRun makes results, one call at a time.
+// serveRun produces the results of a pool call. The server runs one call at a time.
 func (s *Server) serveRun(w http.ResponseWriter, r *http.Request, body []byte) {
 	call := struct{ Items []stageItem }{}
-	if json.Unmarshal(body, &call) != nil || len(call.Items) > s.Batch {
+	if json.Unmarshal(body, &call) != nil || len(call.Items) > s.MaxBatch {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -39,17 +39,17 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if down, crashes := s.world.hasPoison(call.Items); crashes {
-		s.noteCrash()
-		s.crashFor(down)
+	if downTime, crashes := s.world.checkItems(call.Items); crashes {
+		s.recordCrash()
+		s.crashFor(downTime)
 		return
 	}
 	s.world.expire()
 	results := []stageResult{}
 	for _, i := range call.Items {
-		results = append(results, s.makeOne(i))
+		results = append(results, s.produceResult(i))
 	}
-	time.Sleep(s.Work)
+	time.Sleep(s.WorkTime)
 	fault := s.takeFault()
 	s.lock.Lock()
 	s.busy = false
@@ -63,6 +63,8 @@
 	reply(w, http.StatusOK, map[string]any{"Items": results})
 }
 
+// takeTurn waits until no other call runs and reserves the server for this one. It returns false if
+// maxWaiting calls wait already, or if the caller disconnects first.
 func (s *Server) takeTurn(r *http.Request) bool {
 	s.lock.Lock()
 	if s.waiting >= maxWaiting {
@@ -84,19 +86,20 @@
 	return true
 }
 
-// makeOne makes a result, which notes whose it is and of what.
-func (s *Server) makeOne(i stageItem) stageResult {
+// produceResult produces the result of an item. The handle names the item's Id, phase and segment, and the
+// item's Id becomes the owner of the result. An input with another owner is recorded as a violation.
+func (s *Server) produceResult(i stageItem) stageResult {
 	for _, input := range i.Inputs {
-		if !s.world.has(input) {
+		if !s.world.isHeld(input) {
 			return stageResult{Reason: "gone"}
 		}
 		if s.world.ownerOf(input) != i.Id {
-			s.world.note("an item of " + i.Id + " was given " + input + " of " + s.world.ownerOf(input))
+			s.world.recordViolation("an item of " + i.Id + " was given " + input + " of " + s.world.ownerOf(input))
 		}
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.results >= s.Room {
+	if s.results >= s.MaxResults {
 		return stageResult{Reason: "room"}
 	}
 	s.results++
@@ -105,6 +108,7 @@
 	return stageResult{Handle: handle}
 }
 
+// serveFree releases results.
 func (s *Server) serveFree(w http.ResponseWriter, body []byte) {
 	call := struct{ Handles []string }{}
 	if json.Unmarshal(body, &call) != nil {
--- a/fakes/services/hosted/server.go
+++ b/fakes/services/hosted/server.go
@@ -12,36 +12,37 @@
 	"time"
 )
 
-// Fault says how a backend server treats its next requests.
+// Fault selects how a backend server mishandles a request.
 type Fault string
 
-// The faults.
+// The faults. Plain requests, streams and pool calls each support some of them and ignore the others.
 const (
-	Well Fault = ""
-	// Shed refuses with the word that the request was not run.
-	Shed Fault = "shed"
-	// Vague answers 503 without that word, after a run.
-	Vague Fault = "vague"
-	// CutAfterRun runs the request and resets the connection.
+	// NoFault handles the request normally.
+	NoFault Fault = ""
+	// RefuseNotRun answers 503 with the header that says that the request was not run.
+	RefuseNotRun Fault = "shed"
+	// UnclassifiedFailure runs the request and answers 503 without that header.
+	UnclassifiedFailure Fault = "vague"
+	// CutAfterRun runs the request and resets the connection instead of answering.
 	CutAfterRun Fault = "cut-after-run"
 	// Hang runs the request and never answers.
 	Hang Fault = "hang"
-	// WrongID answers as for another request.
+	// WrongID answers with the attempt ID of another request.
 	WrongID Fault = "wrong-id"
-	// Unsigned answers without a signature.
+	// Unsigned answers without the server's signature header.
 	Unsigned Fault = "unsigned"
-	// Truncate breaks off in the middle of the body.
+	// Truncate resets the connection in the middle of the body.
 	Truncate Fault = "truncate"
 	// Fail runs the request and answers 500.
 	Fail Fault = "fail"
-	// CutAtOnce breaks a stream off before its answer begins.
-	CutAtOnce Fault = "cut-at-once"
-	// CutStream breaks a stream off in the middle of its third event.
+	// CutBeforeAnswer resets the connection of a stream before the answer begins.
+	CutBeforeAnswer Fault = "cut-at-once"
+	// CutStream resets the connection of a stream in the middle of the third event that it sends.
 	CutStream Fault = "cut-stream"
 )
 
-// Seen is a request as a backend server got it.
-type Seen struct {
+// Run is one run of a request, as the backend server received it.
+type Run struct {
 	AttemptID string
 	Server    string
 	Method    string
@@ -49,81 +50,85 @@
 	Host      string
 	Header    http.Header
 	Body      string
-	At        time.Time
-	// Left is when its connection ended before its answer did; zero where it did not.
-	Left time.Time
+	StartedAt time.Time
+	// CanceledAt is when the run ended because its connection had closed before the answer was complete;
+	// zero otherwise.
+	CanceledAt time.Time
 }
 
-// Server is a backend server: a plain service, or an engine where Events is above 0,
-// or a pool where Batch is.
+// Server is a backend server: of a plain service, of an engine if Events is above 0, or of a pool if
+// MaxBatch is above 0.
 type Server struct {
 	ID      string
 	Service string
 	Zone    string
-	// ColdFor is how much longer it says that it is cold.
-	ColdFor time.Duration
-	// Work is how long a plain request or a pool's call takes.
-	Work time.Duration
-	// Events is the length of a stream, Gap the time between two of them.
-	Events int
-	Gap    time.Duration
-	// Batch is the most items of a pool's call, Room the most results that it holds.
-	Batch int
-	Room  int
-	// Advertised is the address that its entry names where something stands before it.
+	// ColdRemaining is the remaining cold time that the server registers.
+	ColdRemaining time.Duration
+	// WorkTime is how long a plain request or a pool call takes.
+	WorkTime time.Duration
+	// Events is the number of events of a stream, EventInterval the time before each of them.
+	Events        int
+	EventInterval time.Duration
+	// MaxBatch is the maximum number of items of a pool call, MaxResults the maximum number of results held.
+	MaxBatch   int
+	MaxResults int
+	// Advertised is the address to register in the store if a proxy stands in front of the server;
+	// the zero value registers the address that the server listens on.
 	Advertised netip.AddrPort
-	// Version is that of its software; empty: v1.
+	// Version is the software version that the server registers; empty: v1.
 	Version string
 
 	store  *Store
 	world  *World
 	server *httpServer
 
-	lock    sync.Mutex
+	lock sync.Mutex
+	// crashed is set from a crash by a poisonous request until the restart.
 	crashed bool
 	crashes int
-	// starts counts those after the first.
-	starts  int64
-	faults  []Fault
-	seen    []Seen
-	running int
+	// restarts is the number of restarts; the registered incarnation is derived from it.
+	restarts int64
+	faults   []Fault
+	runs     []Run
+	running  int
+	// busy is set while a pool call runs; waiting is the number of pool calls that wait for it.
 	busy    bool
 	waiting int
 	results int
 }
 
-// Address returns where it listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() netip.AddrPort { return s.server.address }
 
-// SetFaults sets how the next requests are treated, one fault for each.
+// SetFaults sets the faults of the next requests, one fault for each request.
 func (s *Server) SetFaults(faults ...Fault) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.faults = faults
 }
 
-// Seen returns the requests that were run.
-func (s *Server) Seen() []Seen {
+// Runs returns the runs of plain requests and streams so far.
+func (s *Server) Runs() []Run {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return slices.Clone(s.seen)
+	return slices.Clone(s.runs)
 }
 
-// Running returns how many requests it works on.
+// Running returns the number of plain requests and streams in flight.
 func (s *Server) Running() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.running
 }
 
-// Register writes the server's entry with a state.
+// Register writes the server's registration to the store, with the given state.
 func (s *Server) Register(state string) {
 	address := s.Address()
 	if s.Advertised.IsValid() {
 		address = s.Advertised
 	}
 	s.lock.Lock()
-	starts := s.starts
+	restarts := s.restarts
 	s.lock.Unlock()
 	version := s.Version
 	if version == "" {
@@ -131,14 +136,14 @@
 	}
 	s.store.Put("servers/"+s.ID, map[string]any{
 		"Service": s.Service, "Address": address.String(), "Zone": s.Zone, "Version": version,
-		"Slots": slots, "State": state, "ColdRemainingMs": s.ColdFor.Milliseconds(), "Sequence": 1, "born": 1 + starts,
+		"Slots": slots, "State": state, "ColdRemainingMs": s.ColdRemaining.Milliseconds(), "Sequence": 1, "born": 1 + restarts,
 	})
 }
 
-// Crash closes the server without a word; Restart has it listen again.
+// Crash closes the listener and all connections and leaves the registration in the store. Restart undoes it.
 func (s *Server) Crash() { s.server.close() }
 
-// Restart listens at the same address again.
+// Restart listens on the same address again and registers the server as ready.
 func (s *Server) Restart() error {
 	server, err := listenAt(s.server.address.String(), http.HandlerFunc(s.serve))
 	if err != nil {
@@ -146,14 +151,14 @@
 	}
 	s.server = server
 	s.lock.Lock()
-	s.starts++
+	s.restarts++
 	s.lock.Unlock()
 	s.Register("ready")
 	return nil
 }
 
-// crashFor crashes the server and has it listen again after a time; nothing where it has crashed already.
-func (s *Server) crashFor(down time.Duration) {
+// crashFor crashes the server and restarts it after downTime; it does nothing if such a crash is not over yet.
+func (s *Server) crashFor(downTime time.Duration) {
 	s.lock.Lock()
 	crashed := s.crashed
 	s.crashed = true
@@ -162,41 +167,44 @@
 		return
 	}
 	s.Crash()
-	go s.runRestart(down)
+	go s.runRestart(downTime)
 }
 
-// noteCrash counts a call that crashes the server.
-func (s *Server) noteCrash() {
+// recordCrash counts a pool call that crashes the server, and ends the turn of the call.
+func (s *Server) recordCrash() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.crashes++
 	s.busy = false
 }
 
-// Crashes returns how often calls have crashed the server.
+// Crashes returns the number of pool calls that crashed the server. Crashes by plain requests and streams,
+// and calls of Crash, are not counted.
 func (s *Server) Crashes() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.crashes
 }
 
-func (s *Server) runRestart(down time.Duration) {
-	time.Sleep(down)
+func (s *Server) runRestart(downTime time.Duration) {
+	time.Sleep(downTime)
 	if err := s.Restart(); err != nil {
-		s.world.note(s.ID + " did not restart: " + err.Error())
+		s.world.recordViolation(s.ID + " did not restart: " + err.Error())
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.crashed = false
 }
 
+// slots is the number of slots that every server registers.
 const slots = 6
 
+// takeFault removes and returns the fault of the next request.
 func (s *Server) takeFault() Fault {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if len(s.faults) == 0 {
-		return Well
+		return NoFault
 	}
 	fault := s.faults[0]
 	s.faults = s.faults[1:]
@@ -222,18 +230,18 @@
 	}
 	fault := s.takeFault()
 	w.Header().Set("X-Verbenaroad-Attempt-Id", r.Header.Get("X-Verbenaroad-Attempt-Id"))
-	if fault == Shed {
+	if fault == RefuseNotRun {
 		w.Header().Set("X-Verbenaroad-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if s.Events > 0 && !s.hasInputs(w, r) {
+	if s.Events > 0 && !s.checkInputs(w, r) {
 		return
 	}
 	n := s.begin(r, string(body))
 	defer s.end(n, r)
-	if down, crashes := s.world.crashTime(string(body)); crashes {
-		s.crashFor(down)
+	if downTime, crashes := s.world.checkBody(string(body)); crashes {
+		s.crashFor(downTime)
 		return
 	}
 	if s.Events > 0 {
@@ -243,10 +251,10 @@
 	s.answer(w, r, fault)
 }
 
-// hasInputs refuses a request whose results are not there.
-func (s *Server) hasInputs(w http.ResponseWriter, r *http.Request) bool {
+// checkInputs reports whether all input results of a request are held, and refuses the request if not.
+func (s *Server) checkInputs(w http.ResponseWriter, r *http.Request) bool {
 	for _, handle := range strings.Split(r.Header.Get("X-Verbenaroad-Input-Count"), ",") {
-		if handle != "" && !s.world.has(handle) {
+		if handle != "" && !s.world.isHeld(handle) {
 			w.Header().Set("X-Verbenaroad-Not-Executed", "1")
 			w.WriteHeader(http.StatusConflict)
 			return false
@@ -255,23 +263,25 @@
 	return true
 }
 
+// begin records the start of a run and returns its index in runs.
 func (s *Server) begin(r *http.Request, body string) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.running++
-	s.seen = append(s.seen, Seen{
+	s.runs = append(s.runs, Run{
 		AttemptID: r.Header.Get("X-Verbenaroad-Attempt-Id"), Server: s.ID, Method: r.Method, Target: r.RequestURI,
-		Host: r.Host, Header: r.Header.Clone(), Body: body, At: time.Now(),
+		Host: r.Host, Header: r.Header.Clone(), Body: body, StartedAt: time.Now(),
 	})
-	return len(s.seen) - 1
+	return len(s.runs) - 1
 }
 
+// end records the end of run n.
 func (s *Server) end(n int, r *http.Request) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.running--
 	if r.Context().Err() != nil {
-		s.seen[n].Left = time.Now()
+		s.runs[n].CanceledAt = time.Now()
 	}
 }
 
@@ -279,15 +289,16 @@
 	w.Header().Set("X-Verbenaroad-Replica-Signature", "3e1b.07.c9f2a4d1")
 }
 
+// answer answers a plain request, with the fault.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, fault Fault) {
 	select {
-	case <-time.After(s.Work):
+	case <-time.After(s.WorkTime):
 	case <-r.Context().Done():
 		return
 	}
 	text := "answer of " + s.ID + " to " + r.Header.Get("X-Verbenaroad-Attempt-Id")
 	switch fault {
-	case Vague:
+	case UnclassifiedFailure:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case CutAfterRun:
@@ -316,13 +327,13 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// stream sends events that say whose they are.
+// stream sends the events after Last-Event-Id; the data of each event is the attempt ID of the request.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, fault Fault) {
 	after, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
 		after = 0
 	}
-	if fault == CutAtOnce {
+	if fault == CutBeforeAnswer {
 		cut(w)
 		return
 	}
@@ -337,7 +348,7 @@
 	control := http.NewResponseController(w)
 	for i := after + 1; i <= s.Events; i++ {
 		select {
-		case <-time.After(s.Gap):
+		case <-time.After(s.EventInterval):
 		case <-r.Context().Done():
 			return
 		}
--- a/fakes/services/hosted/store.go
+++ b/fakes/services/hosted/store.go
@@ -1,6 +1,5 @@
-// Package hosted holds stand-ins of the users' platform: its store, and backend
-// servers that register there. Each has fault switches, and keeps what it has seen
-// for checks.
+// Package hosted has stand-ins for the users' platform: its store, and backend servers that register
+// there. Each can be switched to faults, and the servers record the runs of requests for checks in tests.
 package hosted
 
 import (
@@ -13,14 +12,18 @@
 	"time"
 )
 
-// StoreFault says how one address of the store fails.
+// StoreFault selects how one address of the store fails.
 type StoreFault string
 
-// The faults.
+// The faults of an address of the store.
 const (
-	StoreWell   StoreFault = ""
-	StoreBusy   StoreFault = "busy"
-	StoreReset  StoreFault = "reset"
+	// NoStoreFault serves requests normally.
+	NoStoreFault StoreFault = ""
+	// StoreBusy answers 503.
+	StoreBusy StoreFault = "busy"
+	// StoreReset resets the connection of each request.
+	StoreReset StoreFault = "reset"
+	// StoreSilent accepts requests and never answers.
 	StoreSilent StoreFault = "silent"
 )
 
@@ -33,16 +36,17 @@
 	Deleted  bool `json:",omitempty"`
 }
 
-// Store is the store. It listens on several addresses, so that it can turn
-// some callers away while it serves others.
+// Store is the platform's key-value store. It listens on several addresses, so that it can fail for some
+// callers while it serves others.
 type Store struct {
 	lock     sync.Mutex
 	changed  *sync.Cond
 	revision uint64
 	items    map[string]item
 	history  []item
-	// dropped is the revision up to which history is gone.
-	dropped   uint64
+	// compacted is the revision up to which history was dropped.
+	compacted uint64
+	// leases has the expiry of each lease, ttls the duration that a renewal extends it by.
 	leases    map[uint64]time.Time
 	ttls      map[uint64]time.Duration
 	lastLease uint64
@@ -56,7 +60,7 @@
 	fault  StoreFault
 }
 
-// NewStore listens on n loopback addresses.
+// NewStore starts a store that listens on n loopback addresses.
 func NewStore(n int) (*Store, error) {
 	s := &Store{
 		revision: 1, items: map[string]item{}, leases: map[uint64]time.Time{}, ttls: map[uint64]time.Duration{},
@@ -86,16 +90,16 @@
 	s.changed.Broadcast()
 }
 
-// Compact drops the history.
+// Compact drops the history, so that a watch from an older revision fails with 410.
 func (s *Store) Compact() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.dropped = s.revision
+	s.compacted = s.revision
 	s.history = nil
 	s.changed.Broadcast()
 }
 
-// Close ends the store.
+// Close stops the store and ends its watches.
 func (s *Store) Close() {
 	s.lock.Lock()
 	s.closed = true
@@ -106,16 +110,16 @@
 	}
 }
 
-// Put writes a record as the operator or a server does.
+// Put writes a record as JSON, as an operator or a backend server does.
 func (s *Store) Put(key string, value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // only values of this package and of tests come here
+		panic(err) // only this package and tests pass values, and all of them can be encoded
 	}
 	s.PutRaw(key, encoded)
 }
 
-// PutRaw writes a record of any bytes.
+// PutRaw writes a record with arbitrary bytes.
 func (s *Store) PutRaw(key string, value []byte) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -151,7 +155,7 @@
 	s.changed.Broadcast()
 }
 
-// loop ends leases and wakes the watches.
+// loop ends expired leases and wakes the waiting watches, which then check whether their time is over.
 func (s *Store) loop() {
 	for {
 		time.Sleep(20 * time.Millisecond)
@@ -161,8 +165,8 @@
 			return
 		}
 		now := time.Now()
-		for lease, ends := range s.leases {
-			if now.After(ends) {
+		for lease, expiry := range s.leases {
+			if now.After(expiry) {
 				s.endLease(lease)
 			}
 		}
@@ -171,6 +175,7 @@
 	}
 }
 
+// endLease removes a lease and the records attached to it.
 func (s *Store) endLease(lease uint64) {
 	delete(s.leases, lease)
 	keys := []string{}
@@ -184,7 +189,7 @@
 	}
 }
 
-// Keys returns the keys below a prefix.
+// Keys returns the keys that begin with prefix, sorted.
 func (s *Store) Keys(prefix string) []string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/fakes/services/hosted/world.go
+++ b/fakes/services/hosted/world.go
@@ -8,38 +8,41 @@
 	"time"
 )
 
-// World is a small deployment: a store, backend servers and the results that they hold.
+// World is a small deployment: a store, backend servers and the results that the pool servers hold.
 type World struct {
 	Store *Store
 
-	lock    sync.Mutex
-	servers []*Server
-	held    map[string]holding
-	notes   []string
-	version int
-	// poison is the body of requests that crash who runs them, for how long; empty: there are none.
-	poison string
-	down   time.Duration
-	// poisonKey is the key of items that do the same.
+	lock       sync.Mutex
+	servers    []*Server
+	held       map[string]heldResult
+	violations []string
+	version    int
+	// poisonBody is the body of plain and stream requests that crash the server that runs them; empty: none.
+	poisonBody string
+	// downTime is how long a server that crashed on a poisonous request stays down before it restarts.
+	downTime time.Duration
+	// poisonKey is the key of pool items that crash the server that runs them; empty: none.
 	poisonKey string
 }
 
-type holding struct {
+// heldResult is a result that a pool server holds until it is released or expires.
+type heldResult struct {
 	owner  string
 	server *Server
-	until  time.Time
+	// expiry is when the result is dropped without a release.
+	expiry time.Time
 }
 
-// NewWorld returns a world whose store has n addresses.
+// NewWorld returns a World without servers whose store listens on n addresses.
 func NewWorld(n int) (*World, error) {
 	store, err := NewStore(n)
 	if err != nil {
 		return nil, err
 	}
-	return &World{Store: store, held: map[string]holding{}}, nil
+	return &World{Store: store, held: map[string]heldResult{}}, nil
 }
 
-// Add starts a backend server and registers it as ready.
+// Add starts a backend server and registers it as ready. A server without an ID gets one.
 func (w *World) Add(s *Server) (*Server, error) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -58,7 +61,7 @@
 	return s, nil
 }
 
-// Close ends everything.
+// Close stops the servers and the store.
 func (w *World) Close() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -68,58 +71,61 @@
 	w.Store.Close()
 }
 
-// Runs returns every run of an attempt.
-func (w *World) Runs(attempt string) []Seen {
+// Runs returns the runs of an attempt on all servers.
+func (w *World) Runs(attempt string) []Run {
 	w.lock.Lock()
 	servers := append([]*Server{}, w.servers...)
 	w.lock.Unlock()
-	runs := []Seen{}
+	runs := []Run{}
 	for _, s := range servers {
-		for _, seen := range s.Seen() {
-			if seen.AttemptID == attempt {
-				runs = append(runs, seen)
+		for _, run := range s.Runs() {
+			if run.AttemptID == attempt {
+				runs = append(runs, run)
 			}
 		}
 	}
 	return runs
 }
 
-// SetPoison has each server crash that begins a request with this body, and start again after a time.
-func (w *World) SetPoison(body string, down time.Duration) {
+// SetPoison makes a server crash when it starts a plain or stream request with this body. The server restarts
+// after downTime.
+func (w *World) SetPoison(body string, downTime time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.poison, w.down = body, down
+	w.poisonBody, w.downTime = body, downTime
 }
 
-// SetPoisonKey has each server crash that makes results of items with this key, and start again after a time.
-func (w *World) SetPoisonKey(key string, down time.Duration) {
+// SetPoisonKey makes a server crash when it starts a pool call that has an item with this key. The server
+// restarts after downTime.
+func (w *World) SetPoisonKey(key string, downTime time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.poisonKey, w.down = key, down
+	w.poisonKey, w.downTime = key, downTime
 }
 
-// hasPoison tells whether a call crashes its server.
-func (w *World) hasPoison(items []stageItem) (down time.Duration, crashes bool) {
+// checkItems reports whether a pool call with these items crashes its server, and for how long.
+func (w *World) checkItems(items []stageItem) (downTime time.Duration, crashes bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.down, w.poisonKey != "" && slices.ContainsFunc(items, func(i stageItem) bool { return i.Key == w.poisonKey })
+	return w.downTime, w.poisonKey != "" && slices.ContainsFunc(items, func(i stageItem) bool { return i.Key == w.poisonKey })
 }
 
-func (w *World) crashTime(body string) (down time.Duration, crashes bool) {
+// checkBody reports whether a request with this body crashes its server, and for how long.
+func (w *World) checkBody(body string) (downTime time.Duration, crashes bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.down, w.poison != "" && body == w.poison
+	return w.downTime, w.poisonBody != "" && body == w.poisonBody
 }
 
-// CountRuns returns how often a request with this body was run.
+// CountRuns returns the number of runs of plain and stream requests with this body on all servers.
 func (w *World) CountRuns(body string) int {
 	w.lock.Lock()
 	servers := append([]*Server{}, w.servers...)
 	w.lock.Unlock()
 	count := 0
 	for _, s := range servers {
-		for _, seen := range s.Seen() {
-			if seen.Body == body {
+		for _, run := range s.Runs() {
+			if run.Body == body {
 				count++
 			}
 		}
@@ -127,61 +133,66 @@
 	return count
 }
 
-// Notes returns what was wrong with the calls of the system.
-func (w *World) Notes() []string {
+// Violations describes each input of a pool call that was produced for another item ID, and each failed
+// restart of a server.
+func (w *World) Violations() []string {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return append([]string{}, w.notes...)
+	return append([]string{}, w.violations...)
 }
 
-// Held returns how many results are held.
-func (w *World) Held() int {
+// HeldResults returns the number of results that the pool servers hold.
+func (w *World) HeldResults() int {
 	w.expire()
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return len(w.held)
 }
 
-// expire ends the results whose time is over.
+// expire releases the results that have expired.
 func (w *World) expire() {
 	w.lock.Lock()
-	over := []string{}
+	expired := []string{}
 	for handle, h := range w.held {
-		if time.Now().After(h.until) {
-			over = append(over, handle)
+		if time.Now().After(h.expiry) {
+			expired = append(expired, handle)
 		}
 	}
 	w.lock.Unlock()
-	for _, handle := range over {
+	for _, handle := range expired {
 		w.release(handle)
 	}
 }
 
-func (w *World) note(text string) {
+func (w *World) recordViolation(text string) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.notes = append(w.notes, text)
+	w.violations = append(w.violations, text)
 }
 
+// hold records a result of server s and its owner.
 func (w *World) hold(handle, owner string, s *Server) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.held[handle] = holding{owner: owner, server: s, until: time.Now().Add(keepTime)}
+	w.held[handle] = heldResult{owner: owner, server: s, expiry: time.Now().Add(resultTTL)}
 }
 
-func (w *World) has(handle string) bool {
+// isHeld reports whether the result is held and has not expired.
+func (w *World) isHeld(handle string) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	h, known := w.held[handle]
-	return known && time.Now().Before(h.until)
+	return known && time.Now().Before(h.expiry)
 }
 
+// ownerOf returns the ID of the item that the result was produced for.
 func (w *World) ownerOf(handle string) string {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.held[handle].owner
 }
 
+// release drops the result and frees its place on its server; it does nothing if the result is not held.
 func (w *World) release(handle string) {
 	w.lock.Lock()
 	h, known := w.held[handle]
@@ -194,10 +205,10 @@
 	}
 }
 
-// Route is a route of the configuration in the platform's spelling.
+// Route is a route of the configuration, with the field names of the platform.
 type Route map[string]any
 
-// PutConfig writes the next version of the configuration.
+// PutConfig writes a new version of the configuration to the store and returns its number.
 func (w *World) PutConfig(routes []Route, services []map[string]any, tenants []map[string]any) int {
 	w.lock.Lock()
 	w.version += 3
--- a/proofs/hosted/change_test.go
+++ b/proofs/hosted/change_test.go
@@ -79,7 +79,7 @@
 			eventually(t, "the store outage is logged", func() bool {
 				return len(d.ingresses[0].output.lines("event=store-lost", "what=watch")) == 1
 			})
-			d.Store.SetFault(0, hosted.StoreWell)
+			d.Store.SetFault(0, hosted.NoStoreFault)
 			eventually(t, "the store recovery is logged", func() bool {
 				return len(d.ingresses[0].output.lines("event=store-regained", "what=watch")) == 1
 			})
@@ -97,7 +97,7 @@
 	d.plainServers[0].Register("draining")
 	version := d.PutConfig(routes(), services(), tenants())
 	d.Store.Compact()
-	d.Store.SetFault(0, hosted.StoreWell)
+	d.Store.SetFault(0, hosted.NoStoreFault)
 	eventually(t, "the version is in force", d.ingresses[0].hasApplied(version))
 	eventually(t, "the drain is observed", func() bool { return len(d.ingresses[0].output.lines(d.plainServers[0].ID, "state=draining")) == 1 })
 	q := newRequest("/order/1")
@@ -118,8 +118,8 @@
 		}
 	}
 	d.Store.Remove("servers/" + d.plainServers[0].ID)
-	for _, seen := range d.plainServers[0].Seen() {
-		is.True(seen.At.Sub(drainingSince) < time.Second)
+	for _, seen := range d.plainServers[0].Runs() {
+		is.True(seen.StartedAt.Sub(drainingSince) < time.Second)
 	}
 }
 
@@ -134,7 +134,7 @@
 	for _, s := range d.plainServers {
 		d.Store.Remove("servers/" + s.ID)
 	}
-	d.Store.SetFault(0, hosted.StoreWell)
+	d.Store.SetFault(0, hosted.NoStoreFault)
 	eventually(t, "the store recovery is logged", func() bool {
 		return len(d.ingresses[0].output.lines("event=store-regained", "what=watch")) == 1
 	})
@@ -155,7 +155,7 @@
 	is := is.New(t)
 	d := newDeployment(t, 2)
 	for _, e := range d.engines {
-		e.Gap = 200 * time.Millisecond
+		e.EventInterval = 200 * time.Millisecond
 	}
 	answers := make(chan answer, 1)
 	go func() { answers <- d.ingresses[0].send(context.Background(), newReview()) }()
@@ -194,7 +194,7 @@
 	}
 	d.ingresses[1].kill()
 	is.Equal(eventIDs(d.ingresses[0].send(context.Background(), newReview()).body), "1,2,3,4,5,6")
-	is.Equal(d.Notes(), []string{})
+	is.Equal(d.Violations(), []string{})
 }
 
 // All ingresses are killed at once. After their restart they must read their state from the store
--- a/proofs/hosted/explain_test.go
+++ b/proofs/hosted/explain_test.go
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	d := newDeployment(t, 1)
 	for _, p := range d.poolServers {
-		p.Work = 900 * time.Millisecond
+		p.WorkTime = 900 * time.Millisecond
 	}
 	lock, refused := sync.Mutex{}, []string{}
 	callers := sync.WaitGroup{}
--- a/proofs/hosted/faults_test.go
+++ b/proofs/hosted/faults_test.go
@@ -23,15 +23,15 @@
 		status int
 		runs   int
 	}{
-		{hosted.Well, http.StatusOK, 1},
+		{hosted.NoFault, http.StatusOK, 1},
 		{hosted.CutAfterRun, http.StatusBadGateway, 1},
-		{hosted.Vague, http.StatusBadGateway, 1},
+		{hosted.UnclassifiedFailure, http.StatusBadGateway, 1},
 		{hosted.WrongID, http.StatusBadGateway, 1},
 		{hosted.Unsigned, http.StatusBadGateway, 1},
 		{hosted.Truncate, http.StatusBadGateway, 1},
 		{hosted.Fail, http.StatusInternalServerError, 1},
 		{hosted.Hang, http.StatusGatewayTimeout, 1},
-		{hosted.Shed, http.StatusServiceUnavailable, 0},
+		{hosted.RefuseNotRun, http.StatusServiceUnavailable, 0},
 	} {
 		t.Run("fault "+string(c.fault), func(t *testing.T) {
 			is := is.New(t)
@@ -59,7 +59,7 @@
 func TestRefusedOrderIsRetriedOnAnotherServer(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
-	d.plainServers[0].SetFaults(hosted.Shed)
+	d.plainServers[0].SetFaults(hosted.RefuseNotRun)
 	q := newRequest("/order/1")
 	got := d.ingresses[0].send(context.Background(), q)
 	is.Equal(got.status, http.StatusOK)
@@ -128,7 +128,7 @@
 	// The same holds for a stream that breaks off before its first event, with no other engine left.
 	d.engines[1].Register("draining")
 	eventually(t, "the drain is observed", func() bool { return len(d.ingresses[0].output.lines(d.engines[1].ID, "state=draining")) == 1 })
-	d.engines[0].SetFaults(hosted.CutAtOnce)
+	d.engines[0].SetFaults(hosted.CutBeforeAnswer)
 	q = newReview()
 	got = d.ingresses[0].send(context.Background(), q)
 	is.Equal(got.status, http.StatusBadGateway)
@@ -211,7 +211,7 @@
 		is.NoErr(got.err)
 		is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 	}
-	is.Equal(d.Notes(), []string{})
+	is.Equal(d.Violations(), []string{})
 }
 
 // The second stage of a request fails on its server, after the results of the first stage were
@@ -222,7 +222,7 @@
 	is := is.New(t)
 	d := newDeployment(t, 1)
 	for _, p := range d.poolServers {
-		p.Work = 300 * time.Millisecond
+		p.WorkTime = 300 * time.Millisecond
 	}
 	ingress := d.ingresses[0]
 	for range 4 { // until both pool servers have reported that they are idle
@@ -243,8 +243,8 @@
 	is.Equal(eventIDs(got.body), "1,2,3,4,5,6")
 	is.Equal(len(ingress.output.lines("event=chain-restarted", "request="+q.id)), 1)
 	is.Equal(len(d.Runs(q.id)), 1)
-	eventually(t, "all results are released", func() bool { return d.Held() == 0 })
-	is.Equal(d.Notes(), []string{})
+	eventually(t, "all results are released", func() bool { return d.HeldResults() == 0 })
+	is.Equal(d.Violations(), []string{})
 }
 
 // Another writer has put unreadable and invalid entries among the servers, and an unreadable
--- a/proofs/hosted/path_test.go
+++ b/proofs/hosted/path_test.go
@@ -94,8 +94,8 @@
 			}
 		}
 	}
-	eventually(t, "all results are released", func() bool { return d.Held() == 0 })
-	is.Equal(d.Notes(), []string{})
+	eventually(t, "all results are released", func() bool { return d.HeldResults() == 0 })
+	is.Equal(d.Violations(), []string{})
 }
 
 func TestStreamWithoutStages(t *testing.T) {
@@ -113,7 +113,7 @@
 	is := is.New(t)
 	d := newDeployment(t, 2)
 	for _, e := range d.engines {
-		e.Events, e.Gap = 200, 50*time.Millisecond
+		e.Events, e.EventInterval = 200, 50*time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
@@ -125,13 +125,13 @@
 	is.True(time.Since(canceledAt) < 500*time.Millisecond)
 
 	for _, p := range d.poolServers {
-		p.Work = 300 * time.Millisecond
+		p.WorkTime = 300 * time.Millisecond
 	}
 	early, cancelEarly := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancelEarly()
 	q = newReview()
 	_ = d.ingresses[1].send(early, q)
-	eventually(t, "all results are released", func() bool { return d.Held() == 0 })
+	eventually(t, "all results are released", func() bool { return d.HeldResults() == 0 })
 	is.Equal(len(d.Runs(q.id)), 0)
 }
 
@@ -141,7 +141,7 @@
 	is := is.New(t)
 	d := newDeployment(t, 2)
 	for _, p := range d.poolServers {
-		p.Work = 3 * time.Second
+		p.WorkTime = 3 * time.Second
 	}
 	for _, i := range d.ingresses {
 		q := newReview()
--- a/proofs/hosted/places_test.go
+++ b/proofs/hosted/places_test.go
@@ -33,14 +33,14 @@
 		}
 	}
 	for _, s := range []*hosted.Server{d.plainServers[0], d.engines[0], d.poolServers[0]} {
-		for _, seen := range s.Seen() {
-			is.True(seen.At.Before(knownSince))
+		for _, seen := range s.Runs() {
+			is.True(seen.StartedAt.Before(knownSince))
 		}
 	}
 	d.Store.Remove(evacuateA1)
 	eventually(t, "the domain is used again", func() bool {
 		d.sendOrders(2)
-		return len(d.plainServers[0].Seen()) > 0
+		return len(d.plainServers[0].Runs()) > 0
 	})
 }
 
@@ -67,9 +67,9 @@
 			is.True(refused.took < time.Second)
 		}
 	}
-	is.Equal(len(d.plainServers[0].Seen()), 0)
-	is.Equal(len(d.engines[0].Seen()), 0)
-	is.Equal(len(d.poolServers[0].Seen()), 0)
+	is.Equal(len(d.plainServers[0].Runs()), 0)
+	is.Equal(len(d.engines[0].Runs()), 0)
+	is.Equal(len(d.poolServers[0].Runs()), 0)
 	is.True(len(d.ingresses[0].output.lines("event=failed", "no server of orders", "elsewhere")) > 0)
 }
 
@@ -86,7 +86,7 @@
 	for _, i := range d.ingresses {
 		eventually(t, "the version is in force", i.hasApplied(version))
 	}
-	d.plainServers[0].ColdFor = 20 * time.Second
+	d.plainServers[0].ColdRemaining = 20 * time.Second
 	d.plainServers[0].Register("ready")
 	for _, i := range d.ingresses {
 		eventually(t, "the ingress has seen that the server is cold", func() bool {
@@ -95,8 +95,8 @@
 	}
 	d.sendOrders(40)
 	times := []time.Time{}
-	for _, seen := range d.plainServers[0].Seen() {
-		times = append(times, seen.At)
+	for _, seen := range d.plainServers[0].Runs() {
+		times = append(times, seen.StartedAt)
 	}
 	for n := range times {
 		is.True(n < rate || times[n].Sub(times[n-rate]) > time.Second)
--- a/proofs/hosted/poison_test.go
+++ b/proofs/hosted/poison_test.go
@@ -29,8 +29,8 @@
 	d := newDeployment(t, 3)
 	for n := range 6 {
 		zone := []string{"a1", "b1"}[n%2]
-		d.plainServers = append(d.plainServers, d.add(&hosted.Server{Service: "orders", Zone: zone, Work: 20 * time.Millisecond}))
-		d.engines = append(d.engines, d.add(&hosted.Server{Service: "models", Zone: zone, Events: 6, Gap: 30 * time.Millisecond}))
+		d.plainServers = append(d.plainServers, d.add(&hosted.Server{Service: "orders", Zone: zone, WorkTime: 20 * time.Millisecond}))
+		d.engines = append(d.engines, d.add(&hosted.Server{Service: "models", Zone: zone, Events: 6, EventInterval: 30 * time.Millisecond}))
 	}
 	for _, i := range d.ingresses {
 		eventually(t, i.name+" has seen all backend servers", func() bool { return len(i.output.lines("event=server-seen")) >= 18 })
@@ -96,7 +96,7 @@
 		for _, i := range d.ingresses {
 			group.Go(func() { i.send(context.Background(), newRequest("/read/1")) })
 		}
-		time.Sleep(d.plainServers[0].Work / 2)
+		time.Sleep(d.plainServers[0].WorkTime / 2)
 		for _, s := range d.plainServers {
 			s.Crash()
 		}
@@ -122,7 +122,7 @@
 	d := newDeployment(t, 3)
 	for n := range 6 {
 		d.poolServers = append(d.poolServers, d.add(&hosted.Server{
-			Service: "encoders", Zone: []string{"a1", "b1"}[n%2], Work: 20 * time.Millisecond, Batch: 8, Room: 50,
+			Service: "encoders", Zone: []string{"a1", "b1"}[n%2], WorkTime: 20 * time.Millisecond, MaxBatch: 8, MaxResults: 50,
 		}))
 	}
 	const poisonKey = "00dead00beef"
--- a/proofs/hosted/soak_check_test.go
+++ b/proofs/hosted/soak_check_test.go
@@ -111,7 +111,7 @@
 	close(s.stop)
 	s.callers.Wait()
 	s.checkQuarantine()
-	eventually(s.t, "all results are released", func() bool { return s.Held() == 0 })
+	eventually(s.t, "all results are released", func() bool { return s.HeldResults() == 0 })
 	for _, server := range s.allServers() {
 		eventually(s.t, server.ID+" has no running requests", func() bool { return server.Running() == 0 })
 	}
@@ -157,7 +157,7 @@
 		}
 		s.checkCall(c)
 	}
-	for _, note := range s.Notes() {
+	for _, note := range s.Violations() {
 		s.t.Error(note)
 	}
 	if served*4 < len(calls) {
--- a/proofs/hosted/soak_faults_test.go
+++ b/proofs/hosted/soak_faults_test.go
@@ -190,7 +190,7 @@
 	if s.randomInt(3) == 0 {
 		s.Store.Compact()
 	}
-	s.Store.SetFault(n, hosted.StoreWell)
+	s.Store.SetFault(n, hosted.NoStoreFault)
 }
 
 // changeConfig writes a configuration with or without key-2. key-1 is always in it.
@@ -234,11 +234,11 @@
 	servers := s.allServers()
 	server := servers[s.randomInt(len(servers))]
 	faults := []hosted.Fault{
-		hosted.Shed, hosted.Vague, hosted.CutAfterRun, hosted.WrongID, hosted.Unsigned, hosted.Truncate, hosted.Fail, hosted.CutStream,
+		hosted.RefuseNotRun, hosted.UnclassifiedFailure, hosted.CutAfterRun, hosted.WrongID, hosted.Unsigned, hosted.Truncate, hosted.Fail, hosted.CutStream,
 	}
 	fault := faults[s.randomInt(len(faults))]
 	s.recordf("%s: fault %s for the next and the third request", server.ID, fault)
-	server.SetFaults(fault, hosted.Well, fault)
+	server.SetFaults(fault, hosted.NoFault, fault)
 }
 
 // drainServer drains the first plain server and registers it as ready again. The second plain
--- a/proofs/hosted/world_test.go
+++ b/proofs/hosted/world_test.go
@@ -85,10 +85,10 @@
 	w.PutConfig(routes(), services(), tenants())
 	for i := range 2 {
 		zone := []string{"a1", "b1"}[i]
-		d.plainServers = append(d.plainServers, d.add(&hosted.Server{Service: "orders", Zone: zone, Work: 20 * time.Millisecond}))
-		d.engines = append(d.engines, d.add(&hosted.Server{Service: "models", Zone: zone, Events: 6, Gap: 30 * time.Millisecond}))
+		d.plainServers = append(d.plainServers, d.add(&hosted.Server{Service: "orders", Zone: zone, WorkTime: 20 * time.Millisecond}))
+		d.engines = append(d.engines, d.add(&hosted.Server{Service: "models", Zone: zone, Events: 6, EventInterval: 30 * time.Millisecond}))
 		d.poolServers = append(d.poolServers, d.add(&hosted.Server{
-			Service: "encoders", Zone: zone, Work: 20 * time.Millisecond, Batch: 8, Room: 50,
+			Service: "encoders", Zone: zone, WorkTime: 20 * time.Millisecond, MaxBatch: 8, MaxResults: 50,
 		}))
 	}
 	for i := range n {
