--- a/fakes/modules/fault/fault.go
+++ b/fakes/modules/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault describes the faults that a stand-in can be switched to at
-// run time, and decides which calls they hit.
+// Package fault describes the faults that a stand-in can be switched to at run time, and decides which
+// calls they apply to.
 package fault
 
 import (
@@ -14,65 +14,66 @@
 // ErrFault is the class of errors of fault settings.
 var ErrFault = errs.Class("fault") //nolint:gochecknoglobals // an error class is a constant in all but syntax
 
-// Duration is a time.Duration written as text such as "250ms".
+// Duration is a time.Duration that is encoded as text, for example "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads a duration with its unit.
+// UnmarshalText parses a duration with its unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return ErrFault.Wrap(err)
 }
 
-// MarshalText writes the duration with its unit.
+// MarshalText formats the duration with its unit.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Settings are the faults in force; the zero value is none.
+// Settings holds the faults in force. The zero value has none.
 type Settings struct {
-	// Methods limits the faults of calls (all but Down and Silent) to these HTTP methods; empty: all.
+	// Methods limits the faults of calls (all faults except Down and Silent) to these HTTP methods; empty: all methods.
 	Methods []string `json:"methods,omitempty"`
-	// Slow delays every call before it takes effect. A call whose caller has
-	// gone away meanwhile takes effect all the same, where it can without one.
+	// Slow delays every call before it takes effect. A call whose caller disconnects during the delay is
+	// still passed to the handler, with a canceled context, and takes effect unless the handler depends on it.
 	Slow Duration `json:"slow,omitempty"`
 	// Down closes every connection and refuses new ones.
 	Down bool `json:"down,omitempty"`
-	// LostAnswer lets calls take effect and then closes their connection without an answer.
+	// LostAnswer lets calls take effect, but drops their answers and closes their connections.
 	LostAnswer LostAnswer `json:"lost-answer,omitzero"`
-	// Freeze accepts connections and calls, and goes on with them only when
-	// it is lifted, also with those whose caller has gone away meanwhile.
+	// Freeze accepts connections and calls, but processes the calls only after the freeze is lifted,
+	// including calls whose caller has disconnected by then.
 	Freeze bool `json:"freeze,omitempty"`
-	// Silent marks the connections that are open when it is set: for good, they
-	// stay open and carry nothing in either direction. New connections work.
+	// Silent permanently silences the connections that are open when it is set: they stay open, but no
+	// data passes in either direction. New connections are not affected.
 	Silent bool `json:"silent,omitempty"`
-	// CutAfter closes the connection after that many writes of a streamed answer; 0: never.
+	// CutAfter closes the connection of a streamed answer after this many writes; 0: never.
 	CutAfter int `json:"cut-after,omitempty"`
-	// Status is answered to every call, which then takes no effect; 0: none.
+	// Status is the HTTP status of the answer to every call, which then does not reach the handler and takes
+	// no effect; 0: none.
 	Status int `json:"status,omitempty"`
 }
 
-// LostAnswer chooses the calls whose answer is lost.
+// LostAnswer selects the calls whose answer is lost.
 type LostAnswer struct {
-	// Count is how many matching calls are hit, after which the fault ends; 0: no bound.
+	// Count is the number of matching calls whose answer is lost, after which the fault ends; 0: no limit.
 	Count int `json:"count,omitempty"`
-	// Probability of a hit, 0 to 1; 0 with a Count stands for 1.
+	// Probability is the probability that the answer of a matching call is lost, 0 to 1. With a Count, 0 means 1.
 	Probability float64 `json:"probability,omitempty"`
-	// Seed makes the choice repeatable.
+	// Seed makes the selection reproducible.
 	Seed int64 `json:"seed,omitempty"`
 }
 
-// hits reports whether the faults of calls apply to a method.
-func (s *Settings) hits(method string) bool {
+// appliesTo reports whether the faults of calls apply to calls of a method.
+func (s *Settings) appliesTo(method string) bool {
 	return len(s.Methods) == 0 || slices.Contains(s.Methods, method)
 }
 
-// Switch holds the settings in force; it may be used by many goroutines.
+// Switch holds the settings in force. It is safe for concurrent use.
 type Switch struct {
 	mutex    sync.Mutex
 	settings Settings
 	random   *rand.Rand
-	// thawed is closed when the freeze is lifted; nil while there is none.
+	// thawed is closed when the freeze is lifted; nil without a freeze.
 	thawed chan struct{}
 }
 
@@ -85,7 +86,7 @@
 	return rand.New(rand.NewSource(seed))
 }
 
-// Set replaces the settings in force.
+// Set replaces the settings in force and restarts the random selection of lost answers from the seed.
 func (s *Switch) Set(settings Settings) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,25 +109,27 @@
 }
 
 // GetFor returns the settings in force for calls of a method.
+// It returns the zero value if Methods excludes the method.
 func (s *Switch) GetFor(method string) Settings {
 	settings := s.Get()
-	if !settings.hits(method) {
+	if !settings.appliesTo(method) {
 		return Settings{}
 	}
 	return settings
 }
 
-// Thawed returns a channel that is closed when the freeze of calls of a method is lifted, nil when there is none.
+// Thawed returns a channel that is closed when the freeze of calls of a method is lifted, or nil without a
+// freeze for them.
 func (s *Switch) Thawed(method string) <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.settings.hits(method) {
+	if !s.settings.appliesTo(method) {
 		return nil
 	}
 	return s.thawed
 }
 
-// TakeLostAnswer reports whether this call's answer is to be lost, and counts it off.
+// TakeLostAnswer reports whether the answer of this call is to be lost, and counts it against LostAnswer.Count.
 func (s *Switch) TakeLostAnswer(method string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -134,17 +137,18 @@
 	if lost.Count == 0 && lost.Probability == 0 {
 		return false
 	}
-	if !s.settings.hits(method) {
+	if !s.settings.appliesTo(method) {
 		return false
 	}
 	if lost.Probability > 0 && s.random.Float64() >= lost.Probability {
 		return false
 	}
-	s.countOff(lost)
+	s.useUp(lost)
 	return true
 }
 
-func (s *Switch) countOff(lost *LostAnswer) {
+// useUp counts a lost answer against the Count of lost and ends the fault at the last one.
+func (s *Switch) useUp(lost *LostAnswer) {
 	if lost.Count == 0 {
 		return
 	}
--- a/fakes/modules/fault/fault_test.go
+++ b/fakes/modules/fault/fault_test.go
@@ -10,25 +10,27 @@
 	"verbenaroad.example/fakes/modules/fault"
 )
 
-func take(s *fault.Switch, calls int, method string) []bool {
-	hits := make([]bool, calls)
-	for i := range hits {
-		hits[i] = s.TakeLostAnswer(method)
+// takeLostAnswers returns, for each of a number of calls, whether its answer is lost.
+func takeLostAnswers(s *fault.Switch, calls int, method string) []bool {
+	lost := make([]bool, calls)
+	for i := range lost {
+		lost[i] = s.TakeLostAnswer(method)
 	}
-	return hits
+	return lost
 }
 
-func count(hits []bool) int {
+func countLost(lost []bool) int {
 	n := 0
-	for _, hit := range hits {
-		if hit {
+	for _, isLost := range lost {
+		if isLost {
 			n++
 		}
 	}
 	return n
 }
 
-func TestLostAnswerChoice(t *testing.T) {
+// TestLostAnswerCount checks how many of 100 calls lose their answer, by method, count and probability.
+func TestLostAnswerCount(t *testing.T) {
 	tests := map[string]struct {
 		lost   fault.LostAnswer
 		method string
@@ -45,21 +47,23 @@
 			is := is.New(t)
 			s := fault.NewSwitch()
 			s.Set(fault.Settings{Methods: []string{http.MethodPut}, LostAnswer: test.lost})
-			is.Equal(count(take(s, 100, test.method)), test.want)
+			is.Equal(countLost(takeLostAnswers(s, 100, test.method)), test.want)
 		})
 	}
 }
 
-func TestLostAnswerIsRepeatable(t *testing.T) {
+// TestLostAnswerIsReproducible checks that the same seed selects the same calls again.
+func TestLostAnswerIsReproducible(t *testing.T) {
 	is := is.New(t)
 	s := fault.NewSwitch()
 	settings := fault.Settings{LostAnswer: fault.LostAnswer{Probability: 0.5, Seed: 7}}
 	s.Set(settings)
-	first := take(s, 50, http.MethodPut)
+	first := takeLostAnswers(s, 50, http.MethodPut)
 	s.Set(settings)
-	is.Equal(take(s, 50, http.MethodPut), first)
+	is.Equal(takeLostAnswers(s, 50, http.MethodPut), first)
 }
 
+// TestSettingsAsJSON checks that settings have durations with units in JSON and leave out unset faults.
 func TestSettingsAsJSON(t *testing.T) {
 	is := is.New(t)
 	var settings fault.Settings
