--- a/fakes/modules/ledger/router.go
+++ b/fakes/modules/ledger/router.go
@@ -6,7 +6,7 @@
 	"verbenaroad.example/fakes/modules/serve"
 )
 
-// Mount adds GET /ledger to mux.
+// Mount adds GET /ledger to mux, which returns the runs as JSON.
 func (l *Ledger) Mount(mux *http.ServeMux) {
 	mux.HandleFunc("GET /ledger", l.getRuns)
 }
