--- a/fakes/modules/serve/conn.go
+++ b/fakes/modules/serve/conn.go
@@ -9,30 +9,30 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// conn is an accepted connection that faults can mute.
+// conn is an accepted connection that faults can mute. A muted connection passes no data and ignores Close.
 type conn struct {
 	*nbio.Conn
 	// ctx ends when the connection closes.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// muted drops everything written from now on; it is never taken back.
+	// muted drops all data in both directions. Once set, it is never cleared.
 	muted atomic.Bool
 }
 
-// newConn returns a conn for a connection that nbio does not serve yet.
+// newConn wraps a connection that has not been passed to nbio's engine yet.
 func newConn(inner *nbio.Conn) *conn {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &conn{Conn: inner, ctx: ctx, cancel: cancel}
 }
 
-// publish precedes the handing over to nbio. That goes from the accepting
-// goroutine to a poller by epoll alone, which orders the two but not in the
-// sight of the race detector; this store and the load in onData do.
+// publish must be called before the connection is passed to nbio's engine. The accepting goroutine passes
+// it to a poller goroutine through epoll only. That orders the two goroutines, but the race detector does
+// not see it. This store and the load in onData make the order visible to the race detector.
 func (c *conn) publish() {
 	c.muted.Store(false)
 }
 
-// onData passes on what arrives, or drops it when the connection is silent.
+// onData returns a data handler that passes received data to parse, and drops it on a muted connection.
 func (c *conn) onData(parse func(*nbio.Conn, []byte)) func(*nbio.Conn, []byte) {
 	return func(inner *nbio.Conn, data []byte) {
 		if !c.muted.Load() {
@@ -41,7 +41,7 @@
 	}
 }
 
-// Write sends data, or drops it while it tells the writer that all went well.
+// Write sends data. On a muted connection, it drops data and reports success.
 func (c *conn) Write(data []byte) (int, error) {
 	if c.muted.Load() {
 		return len(data), nil
@@ -49,7 +49,7 @@
 	return c.Conn.Write(data)
 }
 
-// Close closes the connection, unless it is muted: a silent connection shows no end either.
+// Close closes the connection. A muted connection stays open, because its peer must not see a close either.
 func (c *conn) Close() error {
 	if c.muted.Load() {
 		return nil
@@ -57,7 +57,7 @@
 	return c.Conn.Close()
 }
 
-// connOf returns the connection that a response goes to.
+// connOf returns the connection of a response, or nil if the response is not from a Server's connection.
 func connOf(w http.ResponseWriter) *conn {
 	response, ok := w.(*nbhttp.Response)
 	if !ok || response.Parser == nil {
--- a/fakes/modules/serve/control.go
+++ b/fakes/modules/serve/control.go
@@ -7,35 +7,38 @@
 	"verbenaroad.example/fakes/modules/fault"
 )
 
-// Counts are the calls by kind: all since the start, and those open now.
+// Counts has the numbers of calls by kind.
 type Counts struct {
+	// Calls counts all calls since the start.
 	Calls map[string]int64 `json:"calls"`
-	Open  map[string]int64 `json:"open"`
+	// Open counts the calls in flight.
+	Open map[string]int64 `json:"open"`
 }
 
-type calls struct {
+// callCounter counts calls by kind; it is safe for concurrent use.
+type callCounter struct {
 	mutex  sync.Mutex
 	counts Counts
 }
 
-func newCalls() *calls {
-	return &calls{counts: Counts{Calls: map[string]int64{}, Open: map[string]int64{}}}
+func newCallCounter() *callCounter {
+	return &callCounter{counts: Counts{Calls: map[string]int64{}, Open: map[string]int64{}}}
 }
 
-func (c *calls) open(kind string) {
+func (c *callCounter) begin(kind string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.counts.Calls[kind]++
 	c.counts.Open[kind]++
 }
 
-func (c *calls) end(kind string) {
+func (c *callCounter) end(kind string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.counts.Open[kind]--
 }
 
-func (c *calls) get() Counts {
+func (c *callCounter) get() Counts {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	counts := Counts{Calls: map[string]int64{}, Open: map[string]int64{}}
@@ -46,12 +49,12 @@
 	return counts
 }
 
-// GetCounts returns the calls by kind.
+// GetCounts returns the numbers of calls by kind.
 func (s *Server) GetCounts() Counts {
 	return s.calls.get()
 }
 
-// NewControl returns the routes of the control address: the fault switch and the call counts.
+// NewControl returns the handler of the control address, which serves the fault settings and the call counts.
 func (s *Server) NewControl() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /fault", s.getFault)
--- a/fakes/modules/serve/handler.go
+++ b/fakes/modules/serve/handler.go
@@ -7,26 +7,27 @@
 	"verbenaroad.example/fakes/modules/fault"
 )
 
-// SetFault puts the settings in force.
+// SetFault replaces the fault settings in force. It closes the listener and all connections if the settings
+// have Down, and listens again if they do not.
 func (s *Server) SetFault(settings fault.Settings) error {
 	s.faults.Set(settings)
 	if settings.Silent {
 		s.mute()
 	}
 	if settings.Down {
-		s.unlisten()
+		s.closeListener()
 		s.closeConns()
 		return nil
 	}
 	return s.listen()
 }
 
-// GetFault returns the settings in force.
+// GetFault returns the fault settings in force.
 func (s *Server) GetFault() fault.Settings {
 	return s.faults.Get()
 }
 
-// mute makes every open connection silent for good.
+// mute permanently mutes every open connection.
 func (s *Server) mute() {
 	for _, c := range s.listConns() {
 		c.muted.Store(true)
@@ -37,7 +38,7 @@
 func (s *Server) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	c := connOf(w)
 	if c == nil || c.muted.Load() {
-		// The connection went silent while the call waited its turn: it takes no effect.
+		// The connection was muted while the call was queued on it: the call takes no effect.
 		return
 	}
 	if r.Close {
@@ -45,7 +46,7 @@
 		defer c.closeLater()
 	}
 	settings := s.faults.GetFor(r.Method)
-	if !s.hold(r.Method, time.Duration(settings.Slow)) {
+	if !s.delayCall(r.Method, time.Duration(settings.Slow)) {
 		return
 	}
 	if settings.Status != 0 {
@@ -53,7 +54,7 @@
 		return
 	}
 	kind := s.options.KindOf(r)
-	s.calls.open(kind)
+	s.calls.begin(kind)
 	defer s.calls.end(kind)
 	lost := s.faults.TakeLostAnswer(r.Method)
 	if lost {
@@ -67,9 +68,10 @@
 	s.waitThaw(r.Method, c.ctx.Done())
 }
 
-// hold keeps a call back while the stand-in is slow or frozen; false means that the stand-in stops.
-// It does not end when the caller goes away: what a real service has read, it carries out.
-func (s *Server) hold(method string, delay time.Duration) bool {
+// delayCall waits for delay, and then until no freeze is in force. It returns false if the server stops first.
+// It does not return early when the caller disconnects, because a real service carries out a request that it
+// has read.
+func (s *Server) delayCall(method string, delay time.Duration) bool {
 	if delay > 0 {
 		timer := time.NewTimer(delay)
 		defer timer.Stop()
@@ -82,7 +84,8 @@
 	return s.waitThaw(method, nil)
 }
 
-// waitThaw returns when no freeze is in force; false means that gone was closed or the stand-in stops.
+// waitThaw waits until no freeze is in force for calls of a method. It returns false if gone is closed or the
+// server stops first.
 func (s *Server) waitThaw(method string, gone <-chan struct{}) bool {
 	thawed := s.faults.Thawed(method)
 	if thawed == nil {
@@ -98,7 +101,7 @@
 	}
 }
 
-// writer holds the parts of an answer back while the stand-in is frozen, and cuts the answer off where that is asked for.
+// writer delays the parts of an answer during a freeze, and closes the connection where CutAfter requires it.
 type writer struct {
 	http.ResponseWriter
 	server *Server
@@ -107,7 +110,7 @@
 	writes int
 }
 
-// Write passes data on once no freeze is in force.
+// Write waits until no freeze is in force and writes data. It fails if the connection has closed.
 func (w *writer) Write(data []byte) (int, error) {
 	w.server.waitThaw(w.method, w.conn.ctx.Done())
 	if err := w.conn.ctx.Err(); err != nil {
@@ -117,7 +120,7 @@
 	return w.ResponseWriter.Write(data)
 }
 
-// Flush sends what was written so far.
+// Flush sends the data written so far and closes the connection if it has had CutAfter writes.
 func (w *writer) Flush() {
 	if w.conn.ctx.Err() != nil {
 		return
--- a/fakes/modules/serve/json.go
+++ b/fakes/modules/serve/json.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// WriteJSON answers a call with v.
+// WriteJSON answers a call with v as JSON.
 func WriteJSON(w http.ResponseWriter, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -16,7 +16,7 @@
 	_, _ = w.Write(body)
 }
 
-// ReadJSON decodes the body of a call into v; when it cannot, it answers the call and returns false.
+// ReadJSON decodes the JSON body of a call into v. If that fails, it answers 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
--- a/fakes/modules/serve/server.go
+++ b/fakes/modules/serve/server.go
@@ -1,5 +1,5 @@
-// Package serve runs one stand-in as an nbhttp server whose faults are
-// switched over a second address.
+// Package serve runs a stand-in as an nbhttp server whose faults are switched over a second address, the
+// control address.
 package serve
 
 import (
@@ -24,27 +24,28 @@
 const (
 	maxConnections = 1 << 17
 	maxBodyBytes   = 64 << 20
-	// keepaliveTime is long enough that no blocking query of a stand-in meets it.
+	// keepaliveTime is longer than any blocking query of a stand-in, so that it does not end one.
 	keepaliveTime = 15 * time.Minute
-	drainTick     = 5 * time.Millisecond
+	// drainTick is the interval of the checks of drain, and the pause after a failed accept.
+	drainTick = 5 * time.Millisecond
 )
 
 // Options holds the settings of a Server.
 type Options struct {
-	// Listen is where callers connect; port 0 takes a free one.
+	// Listen is the address that callers connect to; port 0 selects a free port.
 	Listen netip.AddrPort
-	// Handler answers the calls. The context of its requests ends when the caller goes away.
+	// Handler answers the calls. The context of a request is canceled when its connection closes.
 	Handler http.Handler
-	// KindOf names the kind under which a call is counted.
+	// KindOf returns the kind under which a call is counted.
 	KindOf func(*http.Request) string
 }
 
-// Server serves one address.
+// Server serves a handler on one address, with the faults in force.
 type Server struct {
 	options Options
 	engine  *nbhttp.Engine
 	faults  *fault.Switch
-	calls   *calls
+	calls   *callCounter
 	// stopping is closed when Stop no longer waits for calls.
 	stopping chan struct{}
 
@@ -53,7 +54,8 @@
 	listener net.Listener
 	conns    map[*nbio.Conn]*conn
 	stopped  bool
-	jobs     int
+	// jobs is the number of jobs that are queued on a connection or running.
+	jobs int
 }
 
 // NewServer returns a Server that does not listen yet.
@@ -61,7 +63,7 @@
 	s := &Server{
 		options: options,
 		faults:  fault.NewSwitch(),
-		calls:   newCalls(),
+		calls:   newCallCounter(),
 		address: options.Listen,
 		conns:   map[*nbio.Conn]*conn{},
 
@@ -76,14 +78,13 @@
 		ServerExecutor:    s.execute,
 		SupportServerOnly: true,
 	})
-	// The hook is set on nbio's engine, not on nbhttp's: the latter runs it on
-	// the connection's job list behind the handler, so a handler could not
-	// learn that its caller went away before it is done.
+	// The hook is set on nbio's engine because nbhttp's engine queues its hook on the connection's job list
+	// behind the handler, so a running handler would not learn that its caller has disconnected.
 	s.engine.Engine.OnClose(s.onClose)
 	return s
 }
 
-// Start listens and serves; the address is known when it returns.
+// Start listens and serves. Address is valid when it returns.
 func (s *Server) Start() error {
 	if err := s.engine.Start(); err != nil {
 		return ErrServe.Wrap(err)
@@ -91,19 +92,19 @@
 	return s.listen()
 }
 
-// Address returns the bound address.
+// Address returns the address that the server listens on.
 func (s *Server) Address() netip.AddrPort {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.address
 }
 
-// Stop takes no new connections, lets the calls that run end until ctx is over, and closes.
+// Stop closes the listener, waits for the calls in flight until ctx ends, and then closes all connections.
 func (s *Server) Stop(ctx context.Context) error {
 	s.mutex.Lock()
 	s.stopped = true
 	s.mutex.Unlock()
-	s.unlisten()
+	s.closeListener()
 	err := s.drain(ctx)
 	close(s.stopping)
 	s.closeConns()
@@ -111,6 +112,7 @@
 	return err
 }
 
+// drain waits until no jobs are left; it fails if ctx ends first.
 func (s *Server) drain(ctx context.Context) error {
 	ticker := time.NewTicker(drainTick)
 	defer ticker.Stop()
@@ -136,7 +138,7 @@
 	s.jobs += n
 }
 
-// execute gives each job a goroutine of its own, so that calls that wait never hold up others.
+// execute runs each job in its own goroutine, so that waiting calls do not block others.
 func (s *Server) execute(job func()) {
 	go s.run(job)
 }
@@ -145,6 +147,7 @@
 	job()
 }
 
+// listen opens the listener unless it is open or the server has stopped.
 func (s *Server) listen() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -161,7 +164,7 @@
 	return nil
 }
 
-func (s *Server) unlisten() {
+func (s *Server) closeListener() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.listener == nil {
@@ -185,7 +188,7 @@
 	}
 }
 
-// addConn does what nbhttp does for an accepted connection, with a conn in between that faults can mute.
+// addConn sets up an accepted connection as nbhttp does, but with a conn in between that faults can mute.
 func (s *Server) addConn(accepted net.Conn) {
 	inner, err := nbio.NBConn(accepted)
 	if err != nil {
@@ -197,35 +200,36 @@
 	s.conns[inner] = c
 	s.mutex.Unlock()
 	outer := &nbhttp.Conn{Conn: c}
-	parser := nbhttp.NewParser(outer, s.engine, nbhttp.NewServerProcessor(), false, s.counted(inner))
+	parser := nbhttp.NewParser(outer, s.engine, nbhttp.NewServerProcessor(), false, s.countingExecutor(inner))
 	outer.Parser = parser
 	inner.SetSession(parser)
 	inner.OnData(c.onData(s.engine.DataHandler))
 	c.publish()
 	if _, err := s.engine.AddConn(inner); err != nil {
-		s.forget(inner)
+		s.removeConn(inner)
 		return
 	}
 	_ = inner.SetReadDeadline(time.Now().Add(keepaliveTime))
 }
 
-// counted wraps the connection's job list, so that Stop waits until answers are written.
-func (s *Server) counted(inner *nbio.Conn) func(func()) bool {
+// countingExecutor returns the executor of the connection's job list. It counts the jobs, so that Stop waits
+// until their answers are written.
+func (s *Server) countingExecutor(inner *nbio.Conn) func(func()) bool {
 	return func(job func()) bool {
 		s.addJobs(1)
-		taken := inner.Execute(func() {
+		accepted := inner.Execute(func() {
 			defer s.addJobs(-1)
 			job()
 		})
-		if !taken {
+		if !accepted {
 			s.addJobs(-1)
 		}
-		return taken
+		return accepted
 	}
 }
 
-// forget ends the connection's context, which tells the handler that its caller went away.
-func (s *Server) forget(inner *nbio.Conn) {
+// removeConn removes a closed connection and cancels its context, so that the handler stops working for it.
+func (s *Server) removeConn(inner *nbio.Conn) {
 	s.mutex.Lock()
 	c := s.conns[inner]
 	delete(s.conns, inner)
@@ -236,7 +240,7 @@
 }
 
 func (s *Server) onClose(inner *nbio.Conn, err error) {
-	s.forget(inner)
+	s.removeConn(inner)
 	inner.MustExecute(func() {
 		if parser, ok := inner.Session().(nbhttp.ParserCloser); ok {
 			parser.CloseAndClean(err)
@@ -260,7 +264,7 @@
 	}
 }
 
-// AnyLoopbackPort returns the address that takes a free port.
+// AnyLoopbackPort returns the loopback address with port 0, which selects a free port.
 func AnyLoopbackPort() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 }
