--- a/fakes/modules/slots/slots.go
+++ b/fakes/modules/slots/slots.go
@@ -1,4 +1,4 @@
-// Package slots bounds how many calls a stand-in works on at once.
+// Package slots limits how many calls a stand-in runs at once.
 package slots
 
 import (
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Slots is a fixed number of places; a call waits for one.
+// Slots is a semaphore with a fixed number of slots; each running call holds one.
 type Slots struct {
-	places chan struct{}
+	// taken has one element for each slot that is taken.
+	taken chan struct{}
 }
 
-// NewSlots returns n free places.
+// NewSlots returns n free slots, or one if n is less.
 func NewSlots(n int) *Slots {
-	return &Slots{places: make(chan struct{}, max(n, 1))}
+	return &Slots{taken: make(chan struct{}, max(n, 1))}
 }
 
-// Take waits for a place; false means that ctx ended first.
-func (s *Slots) Take(ctx context.Context) bool {
+// Acquire takes a slot, waiting for a free one if needed. It returns false if ctx ends first.
+func (s *Slots) Acquire(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	select {
-	case s.places <- struct{}{}:
+	case s.taken <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Free gives a place back.
-func (s *Slots) Free() {
-	<-s.places
+// Release frees a slot that Acquire took.
+func (s *Slots) Release() {
+	<-s.taken
 }
 
-// Work spends d, or less when ctx ends first, and reports whether it spent all.
-func Work(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d or until ctx ends, and reports whether it waited for all of d.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/fakes/services/engine/orders.go
+++ b/fakes/services/engine/orders.go
@@ -125,7 +125,7 @@
 		return
 	}
 	// An order once accepted is carried out although its sender goes away.
-	slots.Work(context.WithoutCancel(r.Context()), c.duration)
+	slots.Sleep(context.WithoutCancel(r.Context()), c.duration)
 	if !c.apply(number) {
 		http.Error(w, "no such order", http.StatusBadRequest)
 		return
--- a/fakes/services/plain/service.go
+++ b/fakes/services/plain/service.go
@@ -62,13 +62,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.slots.Take(r.Context()) {
+	if !s.slots.Acquire(r.Context()) {
 		return
 	}
-	defer s.slots.Free()
+	defer s.slots.Release()
 	run := s.ledger.Start(r, body)
 	defer s.ledger.Finish(run.Run)
 	// A run that has started goes on when its caller goes away: an order once taken is carried out.
-	slots.Work(context.WithoutCancel(r.Context()), s.options.Time)
+	slots.Sleep(context.WithoutCancel(r.Context()), s.options.Time)
 	serve.WriteJSON(w, Answer{Method: run.Method, Path: run.Path, Key: run.Key, BodyDigest: run.BodyDigest, Run: run.Run})
 }
--- a/fakes/services/pool/pool.go
+++ b/fakes/services/pool/pool.go
@@ -70,12 +70,12 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
-	if !p.slots.Take(r.Context()) {
+	if !p.slots.Acquire(r.Context()) {
 		return false
 	}
-	defer p.slots.Free()
+	defer p.slots.Release()
 	run := p.ledger.Start(r, body)
-	if !slots.Work(r.Context(), p.options.Time) {
+	if !slots.Sleep(r.Context(), p.options.Time) {
 		return false
 	}
 	p.ledger.Finish(run.Run)
--- a/fakes/services/weight/store.go
+++ b/fakes/services/weight/store.go
@@ -56,7 +56,7 @@
 	chunk := make([]byte, chunkBytes)
 	for sent := int64(0); sent < s.options.Bytes; {
 		part := chunk[:min(int64(chunkBytes), s.options.Bytes-sent)]
-		if !slots.Work(r.Context(), s.reserve(len(part))) {
+		if !slots.Sleep(r.Context(), s.reserve(len(part))) {
 			return
 		}
 		if _, err := w.Write(part); err != nil {
