--- a/fakes/modules/token/token.go
+++ b/fakes/modules/token/token.go
@@ -1,6 +1,5 @@
-// Package token makes the tokens that an engine stand-in generates. They
-// follow from the prompt alone, so a caller can tell whether an answer
-// belongs to its own prompt.
+// Package token generates the tokens of an engine stand-in's answers. They depend on the prompt and the
+// position only, so a caller can check whether an answer belongs to its own prompt.
 package token
 
 import (
@@ -12,10 +11,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Length is the number of characters of a token.
+// Length is the number of characters of a generated token.
 const Length = 8
 
-// Make returns the index-th token of the answer to prompt.
+// Make returns the token at index, counted from 0, of the answer to prompt.
 func Make(prompt string, index int) string {
 	sum := xxhash.Sum64String(prompt + strconv.Itoa(index))
 	var raw [8]byte
@@ -23,7 +22,7 @@
 	return hex.EncodeToString(raw[:])[:Length]
 }
 
-// MakeText returns the text of a whole answer of count tokens.
+// MakeText returns the text of a complete answer of count tokens.
 func MakeText(prompt string, count int) string {
 	var text strings.Builder
 	text.Grow(count * Length)
@@ -33,16 +32,16 @@
 	return text.String()
 }
 
-// Count returns the number of tokens of a prompt: its words.
+// Count returns the number of tokens of a prompt; each word counts as one token.
 func Count(prompt string) int {
 	return len(strings.Fields(prompt))
 }
 
-// BlockTokens is the number of tokens of a block of the prefix cache.
+// BlockTokens is the number of tokens of a block in the prefix cache.
 const BlockTokens = 16
 
-// Blocks returns the ids of the whole blocks of a prompt. Each follows from
-// all tokens up to its end, so equal ids mean equal prefixes.
+// Blocks returns the IDs of the full blocks of a prompt. An ID is a digest of all tokens up to the end of
+// its block, so equal IDs mean equal prefixes.
 func Blocks(prompt string) []string {
 	words := strings.Fields(prompt)
 	blocks := make([]string, 0, len(words)/BlockTokens)
