--- a/fakes/services/engine/orders.go
+++ b/fakes/services/engine/orders.go
@@ -126,7 +126,7 @@
 		return
 	}
 	// An accepted order is executed even if its sender disconnects.
-	slots.Work(context.WithoutCancel(r.Context()), c.orderTime)
+	slots.Sleep(context.WithoutCancel(r.Context()), c.orderTime)
 	if !c.apply(index) {
 		http.Error(w, "no such order", http.StatusBadRequest)
 		return
