--- a/share/decide/admit/admit.go
+++ b/share/decide/admit/admit.go
@@ -1,8 +1,8 @@
-// Package admit decides at the entry whether a request is admitted: its team must be within its limit,
-// and its stages must be expected to finish before the deadline.
+// Package admit decides at the entry whether a request is admitted: its team must be within its
+// limit, and its stages must be expected to finish before the deadline.
 //
-// An Admitter is not safe for concurrent use: it belongs to one goroutine, or its caller guards it with
-// a lock.
+// An Admitter is not safe for concurrent use: it belongs to one goroutine, or its caller guards it
+// with a lock.
 package admit
 
 import (
@@ -86,13 +86,13 @@
 // SetEntries divides the teams' limits among the live entries.
 func (a *Admitter) SetEntries(n int) { a.buckets.entries = float64(max(n, 1)) }
 
-// CountTeams returns the number of teams with a stored bucket. A bucket that is full again is dropped
-// at the next sweep.
+// CountTeams returns the number of teams with a stored bucket. A bucket that is full again is
+// dropped at the next sweep.
 func (a *Admitter) CountTeams() int { return len(a.buckets.teams) }
 
-// OnStageTime records the measured time of a stage without its queue delay. A stage that was abandoned
-// must be recorded too, with the time until then. Otherwise the slowest stages would be missing from
-// the estimates.
+// OnStageTime records the measured time of a stage without its queue delay. A stage that was
+// abandoned must be recorded too, with the time until then. Otherwise the slowest stages would be
+// missing from the estimates.
 func (a *Admitter) OnStageTime(now time.Time, key string, took time.Duration) {
 	t, ok := a.stages[key]
 	if !ok {
@@ -102,8 +102,8 @@
 	t.add(now, took)
 }
 
-// Forget drops the measured times of all stages for which keep returns false, so that stages that are
-// no longer in the configuration take no memory.
+// Forget drops the measured times of all stages for which keep returns false, so that stages that
+// are no longer in the configuration take no memory.
 func (a *Admitter) Forget(keep func(key string) bool) {
 	for key := range a.stages {
 		if !keep(key) {
@@ -164,8 +164,8 @@
 }
 
 // Split divides the remaining time among the stages that still have to run, in proportion to their
-// measured times and predicted queue delays. If it is called again before each stage, time that earlier
-// stages saved goes to the later ones.
+// measured times and predicted queue delays. If it is called again before each stage, time that
+// earlier stages saved goes to the later ones.
 func (a *Admitter) Split(now time.Time, remaining time.Duration, stages []Stage) []time.Duration {
 	shares := make([]time.Duration, len(stages))
 	if len(stages) == 0 || remaining <= 0 {
--- a/share/decide/admit/admit_test.go
+++ b/share/decide/admit/admit_test.go
@@ -73,9 +73,9 @@
 	is.True(second[1] > first[2])
 }
 
-// Guards against refusing all requests forever after a slow minute of a stage. While admission refuses
-// every request, no new time is measured. Slow times that never expire would keep it refusing after the
-// stage has recovered.
+// Guards against refusing all requests forever after a slow minute of a stage. While admission
+// refuses every request, no new time is measured. Slow times that never expire would keep it
+// refusing after the stage has recovered.
 func TestSlowTimesExpireWithoutNewMeasurements(t *testing.T) {
 	is := is.New(t)
 	a := newMeasured(map[string]time.Duration{"generate": 9 * time.Second})
@@ -97,8 +97,9 @@
 	is.Equal(a.Decide(start.Add(time.Second), q).Refusal, nil)
 }
 
-// Guards against admissions without a charge. A bucket that lacks less than it refills in a nanosecond
-// gives a wait of 0. If that is taken for an admission, any number of calls pass at that moment.
+// Guards against admissions without a charge. A bucket that lacks less than it refills in a
+// nanosecond gives a wait of 0. If that is taken for an admission, any number of calls pass at that
+// moment.
 func TestAlmostFullBucketRefuses(t *testing.T) {
 	is := is.New(t)
 	a := admit.New(admit.DefaultSettings())
--- a/share/decide/admit/bucket.go
+++ b/share/decide/admit/bucket.go
@@ -27,8 +27,8 @@
 
 func newBuckets() buckets { return buckets{entries: 1, teams: make(map[string]bucket)} }
 
-// take charges the request to its team and returns true. If the team is over its limit, take charges
-// nothing and returns false and how long the team has to wait.
+// take charges the request to its team and returns true. If the team is over its limit, take
+// charges nothing and returns false and how long the team has to wait.
 func (b *buckets) take(now time.Time, q Request) (wait time.Duration, ok bool) {
 	if q.Rate <= 0 {
 		return 0, true
--- a/share/decide/admit/times.go
+++ b/share/decide/admit/times.go
@@ -22,9 +22,9 @@
 	minSamples = 5
 )
 
-// stageTimes estimates quantiles of a stage's time over a sliding window. Old times are dropped with
-// their section even if no new times arrive. So after a slow minute the estimates recover although
-// admission refuses every request and nothing is measured.
+// stageTimes estimates quantiles of a stage's time over a sliding window. Old times are dropped
+// with their section even if no new times arrive. So after a slow minute the estimates recover
+// although admission refuses every request and nothing is measured.
 type stageTimes struct {
 	settings  Settings
 	window    *hdrhistogram.WindowedHistogram
@@ -51,8 +51,8 @@
 	}
 }
 
-// rotate starts the sections that are due. If the whole window has passed, all sections are replaced
-// and the next one is counted from now.
+// rotate starts the sections that are due. If the whole window has passed, all sections are
+// replaced and the next one is counted from now.
 func (t *stageTimes) rotate(now time.Time) {
 	section := t.settings.Window / windowSections
 	for range windowSections {
@@ -66,8 +66,8 @@
 	t.rotatedAt = now
 }
 
-// estimate returns the time at AdmitQuantile and at SplitQuantile, or the fallback for both if too few
-// times were measured.
+// estimate returns the time at AdmitQuantile and at SplitQuantile, or the fallback for both if too
+// few times were measured.
 func (t *stageTimes) estimate(now time.Time, fallback time.Duration) (admitTime, splitTime time.Duration) {
 	t.rotate(now)
 	if t.computedAt.IsZero() || now.Sub(t.computedAt) >= refreshInterval {
