--- a/share/decide/answer/stage.go
+++ b/share/decide/answer/stage.go
@@ -101,7 +101,8 @@
 const (
 	// ReasonUnknownAttempt means that the ID belongs to no attempt of this stage.
 	ReasonUnknownAttempt Reason = "crossed"
-	// ReasonLate means that the attempt was canceled: another one was chosen, or the request abandoned.
+	// ReasonLate means that the attempt was canceled: another one was chosen, or the request
+	// abandoned.
 	ReasonLate Reason = "late"
 	// ReasonDuplicate means that the attempt has already ended.
 	ReasonDuplicate Reason = "duplicate"
@@ -156,8 +157,8 @@
 // CountOpen returns the number of attempts that have neither ended nor been canceled.
 func (s *Stage) CountOpen() int { return len(s.listOpen()) }
 
-// Retryable reports whether another attempt may be opened: the stage is not closed and, if its answer
-// is streamed, no part has been passed on yet.
+// Retryable reports whether another attempt may be opened: the stage is not closed and, if its
+// answer is streamed, no part has been passed on yet.
 func (s *Stage) Retryable() bool { return !s.closed && s.chosen == ID{} }
 
 // Step processes one event and returns the actions that follow from it, in order.
--- a/share/decide/answer/stage_test.go
+++ b/share/decide/answer/stage_test.go
@@ -22,8 +22,8 @@
 }
 
 // Guards against callers receiving another caller's answer or a truncated one. Causes: an answer
-// arrives late, twice or for another request, a hedge and a retry both answer, or a stream ends early
-// and looks complete.
+// arrives late, twice or for another request, a hedge and a retry both answer, or a stream ends
+// early and looks complete.
 func TestStage(t *testing.T) {
 	otherRequest := id(1)
 	otherRequest.Request = "another"
