--- a/share/decide/claim/record.go
+++ b/share/decide/claim/record.go
@@ -31,7 +31,7 @@
 const (
 	// StateClaimed is an open claim: the attempt may run later, be running or have run.
 	StateClaimed State = "claimed"
-	// StateTombstoned means that the attempt did not run and never will; the key may be claimed anew.
+	// StateTombstoned means that the attempt did not run and never will; the key may be claimed again.
 	StateTombstoned State = "tombstoned"
 	// StateDone means that the attempt ran; the record holds its answer.
 	StateDone State = "done"
