--- a/share/decide/delay/delay.go
+++ b/share/decide/delay/delay.go
@@ -55,8 +55,8 @@
 	Demand Counts
 }
 
-// IsKnown reports whether the backlog was reported at all. The zero Backlog stands for one that
-// was not, for example in the completion of a job that its batcher dropped.
+// IsKnown reports whether the backlog was reported at all. The zero Backlog means that it was not,
+// for example in the completion of a job that its batcher dropped.
 func (b Backlog) IsKnown() bool { return b.OnTime != nil }
 
 // stalledWait is the assumed wait at a service none of whose servers responds: a
--- a/share/decide/delay/demand_test.go
+++ b/share/decide/delay/demand_test.go
@@ -23,7 +23,7 @@
 }
 
 // Requests that can be on time arrive at nine tenths of the service's rate. Thirty results, 0.3 s
-// of work, are queued before a late request, but new arrivals keep overtaking it, so that it waits
+// of work, are queued ahead of a late request, but new arrivals keep overtaking it, and it waits
 // five times as long. Guards against admitting late requests on an estimate without the arrivals.
 func TestLateRequestsWaitForNewArrivals(t *testing.T) {
 	is := is.New(t)
