--- a/share/decide/drain/drain_test.go
+++ b/share/decide/drain/drain_test.go
@@ -72,8 +72,8 @@
 }
 
 // Three instances are asked to stop within two seconds. After 3 s none of them admits new work, and
-// none is back for another 3 s, although a request that takes 1.5 s at most would end in time on any
-// of them. Such a request is admitted if no other instance takes it and it is certain to end in time.
+// none is back for another 3 s, although a request of at most 1.5 s would end in time on any of
+// them. Such a request is admitted if no other instance takes it and it is certain to end in time.
 func TestLastResortWorkIsAdmittedWhileAllInstancesStop(t *testing.T) {
 	is := is.New(t)
 	i := drain.NewInstance(drain.Settings{Grace: 8 * time.Second, Linger: 3 * time.Second, AdmitPeriod: 3 * time.Second})
@@ -90,8 +90,8 @@
 	is.Equal(i.Step(at(7), request), []drain.Action{drain.Refuse{ID: "request"}})
 }
 
-// Guards against admitting work that may not end within the grace period: it would be aborted, and its
-// caller could not tell whether it was done.
+// Guards against admitting work that may not end within the grace period: it would be aborted, and
+// its caller could not tell whether it was done.
 func TestWorkThatMayOutlastTheGracePeriodIsRefused(t *testing.T) {
 	is := is.New(t)
 	i := drain.NewInstance(drain.Settings{Grace: 8 * time.Second, Linger: 3 * time.Second, AdmitPeriod: 3 * time.Second})
@@ -101,8 +101,9 @@
 	is.Equal(i.Step(at(7), late), []drain.Action{drain.Refuse{ID: "request"}})
 }
 
-// Guards against requests that fail for seconds after an instance was stopped, or that no longer reach
-// it after its restart: reports of its leaving come from several sources, late and out of order.
+// Guards against requests that fail for seconds after an instance was stopped, or that no longer
+// reach it after its restart: reports of its leaving come from several sources, late and out of
+// order.
 func TestPeers(t *testing.T) {
 	for name, c := range map[string]struct {
 		observe func(p *drain.Peers)
--- a/share/decide/drain/instance.go
+++ b/share/decide/drain/instance.go
@@ -158,11 +158,12 @@
 }
 
 // lastResortOffered admits work that is certain to end within the grace period, and only while the
-// instance keeps running for other work: admitting one item of last-resort work after the other would
-// delay the restart of the instance by seconds.
+// instance keeps running for other work: admitting one item of last-resort work after the other
+// would delay the restart of the instance by seconds.
 //
-// It guards against a rolling restart in which all instances stop at the same time: once AdmitPeriod
-// has passed on each, no instance would take a request for seconds, not even one that ends in 60 ms.
+// It guards against a rolling restart in which all instances stop at the same time: once
+// AdmitPeriod has passed on each, no instance would take a request for seconds, not even one that
+// ends in 60 ms.
 func (i *Instance) lastResortOffered(now time.Time, e LastResortOffered) []Action {
 	graceEnd := i.drainStart.Add(i.settings.Grace)
 	if i.state != StateDraining || !i.hasRegularWork() || now.Add(e.MaxDuration).After(graceEnd) {
--- a/share/decide/drain/peers.go
+++ b/share/decide/drain/peers.go
@@ -37,7 +37,8 @@
 	return !known || !o.leaving && (!o.listedLeaving || o.listingOutdated)
 }
 
-// ObserveListing records the leaving flag of an instance in the instance list, which may lag behind.
+// ObserveListing records the leaving flag of an instance in the instance list, which may lag
+// behind.
 func (p *Peers) ObserveListing(name string, leaving bool) {
 	o := p.getOrAdd(name)
 	if !leaving {
@@ -67,7 +68,8 @@
 	o.leaving = o.leaving || leaving
 }
 
-// ObserveRefusal records a refusal with codes.Draining as the instance's own report that it is leaving.
+// ObserveRefusal records a refusal with codes.Draining as the instance's own report that it is
+// leaving.
 func (p *Peers) ObserveRefusal(name, incarnation string) {
 	p.ObserveReport(name, incarnation, true)
 }
