--- a/share/decide/gossip/status.go
+++ b/share/decide/gossip/status.go
@@ -52,10 +52,10 @@
 }
 
 // hasTriedToConfirm reports whether the process may continue without a confirmation: a read sent
-// after the last freeze has failed, and either a peer has reported since or PeerReportWait has
-// passed. Without this check a process that was frozen would decide under a rule that was replaced
-// in the meantime. A freeze shows as a gap between ticks, or as an expired confirmation without a
-// failed read after it.
+// after the last freeze has failed or returned a head below the revision in force, and either a
+// peer has reported since or PeerReportWait has passed. Without this check a process that was
+// frozen would decide under a rule that was replaced in the meantime. A freeze shows as a gap
+// between ticks, or as an expired confirmation without a failed read after it.
 func (s *State) hasTriedToConfirm(now time.Time) bool {
 	if s.hasBeenFrozen(now) || s.failingSince.IsZero() {
 		return false
