--- a/share/decide/lease/candidate.go
+++ b/share/decide/lease/candidate.go
@@ -127,7 +127,7 @@
 	// phase is the call to the key-value service that is in flight.
 	phase phase
 	// observed is the record observed last, observedAt the time at which its index was first observed.
-	// isKnown is set once there is such a record.
+	// isKnown is set by the first successful read, even if it finds the key absent.
 	observed   Stored
 	isKnown    bool
 	observedAt time.Time
