--- a/share/decide/match/candidate.go
+++ b/share/decide/match/candidate.go
@@ -13,8 +13,8 @@
 	Labels config.Labels
 }
 
-// NewServer returns the backend server of an agent's instance. Its labels are those of the instance,
-// with the labels region, domain, service and name added.
+// NewServer returns the backend server of an agent's instance. Its labels are those of the
+// instance, with the labels region, domain, service and name added.
 func NewServer(i member.Instance) Server {
 	reserved := config.Labels{"region": i.Region, "domain": i.Domain, "service": i.Service, "name": i.Name}
 	return Server{Name: i.Name, Labels: merge(i.Labels, reserved)}
--- a/share/decide/match/check.go
+++ b/share/decide/match/check.go
@@ -23,7 +23,8 @@
 // EmptyStage is a stage that no server may run for a group of callers.
 type EmptyStage struct {
 	Stage string
-	// Caller is the first affected caller, in the order given to Check; CallerCount counts all of them.
+	// Caller is the first affected caller, in the order given to Check; CallerCount counts all of
+	// them.
 	Caller      string
 	CallerCount int
 	// Rule names the rule that excluded the last remaining server; it is empty when the stage has no
@@ -57,8 +58,8 @@
 	return empties
 }
 
-// callerGroup represents the callers that the same rules match, so that the cost of Check depends on
-// the number of groups, which is small even with 19,000 teams.
+// callerGroup represents the callers that the same rules match, so that the cost of Check depends
+// on the number of groups, which is small even with 19,000 teams.
 type callerGroup struct {
 	// first is the name of the group's first caller.
 	first string
@@ -90,8 +91,8 @@
 	return groups
 }
 
-// selectGroup returns the rules that apply to the group in a stage, and a key that is equal for equal
-// selections.
+// selectGroup returns the rules that apply to the group in a stage, and a key that is equal for
+// equal selections.
 func (r *Rules) selectGroup(g callerGroup, stage config.Labels) (*Selection, string) {
 	s := &Selection{}
 	key := []byte(g.matched)
@@ -105,8 +106,8 @@
 	return s, string(key)
 }
 
-// findExcludingRule applies the rules in order and returns the name of the one that excludes the last
-// remaining server. It returns an empty name when there are no servers to begin with.
+// findExcludingRule applies the rules in order and returns the name of the one that excludes the
+// last remaining server. It returns an empty name when there are no servers to begin with.
 func (s *Selection) findExcludingRule(servers []Server) (rule string, empty bool) {
 	remaining := servers
 	if len(remaining) == 0 {
--- a/share/decide/match/rules_test.go
+++ b/share/decide/match/rules_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// formatCandidates renders a kept candidate as "server+preference" and a dropped one as "server:rule".
+// formatCandidates renders a kept candidate as "server+preference" and a dropped one as
+// "server:rule".
 func formatCandidates(candidates []match.Candidate) string {
 	var words []string
 	for _, c := range candidates {
