--- a/share/decide/mirror/mirror.go
+++ b/share/decide/mirror/mirror.go
@@ -85,8 +85,8 @@
 	return changed
 }
 
-// Merge applies changes from a source that may omit some, such as a partial read. The complete
-// revision stays the same.
+// Merge applies changes from a source that may omit some, for example a partial read. The
+// complete revision stays the same.
 func (m *Mirror) Merge(changes []site.Record) (changed []site.Record) {
 	for _, c := range changes {
 		if !m.isWanted(c.Key) {
