--- a/share/decide/queue/bench_test.go
+++ b/share/decide/queue/bench_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// BenchmarkTeams19000 reports how many teams the queue tracks, and in how much memory, after each of
-// 19,000 teams had a call.
+// BenchmarkTeams19000 reports how many teams the queue tracks, and in how much memory, after each
+// of 19,000 teams had a call.
 func BenchmarkTeams19000(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
--- a/share/decide/queue/class.go
+++ b/share/decide/queue/class.go
@@ -34,7 +34,8 @@
 	index      int
 }
 
-// virtualFinish returns the virtual time at which all waiting items of the flow would have been served.
+// virtualFinish returns the virtual time at which all waiting items of the flow would have been
+// served.
 func (f *flow) virtualFinish() float64 { return f.virtualStart + f.queuedCost/f.weight }
 
 // class holds the flows of one priority class.
@@ -80,7 +81,7 @@
 	return c.active[0].items.entries[0]
 }
 
-// charge adds the cost of an entry that is about to run to its team's use.
+// charge adds the cost of an entry that is about to run to the usage of its team.
 func (c *class) charge(e *entry) {
 	f := c.flows[e.team]
 	c.virtualTime = max(c.virtualTime, f.virtualStart)
@@ -103,8 +104,8 @@
 	c.evictIdle(idleLimit)
 }
 
-// evictIdle drops idle flows in order of virtual start: those that virtualTime has reached, those in
-// excess of idleLimit, and all of them when no item waits.
+// evictIdle drops idle flows in order of virtual start: those that virtualTime has reached, those
+// in excess of idleLimit, and all of them when no item waits.
 func (c *class) evictIdle(idleLimit int) {
 	// While no item waits, teams do not compete, so past use need not be remembered.
 	empty := len(c.active) == 0
@@ -141,8 +142,8 @@
 	return worst
 }
 
-// nextVirtualStart returns the virtual start that a new item of the team would get if it were served
-// after all waiting items of that team.
+// nextVirtualStart returns the virtual start that a new item of the team would get if it were
+// served after all waiting items of that team.
 func (c *class) nextVirtualStart(team string, weight float64) float64 {
 	f, ok := c.flows[team]
 	if !ok {
--- a/share/decide/queue/evict.go
+++ b/share/decide/queue/evict.go
@@ -1,10 +1,10 @@
 package queue
 
-// victim returns the entry to evict from a full queue in favor of the new entry e, or nil when e is to
-// be refused. It searches from the lowest class up to that of e and picks, in the first class with
-// waiting items, the item with the most slack of the team furthest over its share. It refuses e when
-// that class is e's own and e's team would be at least as far over its share. In FIFO mode it always
-// refuses e.
+// victim returns the entry to evict from a full queue in favor of the new entry e, or nil when e is
+// to be refused. It searches from the lowest class up to that of e and picks, in the first class
+// with waiting items, the item with the most slack of the team furthest over its share. It refuses
+// e when that class is e's own and e's team would be at least as far over its share. In FIFO mode
+// it always refuses e.
 func (q *Queue) victim(e *entry) *entry {
 	if q.settings.Mode == ModeFIFO {
 		return nil
--- a/share/decide/queue/queue.go
+++ b/share/decide/queue/queue.go
@@ -87,8 +87,8 @@
 	RetryAfter time.Duration
 }
 
-// Load describes the queue and the running set. The agent publishes it in its expvars, under the names
-// of these fields.
+// Load describes the queue and the running set. The agent publishes it in its expvars, under the
+// names of these fields.
 type Load struct {
 	Running int
 	Queued  int
@@ -130,7 +130,8 @@
 // Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Push queues an item or refuses it. When the queue is full it may evict a waiting item in its favor.
+// Push queues an item or refuses it. When the queue is full it may evict a waiting item to make
+// room.
 func (q *Queue) Push(now time.Time, i Item) PushResult {
 	i.Cost = max(i.Cost, minCost)
 	e := q.newEntry(now, i)
@@ -206,8 +207,8 @@
 
 func (q *Queue) idleLimit() int { return idleTeamFactor * max(q.settings.MaxWaiting, 1) }
 
-// Pop moves the next item into the running set and returns it. It returns false when none waits or no
-// slot is free.
+// Pop moves the next item into the running set and returns it. It returns false when none waits or
+// no slot is free.
 func (q *Queue) Pop(now time.Time) (Item, bool) {
 	q.expire(now)
 	if len(q.running) >= q.settings.Slots {
@@ -254,7 +255,8 @@
 	return e.item, true
 }
 
-// NextExpiry returns the time after which the next waiting item expires, or false when nothing waits.
+// NextExpiry returns the time after which the next waiting item expires, or false when nothing
+// waits.
 func (q *Queue) NextExpiry() (time.Time, bool) {
 	if len(q.byLatestStart.entries) == 0 {
 		return time.Time{}, false
@@ -262,5 +264,6 @@
 	return q.byLatestStart.entries[0].latestStart, true
 }
 
-// SetSlots changes the number of slots. Running items keep running even if they exceed the new number.
+// SetSlots changes the number of slots. Running items keep running even if they exceed the new
+// number.
 func (q *Queue) SetSlots(n int) { q.settings.Slots = n }
--- a/share/decide/queue/queue_test.go
+++ b/share/decide/queue/queue_test.go
@@ -185,8 +185,8 @@
 	is.Equal(next.ID, "near-deadline")
 }
 
-// Guards against one team with ten times the others' rate starving them: without fair queueing their
-// calls wait behind its backlog and are answered late or evicted.
+// Guards against one team with ten times the others' rate starving them: without fair queueing
+// their calls wait behind its backlog and are answered late or evicted.
 func TestBurstOfOneTeamKeepsTheSharesOfOthers(t *testing.T) {
 	is := is.New(t)
 	fairIndex := jainIndexUnderBurst(queue.ModeFair)
@@ -196,8 +196,8 @@
 	is.True(fifoIndex < fairIndex)
 }
 
-// jainIndexUnderBurst runs 4 slots for 60 s, with each team offering more than a fifth of the capacity,
-// and returns Jain's fairness index of the cost served per team.
+// jainIndexUnderBurst runs 4 slots for 60 s, with each team offering more than a fifth of the
+// capacity, and returns Jain's fairness index of the cost served per team.
 func jainIndexUnderBurst(mode queue.Mode) float64 {
 	const teams, slots, ticks = 5, 4, 600
 	q := queue.New(queue.Settings{Mode: mode, MaxWaiting: 64, Slots: slots, InitialServiceTime: service})
--- a/share/decide/queue/running.go
+++ b/share/decide/queue/running.go
@@ -17,9 +17,9 @@
 	canceling bool
 }
 
-// Done frees the slot of a running item and charges its measured cost to the team; a cost of 0 keeps
-// the estimated cost. It returns false when no item with that id runs. A run that Preempt canceled
-// does not count towards the service time.
+// Done frees the slot of a running item and charges its measured cost to the team; a cost of 0
+// keeps the estimated cost. It returns false when no item with that id runs. A run that Preempt
+// canceled does not count towards the service time.
 func (q *Queue) Done(now time.Time, id string, cost float64) (Item, bool) {
 	r, ok := q.running[id]
 	if !ok {
@@ -47,8 +47,8 @@
 }
 
 // Preempt returns a running batch item to cancel because a waiting item of a higher class would
-// otherwise miss its deadline, or false when there is none. Each call returns another item, until as
-// many are being canceled as waiting items are at risk. The caller calls Done once the item has
+// otherwise miss its deadline, or false when there is none. Each call returns another item, until
+// as many are being canceled as waiting items are at risk. The caller calls Done once the item has
 // stopped.
 func (q *Queue) Preempt(now time.Time) (Item, bool) {
 	if q.settings.Mode == ModeFIFO || len(q.running) < q.settings.Slots {
@@ -71,8 +71,8 @@
 	return victim.item, true
 }
 
-// countAtRisk counts the waiting items above batch priority that must start before a slot is expected
-// to become free without preemption.
+// countAtRisk counts the waiting items above batch priority that must start before a slot is
+// expected to become free without preemption.
 func (q *Queue) countAtRisk(now time.Time) int {
 	free := now.Add(q.timeToFreeSlot(now))
 	count := 0
@@ -95,8 +95,8 @@
 	return earliest
 }
 
-// youngestBatchRun returns the preemptible batch run that started last, since canceling it loses the
-// least work, or nil. Of equal ones it returns the one with the smallest id.
+// youngestBatchRun returns the preemptible batch run that started last, since canceling it loses
+// the least work, or nil. Of equal ones it returns the one with the smallest id.
 func (q *Queue) youngestBatchRun() *run {
 	var best *run
 	for _, r := range q.running {
@@ -137,8 +137,8 @@
 	return ahead
 }
 
-// ExpectedServiceTime returns the expected service time of a run of that cost, from the smoothed time
-// per cost unit. It can serve as Item.MinRunTime where no better estimate is known.
+// ExpectedServiceTime returns the expected service time of a run of that cost, from the smoothed
+// time per cost unit. It can serve as Item.MinRunTime where no better estimate is known.
 func (q *Queue) ExpectedServiceTime(cost float64) time.Duration {
 	return time.Duration(q.timePerCost * max(cost, minCost))
 }
@@ -154,8 +154,8 @@
 	}
 }
 
-// TrackedTeams returns the number of flows held over all classes, active and idle. A team counts once
-// for each class in which it has a flow.
+// TrackedTeams returns the number of flows held over all classes, active and idle. A team counts
+// once for each class in which it has a flow.
 func (q *Queue) TrackedTeams() int {
 	count := 0
 	for _, c := range q.classes {
