--- a/share/decide/retry/class.go
+++ b/share/decide/retry/class.go
@@ -8,8 +8,8 @@
 const (
 	// classFinal is not followed by another attempt.
 	classFinal class = "final"
-	// classRefused did not run for a reason that applies only to the agent that refused it. A resend is
-	// not charged to the budget.
+	// classRefused did not run for a reason that applies only to the agent that refused it. A resend
+	// is not charged to the budget.
 	classRefused class = "moved"
 	// classLoaded did not run because of overload, preemption or a failing backend server. A resend is
 	// charged to the budget.
--- a/share/decide/retry/retry.go
+++ b/share/decide/retry/retry.go
@@ -1,7 +1,7 @@
 // Package retry decides whether a failed call of a stage is sent to another agent.
 //
-// A Budget belongs to one service at one entry. It is not safe for concurrent use: it belongs to one
-// goroutine, or its caller guards it with a lock.
+// A Budget belongs to one service at one entry. It is not safe for concurrent use: it belongs to
+// one goroutine, or its caller guards it with a lock.
 package retry
 
 import (
@@ -45,10 +45,11 @@
 type Settings struct {
 	// Share is the share of first attempts that may be retried, 0 to 1.
 	Share float64
-	// InitialTokens is what a new budget holds, so that a service with little traffic can retry at all.
+	// InitialTokens is what a new budget holds, so that a service with little traffic can retry at
+	// all.
 	InitialTokens float64
-	// MaxTokens is the most that a budget can accumulate. It limits the burst of retries after a sudden
-	// failure.
+	// MaxTokens is the most that a budget can accumulate. It limits the burst of retries after a
+	// sudden failure.
 	MaxTokens float64
 	// MaxResends is the maximum number of resends of one stage of one request.
 	MaxResends int
@@ -101,10 +102,10 @@
 	Backoff time.Duration
 }
 
-// Budget is the retry budget of a service. One token pays for one retry, hedge or resend; only resends
-// after classRefused are free. Half of the budget is reserved for faults: otherwise a minute of
-// overload would empty it, and if a replica were lost right afterwards, callers would get errors for
-// work that another replica had capacity for.
+// Budget is the retry budget of a service. One token pays for one retry, hedge or resend; only
+// resends after classRefused are free. Half of the budget is reserved for faults: otherwise a
+// minute of overload would empty it, and if a replica were lost right afterwards, callers would get
+// errors for work that another replica had capacity for.
 type Budget struct {
 	settings Settings
 	// general may be used after any result, faultReserve only after faults. Each is at most half of
@@ -147,8 +148,8 @@
 	return true
 }
 
-// charge takes a token for the call that follows the attempt. It returns false if none is available.
-// After a refusal because of load, only the general half may be used.
+// charge takes a token for the call that follows the attempt. It returns false if none is
+// available. After a refusal because of load, only the general half may be used.
 func (b *Budget) charge(a Attempt) bool {
 	switch a.Code {
 	case codes.Overloaded, codes.DeadlineUnmeetable:
@@ -158,8 +159,8 @@
 	}
 }
 
-// Decide returns what to do after the attempt and charges a following attempt to the budget. random is
-// in [0, 1).
+// Decide returns what to do after the attempt and charges a following attempt to the budget. random
+// is in [0, 1).
 func (b *Budget) Decide(a Attempt, random float64) Decision {
 	class := classify(a)
 	if reason := b.stopReason(a, class); reason != ReasonNone {
--- a/share/decide/retry/retry_test.go
+++ b/share/decide/retry/retry_test.go
@@ -80,9 +80,9 @@
 	is.Equal(pauses, []time.Duration{5, 10, 20, 30, 30})
 }
 
-// Guards against retry storms. If a stage fails every call for a minute and every request is retried
-// without a budget, the stage gets three times the load while it is least able to handle it, and stays
-// down after the cause is gone.
+// Guards against retry storms. If a stage fails every call for a minute and every request is
+// retried without a budget, the stage gets three times the load while it is least able to handle
+// it, and stays down after the cause is gone.
 func TestRetriesOfFailingStageAreBounded(t *testing.T) {
 	is := is.New(t)
 	b := retry.NewBudget(retry.DefaultSettings(0.1))
@@ -175,8 +175,9 @@
 	}
 }
 
-// Guards against errors for callers when a replica is lost after a minute of overload although other
-// replicas have capacity, because resends after refusals for load had used up the retry budget.
+// Guards against errors for callers when a replica is lost after a minute of overload although
+// other replicas have capacity, because resends after refusals for load had used up the retry
+// budget.
 func TestOverloadLeavesHalfOfBudgetForFaults(t *testing.T) {
 	is := is.New(t)
 	s := retry.DefaultSettings(0.1)
