--- a/share/decide/route/affin.go
+++ b/share/decide/route/affin.go
@@ -20,8 +20,8 @@
 	next int
 }
 
-// affinityEntry is the agent that computed a prefix last. The zero value stands for an agent that lost
-// its cache.
+// affinityEntry is the agent that computed a prefix last. The zero value means that this agent has
+// lost its cache.
 type affinityEntry struct {
 	agentName  string
 	tokens     int
@@ -42,8 +42,8 @@
 	}
 }
 
-// addDigest adds a digest to the ring and evicts the oldest one if the ring is full. It returns false
-// if affinity is turned off.
+// addDigest adds a digest to the ring and evicts the oldest one if the ring is full. It returns
+// false if affinity is turned off.
 func (t *affinityTable) addDigest(digest uint64) bool {
 	if cap(t.ring) == 0 {
 		return false
@@ -78,9 +78,10 @@
 	}
 }
 
-// affinityBonus returns the time that the cached prefix saves, discounted by the age of the entry and
-// the agent's hit rate. Load needs no separate factor: the score already weighs the bonus against the
-// agent's longer wait, and when all agents are busy a hit saves work that all queued calls wait for.
+// affinityBonus returns the time that the cached prefix saves, discounted by the age of the entry
+// and the agent's hit rate. Load needs no separate factor: the score already weighs the bonus
+// against the agent's longer wait, and when all agents are busy a hit saves work that all queued
+// calls wait for.
 func (s *Settings) affinityBonus(now time.Time, e affinityEntry, a *agent) time.Duration {
 	if e.agentName == "" || e.agentName != a.instance.Name {
 		return 0
--- a/share/decide/route/agent.go
+++ b/share/decide/route/agent.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// mayRejoin reports whether the agent announced that it is leaving while the list of members does not
-// mark it so.
+// mayRejoin reports whether the agent announced that it is leaving while the list of members does
+// not mark it so.
 //
 // Such an agent may restart under the same name, and only the hello message of a new session shows
 // its new incarnation. Without a session it would never be used again. So its session is kept, and
@@ -92,8 +92,8 @@
 	a.otherLoad = max(0, l.Running+l.Queued-a.outstanding)
 }
 
-// reportWeight returns the weight of the last report: 1 when it is new, falling to 0 with its age, and
-// 0 when there is none.
+// reportWeight returns the weight of the last report: 1 when it is new, falling to 0 with its age,
+// and 0 when there is none.
 func (a *agent) reportWeight(now time.Time, halfLife time.Duration) float64 {
 	if a.reportAt.IsZero() {
 		return 0
@@ -109,8 +109,8 @@
 	return s.DefaultServiceTime
 }
 
-// wait predicts the queue delay of a new call if only the given share of the slots may be used. This
-// entry's outstanding calls count in full, since they are known; the load of other entries is
+// wait predicts the queue delay of a new call if only the given share of the slots may be used.
+// This entry's outstanding calls count in full, since they are known; the load of other entries is
 // discounted by the age of the report.
 func (a *agent) wait(now time.Time, s *Settings, share float64) time.Duration {
 	weight := a.reportWeight(now, s.ReportHalfLife)
--- a/share/decide/route/bench_test.go
+++ b/share/decide/route/bench_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// BenchmarkList790 measures an update with an unchanged list of 790 agents and reports the memory that
-// the router holds for them and for a full prefix table.
+// BenchmarkList790 measures an update with an unchanged list of 790 agents and reports the memory
+// that the router holds for them and for a full prefix table.
 func BenchmarkList790(b *testing.B) {
 	var before, after runtime.MemStats
 	list := newMembers(790, "osrednja", "stajerska", "primorska")
--- a/share/decide/route/choose.go
+++ b/share/decide/route/choose.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// eligibility returns why the agent may not be chosen for this request, or ReasonNone and the rules'
-// preference for it.
+// eligibility returns why the agent may not be chosen for this request, or ReasonNone and the
+// rules' preference for it.
 func (r *Router) eligibility(now time.Time, a *agent, q Request) (Reason, int) {
 	if reason := a.unavailableReason(now); reason != ReasonNone {
 		return reason, 0
@@ -149,11 +149,11 @@
 	return wait+c.roundTrip+c.serviceTime-c.affinityBonus <= budget
 }
 
-// chooseByDeadline goes through the regions from nearest to farthest and leaves a region only if the
-// predicted time in it exceeds the budget. The first pass applies WaitMargin to the queue delay,
-// since predictions are means and about half of the calls take longer; the second pass does not. If
-// no region meets the budget, the nearest one is used: the answer would be late in any region, and
-// traffic between regions costs more.
+// chooseByDeadline goes through the regions from nearest to farthest and leaves a region only if
+// the predicted time in it exceeds the budget. The first pass applies WaitMargin to the queue
+// delay, since predictions are means and about half of the calls take longer; the second pass does
+// not. If no region meets the budget, the nearest one is used: the answer would be late in any
+// region, and traffic between regions costs more.
 func (r *Router) chooseByDeadline(q Request, hint affinityEntry, random Random) *candidate {
 	if c := r.nearestFitting(q, hint, random, r.settings.WaitMargin); c != nil {
 		return c
@@ -261,7 +261,8 @@
 	return &group[0]
 }
 
-// lowestFitting returns the candidate with the lowest score among those that meet the budget, or nil.
+// lowestFitting returns the candidate with the lowest score among those that meet the budget, or
+// nil.
 func lowestFitting(group []candidate, budget time.Duration, margin float64) *candidate {
 	var c *candidate
 	for i := range group {
--- a/share/decide/route/explain.go
+++ b/share/decide/route/explain.go
@@ -41,7 +41,8 @@
 	EjectedUntil time.Time
 }
 
-// Explain returns an Explanation for every known agent, sorted by name. It does not change the router.
+// Explain returns an Explanation for every known agent, sorted by name. It does not change the
+// router.
 func (r *Router) Explain(now time.Time, q Request) []Explanation {
 	hint, _ := r.affinity.find(q.Prefixes)
 	inSubset := make(map[*agent]bool, len(r.subset.agents))
--- a/share/decide/route/health.go
+++ b/share/decide/route/health.go
@@ -21,7 +21,8 @@
 	decayedAt time.Time
 	// ejections counts the agent's ejections, less those that reduceEjections took back.
 	ejections int
-	// ejectedUntil is the end of the last ejection, or the time of the last reduction if that is later.
+	// ejectedUntil is the end of the last ejection, or the time of the last reduction if that is
+	// later.
 	ejectedUntil time.Time
 }
 
@@ -45,8 +46,8 @@
 	return h.consecutiveFaults >= s.EjectConsecutiveFaults || total >= minResults && h.faults >= s.EjectFaultRate*total
 }
 
-// reduceEjections takes back one ejection on a success, once the agent has been in service for as long
-// as that ejection lasted.
+// reduceEjections takes back one ejection on a success, once the agent has been in service for as
+// long as that ejection lasted.
 func (h *health) reduceEjections(now time.Time, s *Settings) {
 	if h.ejections == 0 || now.Sub(h.ejectedUntil) < ejectionTime(h.ejections, s) {
 		return
--- a/share/decide/route/router.go
+++ b/share/decide/route/router.go
@@ -57,7 +57,8 @@
 		}
 	}
 	for name, a := range r.agents {
-		// The list may be out of date, so an unlisted agent is kept while its session is up.
+		// The list may be out of date, so an unlisted agent is kept while its session is up or
+		// calls to it have not ended.
 		if !a.listed && a.session != SessionUp && a.outstanding == 0 {
 			delete(r.agents, name)
 		}
--- a/share/decide/route/settings.go
+++ b/share/decide/route/settings.go
@@ -8,7 +8,8 @@
 
 import "time"
 
-// Policy is the way in which an agent is chosen. All but PolicyDeadline are baselines for experiments.
+// Policy is the way in which an agent is chosen. All but PolicyDeadline are baselines for
+// experiments.
 type Policy string
 
 // The policies.
@@ -89,7 +90,8 @@
 	PrefillTimePerToken time.Duration
 }
 
-// DefaultSettings returns the default settings. The caller sets Name, Service, Region and RegionOrder.
+// DefaultSettings returns the default settings. The caller sets Name, Service, Region and
+// RegionOrder.
 func DefaultSettings() Settings {
 	return Settings{
 		Policy:                 PolicyDeadline,
@@ -115,8 +117,8 @@
 	}
 }
 
-// usesRegions reports whether the policy takes regions into account; the baselines treat all regions
-// alike.
+// usesRegions reports whether the policy takes regions into account; the baselines treat all
+// regions alike.
 func (s *Settings) usesRegions() bool { return s.Policy == PolicyDeadline }
 
 // regionRank returns 0 for the entry's own region and a higher rank for more distant regions.
--- a/share/decide/route/subset.go
+++ b/share/decide/route/subset.go
@@ -22,8 +22,8 @@
 	busyAt    time.Time
 }
 
-// widenInterval is the minimum time from a change of the subset's size to the next widening, so that
-// new sessions come up and their load reports arrive first.
+// widenInterval is the minimum time from a change of the subset's size to the next widening, so
+// that new sessions come up and their load reports arrive first.
 const widenInterval = time.Second
 
 // WantedAgents returns the names of the agents to keep a session to: those of the subset, nearest
@@ -64,8 +64,8 @@
 	}
 }
 
-// splitByRegion returns the agents of the entry's own region and those of the other regions, nearest
-// regions first.
+// splitByRegion returns the agents of the entry's own region and those of the other regions,
+// nearest regions first.
 func (r *Router) splitByRegion() (local, remote []*agent) {
 	ranks := make(map[int][]*agent)
 	for _, a := range r.agents {
@@ -115,8 +115,8 @@
 	return spread
 }
 
-// resize widens the subset when the lowest predicted wait in the nearest region exceeds WidenWait, and
-// narrows it when the wait has stayed within WidenWait for NarrowAfter.
+// resize widens the subset when the lowest predicted wait in the nearest region exceeds WidenWait,
+// and narrows it when the wait has stayed within WidenWait for NarrowAfter.
 func (r *Router) resize(now time.Time, wait time.Duration) {
 	if !r.settings.usesRegions() {
 		return
@@ -134,7 +134,8 @@
 	}
 }
 
-// widen doubles the subset unless it changed within widenInterval or is already as large as possible.
+// widen doubles the subset unless it changed within widenInterval or is already as large as
+// possible.
 func (r *Router) widen(now time.Time) {
 	tooSoon := now.Sub(r.subset.changedAt) < widenInterval
 	if tooSoon || r.subsetSize() >= min(r.settings.SubsetMax, len(r.agents)) {
--- a/share/decide/route/subset_test.go
+++ b/share/decide/route/subset_test.go
@@ -60,7 +60,8 @@
 	return names[:subsetSize]
 }
 
-// replacedSessionShare returns the share of all entries' sessions that a change of the list replaces.
+// replacedSessionShare returns the share of all entries' sessions that a change of the list
+// replaces.
 func replacedSessionShare(subset func(string, []member.Instance) []string, before, after []member.Instance) float64 {
 	replaced := 0
 	for n := range manyEntries {
@@ -75,9 +76,9 @@
 	return float64(replaced) / (manyEntries * subsetSize)
 }
 
-// Guards against subsets that depend on the position in the member list. Each time an instance joined
-// or left, every entry would choose other agents, open new sessions and know nothing of their load
-// or caches, and callers would see slow answers.
+// Guards against subsets that depend on the position in the member list. Each time an instance
+// joined or left, every entry would choose other agents, open new sessions and know nothing of
+// their load or caches, and callers would see slow answers.
 func TestSubsetIsStableWhenOneAgentChanges(t *testing.T) {
 	is := is.New(t)
 	all := manyMembers()
