--- a/share/decide/spend/bench_test.go
+++ b/share/decide/spend/bench_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// BenchmarkTeams19000 reports the memory of a full window in which each of 19,000 teams has a use in
-// every interval.
+// BenchmarkTeams19000 reports the memory of a full window in which each of 19,000 teams has a use
+// in every interval.
 func BenchmarkTeams19000(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
--- a/share/decide/spend/interval.go
+++ b/share/decide/spend/interval.go
@@ -20,8 +20,8 @@
 	lines map[lineKey]byRank
 }
 
-// currentInterval returns the current interval in the pool's ring. It first clears the element if it
-// still holds an interval that has left the window.
+// currentInterval returns the current interval in the pool's ring. It first clears the element if
+// it still holds an interval that has left the window.
 func (l *Ledger) currentInterval(now time.Time, p *pool) *interval {
 	number := l.intervalNumber(now)
 	iv := &p.intervals[int(number%int64(len(p.intervals)))]
--- a/share/decide/spend/ledger.go
+++ b/share/decide/spend/ledger.go
@@ -99,8 +99,8 @@
 	return &Ledger{settings: s, share: 1, pools: make(map[string]*pool)}
 }
 
-// SetPools sets the pools of a new configuration. Pools that it still contains keep the use counted so
-// far.
+// SetPools sets the pools of a new configuration. Pools that it still contains keep the use counted
+// so far.
 func (l *Ledger) SetPools(now time.Time, documents []config.Pool) {
 	pools := make(map[string]*pool, len(documents))
 	for _, d := range documents {
@@ -136,8 +136,8 @@
 	l.currentInterval(now, p).add(u, l.settings.MaxLines)
 }
 
-// Decide returns whether work of that priority and cost may use the pool now. It does not change the
-// ledger.
+// Decide returns whether work of that priority and cost may use the pool now. It does not change
+// the ledger.
 func (l *Ledger) Decide(now time.Time, poolName string, priority config.Priority, cost float64) Decision {
 	p, ok := l.pools[poolName]
 	if !ok {
@@ -156,8 +156,8 @@
 	return Decision{Verdict: VerdictRefused, RetryAfter: l.timeToRefill(p, required-tokens)}
 }
 
-// timeToRefill returns the time in which the pool regains the missing tokens, or one interval when it
-// regains none.
+// timeToRefill returns the time in which the pool regains the missing tokens, or one interval when
+// it regains none.
 func (l *Ledger) timeToRefill(p *pool, missing float64) time.Duration {
 	rate := p.config.Committed * l.share
 	if rate <= 0 {
--- a/share/decide/spend/report.go
+++ b/share/decide/spend/report.go
@@ -33,8 +33,8 @@
 	Lines []Line `json:"lines"`
 }
 
-// Reports returns a report on each pool, sorted by pool name. It leaves out the current interval, which
-// is not complete yet.
+// Reports returns a report on each pool, sorted by pool name. It leaves out the current interval,
+// which is not complete yet.
 func (l *Ledger) Reports(now time.Time) []Report {
 	reports := make([]Report, 0, len(l.pools))
 	for name, p := range l.pools {
@@ -70,8 +70,8 @@
 	return r
 }
 
-// addLines adds the interval's lines to sums. Within a priority, the same fraction of each line's cost
-// counts as within the committed amount.
+// addLines adds the interval's lines to sums. Within a priority, the same fraction of each line's
+// cost counts as within the committed amount.
 func (iv *interval) addLines(sums map[lineKey]Line, committed float64) {
 	fractions := iv.committedFractions(committed)
 	for key, costs := range iv.lines {
--- a/share/decide/spend/spend_test.go
+++ b/share/decide/spend/spend_test.go
@@ -21,8 +21,8 @@
 	batch  = config.PriorityBatch
 )
 
-// newLedger returns a ledger with one pool of 10 cost units per second. Only urgent work may go beyond
-// the committed amount.
+// newLedger returns a ledger with one pool of 10 cost units per second. Only urgent work may go
+// beyond the committed amount.
 func newLedger() *spend.Ledger {
 	l := spend.New(spend.DefaultSettings())
 	l.SetPools(start, []config.Pool{{Name: "gpu", Committed: 10, Price: 2, BeyondPrice: 5, BeyondPriority: urgent}})
