--- a/share/models/config/chunk.go
+++ b/share/models/config/chunk.go
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// Chunk is an immutable part of a configuration, addressed by its hash: the encoded documents of one
-// bucket, or an encoded manifest.
+// Chunk is an immutable part of a configuration, addressed by its hash: the encoded documents of
+// one bucket, or an encoded manifest.
 type Chunk struct {
 	Hash Hash   `json:"hash"`
 	Data []byte `json:"data"`
@@ -106,7 +106,8 @@
 	return nil
 }
 
-// FindVersion returns the version of a revision, or the zero version if the record does not hold it.
+// FindVersion returns the version of a revision, or the zero version if the record does not hold
+// it.
 func (h *Head) FindVersion(revision uint64) Version {
 	for _, accepted := range h.History {
 		if accepted.Revision == revision {
@@ -158,9 +159,9 @@
 	return m, err
 }
 
-// encode returns v as JSON, with equal encodings for equal values: encoding/json writes struct fields
-// in the order of their declaration and map keys sorted. The result is nil for NaN and infinities,
-// which JSON cannot represent and which valid documents do not contain.
+// encode returns v as JSON, with equal encodings for equal values: encoding/json writes struct
+// fields in the order of their declaration and map keys sorted. The result is nil for NaN and
+// infinities, which JSON cannot represent and which valid documents do not contain.
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/share/models/config/chunk_test.go
+++ b/share/models/config/chunk_test.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// Guards against a plan that differs from a full encoding of the changed set. A plan encodes only the
-// changed buckets and updates the teams' indexes, so it could miss a bucket or keep a stale entry.
+// Guards against a plan that differs from a full encoding of the changed set. A plan encodes only
+// the changed buckets and updates the teams' indexes, so it could miss a bucket or keep a stale
+// entry.
 func TestPlanEqualsFullEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -105,8 +106,9 @@
 	is.Equal(decoded, head)
 }
 
-// Guards against a change of one team that rewrites more than one chunk and the manifest, and against
-// either of them reaching 64 KB at 19,000 teams. The design page states the sizes that the test logs.
+// Guards against a change of one team that rewrites more than one chunk and the manifest, and
+// against either of them reaching 64 KB at 19,000 teams. The design page states the sizes that the
+// test logs.
 func TestSizesOfNineteenThousandTeams(t *testing.T) {
 	is := is.New(t)
 	const teams = 19000
--- a/share/models/config/config_test.go
+++ b/share/models/config/config_test.go
@@ -90,8 +90,8 @@
 	is.True(fields["deadline"] && fields["wait"] && fields["price"])
 }
 
-// Guards against errors that are not reported, or with the wrong field or line. Each case introduces
-// one error into a valid text.
+// Guards against errors that are not reported, or with the wrong field or line. Each case
+// introduces one error into a valid text.
 func TestValidate(t *testing.T) {
 	tests := []struct {
 		name, old, new, field string
@@ -140,8 +140,8 @@
 	is.Equal(problems[0].Field, "token-sha256")
 }
 
-// Guards against a merge that modifies its base, and against a diff that misses a changed field or a
-// removed document.
+// Guards against a merge that modifies its base, and against a diff that misses a changed field or
+// a removed document.
 func TestDiffAndMerge(t *testing.T) {
 	is := is.New(t)
 	base := parseValid(t)
--- a/share/models/config/document.go
+++ b/share/models/config/document.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// document is a document of any kind. Its value is a pointer to the typed document, for example *Team.
+// document is a document of any kind. Its value is a pointer to the typed document, for example
+// *Team.
 type document struct {
 	kind  Kind
 	name  string
--- a/share/models/config/documents.go
+++ b/share/models/config/documents.go
@@ -208,7 +208,8 @@
 	Weight int `toml:"weight" json:"weight,omitempty"`
 }
 
-// Pool is capacity with a committed minimum spend, which is owed whether or not the capacity is used.
+// Pool is capacity with a committed minimum spend, which is owed whether or not the capacity is
+// used.
 type Pool struct {
 	// Name is unique among pools.
 	Name string `toml:"name" json:"name"`
@@ -241,7 +242,8 @@
 	Role Role `toml:"role" json:"role"`
 }
 
-// Limits holds the settings of the whole deployment. There is one such document, named "deployment".
+// Limits holds the settings of the whole deployment. There is one such document, named
+// "deployment".
 type Limits struct {
 	// Name is always "deployment".
 	Name string `toml:"name" json:"name"`
--- a/share/models/config/loader.go
+++ b/share/models/config/loader.go
@@ -95,8 +95,8 @@
 	s.Limits = append(s.Limits, other.Limits...)
 }
 
-// deriveSnapshot builds the snapshot of l from that of old. Only the teams are numerous, so only their
-// list and indexes are copied from old and updated; those of all other kinds are built again.
+// deriveSnapshot builds the snapshot of l from that of old. Only the teams are numerous, so only
+// their list and indexes are copied from old and updated; those of all other kinds are built again.
 func (l *Loaded) deriveSnapshot(old *Loaded) *Snapshot {
 	var removed, added Set
 	for _, hash := range old.Manifest.Hashes() {
@@ -126,8 +126,9 @@
 	return s
 }
 
-// replaceTeams returns the sorted list old without the teams named in removed, merged with the sorted
-// list added. All teams of a replaced chunk are in removed; those that remain are in added again.
+// replaceTeams returns the sorted list old without the teams named in removed, merged with the
+// sorted list added. All teams of a replaced chunk are in removed; those that remain are in added
+// again.
 func replaceTeams(old, removed, added []Team) []Team {
 	isRemoved := make(map[string]bool, len(removed))
 	for i := range removed {
--- a/share/models/config/locate.go
+++ b/share/models/config/locate.go
@@ -43,7 +43,8 @@
 	return s
 }
 
-// readKey returns the key of a table or key-value expression, split at its dots, and the key's line.
+// readKey returns the key of a table or key-value expression, split at its dots, and the key's
+// line.
 func readKey(parser *unstable.Parser, node *unstable.Node) (path []string, line int) {
 	switch node.Kind {
 	case unstable.ArrayTable, unstable.Table, unstable.KeyValue:
@@ -70,7 +71,8 @@
 	}
 }
 
-// Locate returns the problems with file and line filled in where their document is part of the text.
+// Locate returns the problems with file and line filled in where their document is part of the
+// text.
 func (s *SourceMap) Locate(problems []Problem) []Problem {
 	located := make([]Problem, len(problems))
 	for i, p := range problems {
@@ -102,15 +104,15 @@
 	kind string
 	// document is the ID of the current document, for example "pipeline#0".
 	document string
-	// prefix is the path of the current table within the document, for example ".stage[1]". It is empty
-	// at the top of a document.
+	// prefix is the path of the current table within the document, for example ".stage[1]". It is
+	// empty at the top of a document.
 	prefix string
 	// counts holds the number of entries seen so far of each array of tables.
 	counts map[string]int
 }
 
-// openArray moves the cursor to a new entry of an array of tables. The entry is a new document if the
-// array is at the top level.
+// openArray moves the cursor to a new entry of an array of tables. The entry is a new document if
+// the array is at the top level.
 func (c *cursor) openArray(path []string) {
 	if len(path) == 1 {
 		c.kind = path[0]
--- a/share/models/config/page_test.go
+++ b/share/models/config/page_test.go
@@ -11,8 +11,8 @@
 	"verbenaroad.example/share/models/config"
 )
 
-// TestPageNamesEveryField checks that docs/CONFIGURATION.md names every field of the documents in the
-// section of their kind.
+// TestPageNamesEveryField checks that docs/CONFIGURATION.md names every field of the documents in
+// the section of their kind.
 func TestPageNamesEveryField(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
--- a/share/models/config/parse.go
+++ b/share/models/config/parse.go
@@ -18,7 +18,8 @@
 	Name string `toml:"name" json:"name"`
 }
 
-// Patch is a change: the documents that it adds or replaces, and references to those that it removes.
+// Patch is a change: the documents that it adds or replaces, and references to those that it
+// removes.
 type Patch struct {
 	Set
 	Remove []Reference `toml:"remove" json:"remove,omitempty"`
@@ -79,8 +80,9 @@
 	return problems
 }
 
-// newTextProblem returns the problem that the decoder reported. If the decoder gives no key, the field
-// is the text before the equals sign of the line. If detail is empty, the decoder's message is used.
+// newTextProblem returns the problem that the decoder reported. If the decoder gives no key, the
+// field is the text before the equals sign of the line. If detail is empty, the decoder's message
+// is used.
 func newTextProblem(name string, lines [][]byte, invalid *toml.DecodeError, detail string) Problem {
 	row, _ := invalid.Position()
 	field := strings.Join(invalid.Key(), ".")
--- a/share/models/config/plan.go
+++ b/share/models/config/plan.go
@@ -2,7 +2,8 @@
 
 import "maps"
 
-// Plan is the result of applying a change to a configuration, computed before the change is in force.
+// Plan is the result of applying a change to a configuration, computed before the change is in
+// force.
 type Plan struct {
 	Manifest     Manifest
 	ManifestData []byte
@@ -21,8 +22,8 @@
 	return append([]Chunk{manifest}, p.Chunks...)
 }
 
-// AllValues returns the manifest and all chunks of the configuration after the change. They are stored
-// instead of ChangedValues when the key-value service may have lost its data.
+// AllValues returns the manifest and all chunks of the configuration after the change. They are
+// stored instead of ChangedValues when the key-value service may have lost its data.
 func (p *Plan) AllValues() []Chunk {
 	hashes := append([]Hash{p.Next.Version.ManifestHash}, p.Manifest.Hashes()...)
 	values := make([]Chunk, 0, len(hashes))
@@ -35,9 +36,9 @@
 	return values
 }
 
-// NewPlan applies a patch to a configuration, which is nil before the first change. Only the buckets
-// that contain documents of the patch or its removals are encoded again. The plan is nil if the patch
-// cannot be applied, and must not be used if there are problems.
+// NewPlan applies a patch to a configuration, which is nil before the first change. Only the
+// buckets that contain documents of the patch or its removals are encoded again. The plan is nil if
+// the patch cannot be applied, and must not be used if there are problems.
 func NewPlan(l *Loaded, patch Patch) (*Plan, []Problem) {
 	if l == nil {
 		l = &Loaded{Snapshot: NewSnapshot(0, Set{}), decoded: map[Hash]*Set{}}
--- a/share/models/config/snapshot.go
+++ b/share/models/config/snapshot.go
@@ -25,8 +25,8 @@
 	operators map[string]*Operator
 }
 
-// NewSnapshot returns a snapshot of a set. It keeps references into the set, which must not be changed
-// afterwards.
+// NewSnapshot returns a snapshot of a set. It keeps references into the set, which must not be
+// changed afterwards.
 func NewSnapshot(revision uint64, set Set) *Snapshot {
 	s := &Snapshot{
 		Revision:  revision,
