--- a/share/models/site/config.go
+++ b/share/models/site/config.go
@@ -46,7 +46,7 @@
 	// GapTarget is the objective for the longest pause between two events of a stream.
 	GapTarget time.Duration
 	// CallerIdleTimeout is how long callers of a stream wait for the next event, including
-	// the first, before they disconnect; 0: as long as they wait for the whole answer.
+	// the first, before they disconnect; 0: as long as they wait for the complete answer.
 	CallerIdleTimeout time.Duration
 	// Priority ranks the route; 0 is the most urgent.
 	Priority int
--- a/share/models/site/config_test.go
+++ b/share/models/site/config_test.go
@@ -9,7 +9,7 @@
 	"verbenaroad.example/share/models/site"
 )
 
-// A stream may take 20 s for its whole answer, but its caller disconnects after 7.2 s without
+// A stream may take 20 s for its complete answer, but its caller disconnects after 7.2 s without
 // an event. Guards against a request that is held for 8 s in a burst and whose results are
 // then produced for a caller that is gone.
 func TestFirstEventDeadline(t *testing.T) {
