--- a/share/modules/codes/page_test.go
+++ b/share/modules/codes/page_test.go
@@ -78,7 +78,8 @@
 	os.Exit(m.Run())
 }
 
-// Guards against a change of the result codes without regenerating docs/RESULT-CODES.md by make docs.
+// Guards against a change of the result codes without regenerating docs/RESULT-CODES.md by make
+// docs.
 func TestPageMatchesCodes(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile(pagePath)
@@ -86,8 +87,8 @@
 	is.Equal(string(text), renderPage())
 }
 
-// Guards against duplicate or unsorted codes, duplicate names, and entries without a meaning or a valid
-// HTTP status.
+// Guards against duplicate or unsorted codes, duplicate names, and entries without a meaning or a
+// valid HTTP status.
 func TestListIsConsistent(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
