--- a/share/modules/httpd/certificate_test.go
+++ b/share/modules/httpd/certificate_test.go
@@ -58,8 +58,8 @@
 	is.True(err != nil)
 }
 
-// Over TLS the server must serve, stream, refuse a body that is too long with an answer, and cancel the
-// request's context when the caller disconnects, as it does without TLS.
+// Over TLS the server must serve, stream, refuse a body that is too long with an answer, and cancel
+// the request's context when the caller disconnects, as it does without TLS.
 func TestServerOverTLS(t *testing.T) {
 	is := is.New(t)
 	certFile, keyFile, pool := writeCertificate(t)
--- a/share/modules/httpd/linger.go
+++ b/share/modules/httpd/linger.go
@@ -14,14 +14,15 @@
 	since time.Time
 }
 
-// leaveOpen keeps nbhttp from closing the connection after the answer and asks the caller to close it.
+// leaveOpen keeps nbhttp from closing the connection after the answer and asks the caller to close
+// it.
 //
 // Guards against new connections that are closed without an answer. nbhttp closes the connection of
 // a request with "Connection: close" from a worker. If the poller has just seen the caller's own
-// close, it then acts on the number of the descriptor, which by then may belong to a connection that
-// was accepted since: the first request of another caller ends in EOF although the server is healthy.
-// A descriptor that only the poller closes cannot be reused while the poller holds an event for it.
-// If the caller does not close the connection within lingerTime, closeLingering does.
+// close, it then acts on the number of the descriptor, which by then may belong to a connection
+// that was accepted since: the first request of another caller ends in EOF although the server is
+// healthy. A descriptor that only the poller closes cannot be reused while the poller holds an
+// event for it. If the caller does not close the connection within lingerTime, closeLingering does.
 func leaveOpen(w http.ResponseWriter, r *http.Request) {
 	r.Close = false
 	w.Header().Set("Connection", "close")
@@ -35,8 +36,8 @@
 	s.wakeLoop()
 }
 
-// closeLingering closes the connections that their callers left open for longer than lingerTime. The
-// caller of closeLingering holds s.lock.
+// closeLingering closes the connections that their callers left open for longer than lingerTime.
+// The caller of closeLingering holds s.lock.
 func (s *Server) closeLingering(now time.Time) {
 	kept := s.lingering[:0]
 	for _, l := range s.lingering {
--- a/share/modules/httpd/refuse.go
+++ b/share/modules/httpd/refuse.go
@@ -85,8 +85,8 @@
 	m.Processor.OnContentLength(p, length)
 }
 
-// OnBody records that the header lines are complete, which OnContentLength does not show for a chunked
-// body.
+// OnBody records that the header lines are complete, which OnContentLength does not show for a
+// chunked body.
 func (m *limitProcessor) OnBody(p *nbhttp.Parser, data []byte) error {
 	m.bodyLength = max(m.bodyLength, 0)
 	return m.Processor.OnBody(p, data)
@@ -101,8 +101,8 @@
 	m.bodyLength = -1
 }
 
-// refusalReason returns why the data read so far is refused, or an empty reason. err is the error of
-// the parser.
+// refusalReason returns why the data read so far is refused, or an empty reason. err is the error
+// of the parser.
 func (m *limitProcessor) refusalReason(err error) Reason {
 	switch {
 	case m.headBytes > maxHeaderBytes:
--- a/share/modules/httpd/server.go
+++ b/share/modules/httpd/server.go
@@ -1,5 +1,5 @@
-// Package httpd is the HTTP server that all programs use. It runs nbhttp and cancels the context of a
-// request when its caller disconnects.
+// Package httpd is the HTTP server that all programs use. It runs nbhttp and cancels the context of
+// a request when its caller disconnects.
 package httpd
 
 import (
@@ -147,9 +147,9 @@
 	return len(s.running)
 }
 
-// serve runs the handler with a context that is canceled when the request's connection closes. nbhttp
-// does not cancel it, and calls its close hook only after the handler has returned: the work of a
-// caller that disconnected would occupy its slot in every stage until its deadline.
+// serve runs the handler with a context that is canceled when the request's connection closes.
+// nbhttp does not cancel it, and calls its close hook only after the handler has returned: the work
+// of a caller that disconnected would occupy its slot in every stage until its deadline.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -231,8 +231,8 @@
 	}
 }
 
-// cancelDisconnected cancels the requests whose caller has disconnected and closes overdue lingering
-// connections. It reports whether nothing is left to check.
+// cancelDisconnected cancels the requests whose caller has disconnected and closes overdue
+// lingering connections. It reports whether nothing is left to check.
 func (s *Server) cancelDisconnected() (idle bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/share/modules/httpd/server_test.go
+++ b/share/modules/httpd/server_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against a refusal that the caller takes for an answer: nbhttp sends 200 in place of a status
-// without a standard text. The x00 status of the same class must be sent.
+// Guards against a refusal that the caller takes for an answer: nbhttp sends 200 instead of a
+// status without a standard text. The x00 status of the same class must be sent.
 func TestStatusWithoutTextKeepsItsClass(t *testing.T) {
 	tests := map[int]int{200: 200, 299: 200, 404: 404, 419: 400, 499: 400, 503: 503, 599: 500, 999: 502}
 	for status, want := range tests {
@@ -70,9 +70,9 @@
 	}
 }
 
-// Guards against EOF in place of an answer: the server had closed an earlier connection from a worker,
-// and the poller applied that connection's close event to the new one. The server must announce the
-// close after the last answer and leave it to the caller for a while.
+// Guards against EOF instead of an answer: the server had closed an earlier connection from a
+// worker, and the poller applied that connection's close event to the new one. The server must
+// announce the close after the last answer and leave it to the caller for a while.
 func TestCloseIsLeftToTheCaller(t *testing.T) {
 	is := is.New(t)
 	s, err := httpd.NewServer(httpd.Options{
@@ -102,8 +102,8 @@
 	is.True(time.Since(answered) > 500*time.Millisecond)
 }
 
-// Guards against cutting off a request when the server is stopped after it accepted a connection and
-// before the first request arrives on it.
+// Guards against cutting off a request when the server is stopped after it accepted a connection
+// and before the first request arrives on it.
 func TestShutdownAnswersFirstRequestOfNewConnection(t *testing.T) {
 	is := is.New(t)
 	answered := make(chan struct{}, 1)
--- a/share/modules/httpd/shutdown.go
+++ b/share/modules/httpd/shutdown.go
@@ -13,8 +13,8 @@
 // just before.
 const newConnTime = 500 * time.Millisecond
 
-// Shutdown stops accepting connections, waits until nothing is left to answer or ctx ends, and closes
-// the server.
+// Shutdown stops accepting connections, waits until nothing is left to answer or ctx ends, and
+// closes the server.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := listen.Quiesce(ctx, s.listener)
 	_ = s.listener.Close()
@@ -24,8 +24,8 @@
 	return ErrServer.Wrap(err)
 }
 
-// waitIdle waits until handlers have returned, new connections have delivered their first request and
-// lingering connections are closed. It waits for new connections for newConnTime at most.
+// waitIdle waits until handlers have returned, new connections have delivered their first request
+// and lingering connections are closed. It waits for new connections for newConnTime at most.
 func (s *Server) waitIdle(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// isIdle reports whether nothing is left to answer. With ignoreNew it disregards connections that have
-// delivered no request yet.
+// isIdle reports whether nothing is left to answer. With ignoreNew it disregards connections that
+// have delivered no request yet.
 //
 // Guards against requests that a shutdown cuts off because they arrive on a connection that was
 // accepted just before: their callers would get EOF and not know whether the requests ran. Such a
