--- a/share/modules/kvapi/client.go
+++ b/share/modules/kvapi/client.go
@@ -1,5 +1,5 @@
-// Package kvapi is the client of the platform's key-value service. It uses the published HTTP API of
-// Consul: keys with compare-and-swap, blocking queries as watches, and sessions as leases.
+// Package kvapi is the client of the platform's key-value service. It uses the published HTTP API
+// of Consul: keys with compare-and-swap, blocking queries as watches, and sessions as leases.
 package kvapi
 
 import (
@@ -19,8 +19,8 @@
 	MaxValueBytes = 1 << 20
 
 	defaultCallTimeout = 2 * time.Second
-	// watchGrace is the time that the timeout of a watch allows for the response to arrive, in addition
-	// to the wait and to the jitter of up to wait/16 that the service adds to it.
+	// watchGrace is the time that the timeout of a watch allows for the response to arrive, in
+	// addition to the wait and to the jitter of up to wait/16 that the service adds to it.
 	watchGrace = 2 * time.Second
 	// waitJitterDivisor gives the jitter: the service may extend the wait by up to wait/16.
 	waitJitterDivisor = 16
--- a/share/modules/kvapi/client_test.go
+++ b/share/modules/kvapi/client_test.go
@@ -15,8 +15,8 @@
 	"verbenaroad.example/share/modules/kvapi"
 )
 
-// droppingServer answers only the first requests of each connection. It reads one more and closes the
-// connection without an answer.
+// droppingServer answers only the first requests of each connection. It reads one more and closes
+// the connection without an answer.
 type droppingServer struct {
 	listener net.Listener
 	// answers is the number of requests of a connection that are answered.
--- a/share/modules/kvapi/command.go
+++ b/share/modules/kvapi/command.go
@@ -8,9 +8,9 @@
 	"strconv"
 )
 
-// CompareAndSwap writes value if the key's ModifyIndex still equals index, and reports whether it did.
-// Index 0 creates the key only if it does not exist. After an error the outcome is unknown unless
-// IsErrNotSent reports that the write was certainly not applied.
+// CompareAndSwap writes value if the key's ModifyIndex still equals index, and reports whether it
+// did. Index 0 creates the key only if it does not exist. After an error the outcome is unknown
+// unless IsErrNotSent reports that the write was certainly not applied.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
 	if err := checkValueSize(key, value); err != nil {
 		return false, err
@@ -19,8 +19,8 @@
 	return c.writeConditional(ctx, http.MethodPut, keyPath+key, query, value)
 }
 
-// DeleteIf deletes the key if its ModifyIndex still equals index, which must be above 0, and reports
-// whether it did. After an error the outcome is unknown unless IsErrNotSent returns true.
+// DeleteIf deletes the key if its ModifyIndex still equals index, which must be above 0, and
+// reports whether it did. After an error the outcome is unknown unless IsErrNotSent returns true.
 func (c *Client) DeleteIf(ctx context.Context, key string, index uint64) (bool, error) {
 	if index == 0 {
 		return false, ErrKV.Wrap(&ErrNotSent{Cause: ErrKV.New("key %s: a delete needs an index above 0", key)})
--- a/share/modules/kvapi/errors.go
+++ b/share/modules/kvapi/errors.go
@@ -46,7 +46,8 @@
 	return errors.As(err, &target)
 }
 
-// ErrNotSent reports that a call was certainly not applied, because no part of it left this process.
+// ErrNotSent reports that a call was certainly not applied, because no part of it left this
+// process.
 type ErrNotSent struct {
 	Cause error
 }
@@ -84,8 +85,9 @@
 	return errors.As(err, &target)
 }
 
-// newRequestError wraps the error of a request. It returns an ErrNotSent if the connection could not be
-// opened, since no part of the request left this process then. Otherwise the outcome is unknown.
+// newRequestError wraps the error of a request. It returns an ErrNotSent if the connection could
+// not be opened, since no part of the request left this process then. Otherwise the outcome is
+// unknown.
 func newRequestError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/share/modules/kvapi/session.go
+++ b/share/modules/kvapi/session.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Acquire writes value and acquires the key for the session. It returns false if another session holds
-// the key. After an error the outcome is unknown unless IsErrNotSent returns true.
+// Acquire writes value and acquires the key for the session. It returns false if another session
+// holds the key. After an error the outcome is unknown unless IsErrNotSent returns true.
 func (c *Client) Acquire(ctx context.Context, key string, value []byte, session string) (bool, error) {
 	if err := checkValueSize(key, value); err != nil {
 		return false, err
