--- a/share/modules/link/batch.go
+++ b/share/modules/link/batch.go
@@ -17,8 +17,8 @@
 	closeFlushTimeout = time.Second
 )
 
-// batchConn combines the small writes of many streams: data written while a system call is running is
-// sent together by the next one. yamux alone makes two system calls for each frame.
+// batchConn combines the small writes of many streams: data written while a system call is running
+// is sent together by the next one. yamux alone makes two system calls for each frame.
 type batchConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -50,8 +50,8 @@
 	return c
 }
 
-// Read reads from the connection. A connection whose reads have failed accepts no more writes either,
-// so its pending data is dropped at the close.
+// Read reads from the connection. A connection whose reads have failed accepts no more writes
+// either, so its pending data is dropped at the close.
 func (c *batchConn) Read(p []byte) (int, error) {
 	n, err := c.reader.Read(p)
 	if err != nil {
@@ -64,12 +64,12 @@
 	return n, err
 }
 
-// Write adds p to the pending data, and waits while too much is pending. It returns no error: if the
-// connection has failed or is closed, p is dropped, and reads fail.
+// Write adds p to the pending data, and waits while too much is pending. It returns no error: if
+// the connection has failed or is closed, p is dropped, and reads fail.
 //
-// An error here would make yamux's sender mark the session as shut down while reads are still blocked,
-// and these would take a whole core (see streams). Without an error this is left to yamux's receiver,
-// whose failed read ends the reads of the streams first.
+// An error here would make yamux's sender mark the session as shut down while reads are still
+// blocked, and these would take a whole core (see streams). Without an error this is left to
+// yamux's receiver, whose failed read ends the reads of the streams first.
 func (c *batchConn) Write(p []byte) (int, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -84,8 +84,8 @@
 	return len(p), nil
 }
 
-// loopWrite writes the pending data until the connection fails or is closed. It closes the underlying
-// connection after the close of c.
+// loopWrite writes the pending data until the connection fails or is closed. It closes the
+// underlying connection after the close of c.
 func (c *batchConn) loopWrite() {
 	defer close(c.ended)
 	for c.nextBatch() {
@@ -105,8 +105,8 @@
 	}
 }
 
-// nextBatch waits for pending data and moves it into writing. It returns false if nothing more is to be
-// written.
+// nextBatch waits for pending data and moves it into writing. It returns false if nothing more is
+// to be written.
 func (c *batchConn) nextBatch() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -136,10 +136,11 @@
 }
 
 // Close ends reads and returns at once. loopWrite then writes the pending data, at most for
-// closeFlushTimeout and not at all if reads had failed before, and closes the underlying connection.
+// closeFlushTimeout and not at all if reads had failed before, and closes the underlying
+// connection.
 //
-// Close must not wait: yamux calls it when the session is marked as shut down and its streams are still
-// open, and until it returns each blocked read takes a whole core (see streams).
+// Close must not wait: yamux calls it when the session is marked as shut down and its streams are
+// still open, and until it returns each blocked read takes a whole core (see streams).
 func (c *batchConn) Close() error {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/share/modules/link/beat.go
+++ b/share/modules/link/beat.go
@@ -91,8 +91,8 @@
 	return sequence, time.Since(s.started) - time.Duration(s.receivedAt.Load())
 }
 
-// NotBefore returns the earliest local time at which a message with this echo can have been written.
-// It is zero if the send time of the echoed heartbeat is not known.
+// NotBefore returns the earliest local time at which a message with this echo can have been
+// written. It is zero if the send time of the echoed heartbeat is not known.
 func (s *Session) NotBefore(echo uint64, hold time.Duration) time.Time {
 	sent := s.findSendTime(echo)
 	if sent.IsZero() {
--- a/share/modules/link/bench_test.go
+++ b/share/modules/link/bench_test.go
@@ -10,8 +10,8 @@
 	"verbenaroad.example/share/modules/wire"
 )
 
-// processorTime returns the processor time that this process has used. Wall-clock times vary too much
-// on a shared machine.
+// processorTime returns the processor time that this process has used. Wall-clock times vary too
+// much on a shared machine.
 func processorTime() time.Duration {
 	usage := syscall.Rusage{}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/share/modules/link/broken_test.go
+++ b/share/modules/link/broken_test.go
@@ -77,8 +77,8 @@
 	return c.Conn.Close()
 }
 
-// pair holds both ends of a session with streamCount streams and a blocked reader at both ends of each
-// stream.
+// pair holds both ends of a session with streamCount streams and a blocked reader at both ends of
+// each stream.
 type pair struct {
 	dialed, accepted *link.Session
 	conn             *faultyConn
@@ -136,8 +136,9 @@
 	_, _ = stream.Read(make([]byte, 1))
 }
 
-// Guards against readers that spin and take a whole core after their session has ended. This depends on
-// the order in which reads and writes fail and the ends close, so all of these orders are tested.
+// Guards against readers that spin and take a whole core after their session has ended. This
+// depends on the order in which reads and writes fail and the ends close, so all of these orders
+// are tested.
 func TestReadersDoNotSpinWhenSessionFails(t *testing.T) {
 	const maxUsed = 100 * time.Millisecond
 	for name, fail := range map[string]func(p *pair){
--- a/share/modules/link/exchange.go
+++ b/share/modules/link/exchange.go
@@ -20,8 +20,8 @@
 	return frame.GetChunks(), nil
 }
 
-// RequestTombstone asks an agent to tombstone a claimed attempt, which can then never start. It returns
-// what became of the attempt: one that has started is not tombstoned.
+// RequestTombstone asks an agent to tombstone a claimed attempt, which can then never start. It
+// returns what became of the attempt: one that has started is not tombstoned.
 func RequestTombstone(ctx context.Context, s *Session, request *wire.Ask) (*wire.Told, error) {
 	frame, err := exchange(ctx, s, &wire.Frame{Body: &wire.Frame_Ask{Ask: request}})
 	if err != nil {
@@ -33,8 +33,8 @@
 	return frame.GetTold(), nil
 }
 
-// Sync requests the store records that a peer has and this process lacks. It fails if no data arrives
-// for stallTimeout. onArrival is called whenever data arrives.
+// Sync requests the store records that a peer has and this process lacks. It fails if no data
+// arrives for stallTimeout. onArrival is called whenever data arrives.
 func Sync(ctx context.Context, s *Session, sync *wire.Sync, stallTimeout time.Duration, onArrival func()) (*wire.Records, error) {
 	stream, err := s.Open()
 	if err != nil {
@@ -56,8 +56,8 @@
 	return frame.GetRecords(), nil
 }
 
-// Feed is a stream on which a peer sends the store records that this process lacks, at the start and
-// after each change.
+// Feed is a stream on which a peer sends the store records that this process lacks, at the start
+// and after each change.
 type Feed struct {
 	stream net.Conn
 	reader *wire.Reader
@@ -93,8 +93,8 @@
 // Close closes the feed.
 func (f *Feed) Close() { _ = f.stream.Close() }
 
-// Produce makes a peer produce the results of a stage, and waits until they are produced or the job is
-// dropped. When the context ends the stream is closed, which cancels the job at the peer.
+// Produce makes a peer produce the results of a stage, and waits until they are produced or the job
+// is dropped. When the context ends the stream is closed, which cancels the job at the peer.
 func Produce(ctx context.Context, s *Session, produce *wire.Produce) (*wire.Produced, error) {
 	frame, err := exchange(ctx, s, &wire.Frame{Body: &wire.Frame_Produce{Produce: produce}})
 	if err != nil {
@@ -139,8 +139,8 @@
 	return send(s, &wire.Frame{Body: &wire.Frame_Served{Served: served}})
 }
 
-// Assignment is a request's assignment to an engine by a peer. Its stream stays open while the engine
-// has the request.
+// Assignment is a request's assignment to an engine by a peer. Its stream stays open while the
+// engine has the request.
 type Assignment struct {
 	stream net.Conn
 	Answer *wire.Assigned
@@ -168,8 +168,8 @@
 	return &Assignment{stream: stream, Answer: frame.GetAssigned()}, nil
 }
 
-// Report reports the request's progress to the peer. A write error is ignored, because a peer that is
-// gone does not need the report.
+// Report reports the request's progress to the peer. A write error is ignored, because a peer that
+// is gone does not need the report.
 func (a *Assignment) Report(state string) {
 	_ = wire.WriteFrame(a.stream, &wire.Frame{Body: &wire.Frame_Progress{Progress: &wire.Progress{State: state}}})
 }
@@ -185,9 +185,9 @@
 	return wire.NewReader(stream).Next()
 }
 
-// exchange sends a frame on a stream of its own and waits for the answer. It closes the stream when the
-// context ends, as the call's own deadline: yamux's acknowledgements belong to the session and not to
-// the call.
+// exchange sends a frame on a stream of its own and waits for the answer. It closes the stream when
+// the context ends, as the call's own deadline: yamux's acknowledgements belong to the session and
+// not to the call.
 func exchange(ctx context.Context, s *Session, frame *wire.Frame) (*wire.Frame, error) {
 	stream, err := s.Open()
 	if err != nil {
--- a/share/modules/link/link_test.go
+++ b/share/modules/link/link_test.go
@@ -118,9 +118,9 @@
 	is.True(strings.Contains(err.Error(), "needs TLS"))
 }
 
-// Guards against calls that hang until their deadline on a session that has gone silent for good, for
-// example because a firewall has lost track of the connection: nothing arrives and no error shows. The
-// session must end by itself, so that a new one can be tried.
+// Guards against calls that hang until their deadline on a session that has gone silent for good,
+// for example because a firewall has lost track of the connection: nothing arrives and no error
+// shows. The session must end by itself, so that a new one can be tried.
 func TestSilentSessionEnds(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/share/modules/link/options.go
+++ b/share/modules/link/options.go
@@ -20,7 +20,8 @@
 const (
 	// DefaultHeartbeatInterval is the time between two heartbeats that one end sends.
 	DefaultHeartbeatInterval = time.Second
-	// DefaultSilenceTimeout is the time without any data from the peer after which a session is closed.
+	// DefaultSilenceTimeout is the time without any data from the peer after which a session is
+	// closed.
 	DefaultSilenceTimeout = 3500 * time.Millisecond
 	// DefaultHelloTimeout limits the time for connecting and exchanging hellos.
 	DefaultHelloTimeout = 3 * time.Second
--- a/share/modules/link/pool.go
+++ b/share/modules/link/pool.go
@@ -37,8 +37,8 @@
 }
 
 // PutStream returns a stream to the idle streams. No call may be in flight on it: the end record of
-// the last call was read, and the stream was not closed. The caller closes any other stream instead,
-// which cancels the call at the peer.
+// the last call was read, and the stream was not closed. The caller closes any other stream
+// instead, which cancels the call at the peer.
 func (s *Session) PutStream(stream *Stream) {
 	s.idleLock.Lock()
 	defer s.idleLock.Unlock()
--- a/share/modules/link/session.go
+++ b/share/modules/link/session.go
@@ -171,8 +171,8 @@
 	return s.writeHello()
 }
 
-// readHello reads the peer's hello. It returns a VersionError for a peer of another protocol version,
-// so that no call is ever made to it.
+// readHello reads the peer's hello. It returns a VersionError for a peer of another protocol
+// version, so that no call is ever made to it.
 func (s *Session) readHello() error {
 	frame, err := s.reader.Next()
 	if err != nil {
@@ -247,8 +247,8 @@
 	return nil
 }
 
-// end closes the connection, which makes yamux's receiver end the session. It returns once the pending
-// data has been written or dropped.
+// end closes the connection, which makes yamux's receiver end the session. It returns once the
+// pending data has been written or dropped.
 func (s *Session) end(reason error) {
 	s.closeOnce.Do(func() {
 		close(s.closed)
--- a/share/modules/link/streams.go
+++ b/share/modules/link/streams.go
@@ -12,9 +12,9 @@
 
 // streams holds the open streams of a session, so that their reads can be ended.
 //
-// Reads have to end before yamux marks the session as shut down. From that mark until yamux has closed
-// the streams, each blocked yamux Stream.Read loops without waiting. If the close has to wait, these
-// loops take whole cores.
+// Reads have to end before yamux marks the session as shut down. From that mark until yamux has
+// closed the streams, each blocked yamux Stream.Read loops without waiting. If the close has to
+// wait, these loops take whole cores.
 type streams struct {
 	lock sync.Mutex
 	open map[*muxStream]bool
@@ -64,7 +64,8 @@
 	return s.ended
 }
 
-// Read reads from the stream. It returns io.EOF if the peer closed the stream or the session has ended.
+// Read reads from the stream. It returns io.EOF if the peer closed the stream or the session has
+// ended.
 func (m *muxStream) Read(p []byte) (int, error) {
 	n, err := m.Stream.Read(p)
 	if errors.Is(err, yamux.ErrTimeout) && m.owner.isEnded() {
