--- a/share/modules/listen/quiesce.go
+++ b/share/modules/listen/quiesce.go
@@ -1,5 +1,5 @@
-// Package listen opens TCP listeners and prepares their close, so that no connection is reset that the
-// kernel has established and the program has not accepted yet.
+// Package listen opens TCP listeners and prepares their close, so that no connection is reset that
+// the kernel has established and the program has not accepted yet.
 package listen
 
 import (
@@ -25,8 +25,8 @@
 	pollInterval = 2 * time.Millisecond
 )
 
-// Open listens on TCP without multipath TCP, which the net package uses by default: the kernel does not
-// allow the filter of Quiesce on a multipath socket.
+// Open listens on TCP without multipath TCP, which the net package uses by default: the kernel does
+// not allow the filter of Quiesce on a multipath socket.
 func Open(ctx context.Context, address netip.AddrPort, keepAlive net.KeepAliveConfig) (net.Listener, error) {
 	settings := net.ListenConfig{KeepAliveConfig: keepAlive}
 	settings.SetMultipathTCP(false)
@@ -73,8 +73,8 @@
 	}
 }
 
-// The filter reads the flags of the TCP header and drops packets that open a connection, with SYN and
-// without ACK. Packets of handshakes in progress and of established connections pass.
+// The filter reads the flags of the TCP header and drops packets that open a connection, with SYN
+// and without ACK. Packets of handshakes in progress and of established connections pass.
 const (
 	flagsOffset = 13
 	flagsMask   = 0x12 // SYN and ACK
@@ -97,8 +97,8 @@
 	})
 }
 
-// hasQueued reports whether a connection is waiting to be accepted, which makes the listener's socket
-// readable.
+// hasQueued reports whether a connection is waiting to be accepted, which makes the listener's
+// socket readable.
 func hasQueued(raw syscall.RawConn) (queued bool, err error) {
 	err = callSocket(raw, func(fd int) error {
 		sockets := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}} //nolint:gosec // a descriptor is small
--- a/share/modules/listen/quiesce_test.go
+++ b/share/modules/listen/quiesce_test.go
@@ -49,7 +49,8 @@
 	return s
 }
 
-// roundTrip sends a byte and waits for its echo. opened reports whether a connection was established.
+// roundTrip sends a byte and waits for its echo. opened reports whether a connection was
+// established.
 func roundTrip(address string) (opened bool, err error) {
 	dialer := net.Dialer{Timeout: 5 * time.Second}
 	conn, err := dialer.DialContext(context.Background(), "tcp", address)
@@ -74,8 +75,8 @@
 	_ = s.listener.Close()
 }
 
-// Guards against the reset of connections that the kernel has established and a stopping server has not
-// accepted yet. The client has already written its request and could not know whether it ran.
+// Guards against the reset of connections that the kernel has established and a stopping server has
+// not accepted yet. The client has already written its request and could not know whether it ran.
 func TestQueuedConnectionsAreAnswered(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t, 200*time.Millisecond)
@@ -96,8 +97,8 @@
 	}
 }
 
-// Guards against resets of connections that clients open while a server stops. Each client must get its
-// answer or find the port closed.
+// Guards against resets of connections that clients open while a server stops. Each client must get
+// its answer or find the port closed.
 func TestNoConnectionIsResetDuringClose(t *testing.T) {
 	is := is.New(t)
 	for range 2 {
