--- a/share/modules/logs/async.go
+++ b/share/modules/logs/async.go
@@ -97,8 +97,8 @@
 // Sync implements zapcore.WriteSyncer. It does not wait for queued lines; see Flush.
 func (*AsyncWriter) Sync() error { return nil }
 
-// Flush waits until the queued lines are written. It returns after timeout if loop has not accepted the
-// request by then.
+// Flush waits until the queued lines are written. It returns after timeout if loop has not accepted
+// the request by then.
 func (b *AsyncWriter) Flush(timeout time.Duration) {
 	done := make(chan struct{})
 	timer := time.NewTimer(timeout)
--- a/share/modules/logs/async_test.go
+++ b/share/modules/logs/async_test.go
@@ -32,8 +32,8 @@
 	return strings.Split(strings.TrimSpace(o.text.String()), "\n")
 }
 
-// Guards against requests that wait for a stalled reader of the logs. Lines that exceed the queue must
-// be dropped and counted instead.
+// Guards against requests that wait for a stalled reader of the logs. Lines that exceed the queue
+// must be dropped and counted instead.
 func TestStalledReaderDoesNotBlockLogging(t *testing.T) {
 	is := is.New(t)
 	o := &blockingOutput{gate: make(chan struct{})}
@@ -57,7 +57,8 @@
 	is.True(len(o.lines()) > 1000)
 }
 
-// Guards against one event that is logged ten thousand times within a second and crowds out another.
+// Guards against one event that is logged ten thousand times within a second and crowds out
+// another.
 func TestEachEventIsRateLimited(t *testing.T) {
 	is := is.New(t)
 	o := &blockingOutput{gate: make(chan struct{})}
--- a/share/modules/logs/logs.go
+++ b/share/modules/logs/logs.go
@@ -1,4 +1,5 @@
-// Package logs creates the loggers of all programs. They write one line of key=value pairs per event.
+// Package logs creates the loggers of all programs. They write one line of key=value pairs per
+// event.
 package logs
 
 import (
@@ -24,8 +25,8 @@
 	return zap.New(core), nil
 }
 
-// Err returns the field "error" with the text of err alone, without the stack trace that zap adds for
-// some error classes. It returns no field if err is nil.
+// Err returns the field "error" with the text of err alone, without the stack trace that zap adds
+// for some error classes. It returns no field if err is nil.
 func Err(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
