--- a/share/modules/rhash/rhash.go
+++ b/share/modules/rhash/rhash.go
@@ -1,6 +1,6 @@
-// Package rhash assigns keys to members by rendezvous hashing: each member has a score for a key, and
-// the members with the highest scores get the key. When a member joins or leaves, only the keys move
-// that it gets or had. See "Sharding" (rendezvous hashing). The package keeps no state.
+// Package rhash assigns keys to members by rendezvous hashing: each member has a score for a key,
+// and the members with the highest scores get the key. When a member joins or leaves, only the keys
+// move that it gets or had. See "Sharding" (rendezvous hashing). The package keeps no state.
 package rhash
 
 import (
@@ -19,8 +19,9 @@
 	score uint64
 }
 
-// Pick returns the n names with the highest scores for the key, in descending order of the score and
-// ties by name. The order of names does not matter. If there are fewer than n names, it returns all.
+// Pick returns the n names with the highest scores for the key, in descending order of the score
+// and ties by name. The order of names does not matter. If there are fewer than n names, it returns
+// all.
 func Pick(key string, names []string, n int) []string {
 	n = min(n, len(names))
 	if n <= 0 {
@@ -69,8 +70,8 @@
 	return names
 }
 
-// FirstWeighted returns the first name of PickWeighted without sorting all names. It returns an empty
-// string if there are no members.
+// FirstWeighted returns the first name of PickWeighted without sorting all names. It returns an
+// empty string if there are no members.
 func FirstWeighted(key string, members []Weighted) string {
 	name, best := "", 0.0
 	for _, m := range members {
@@ -81,8 +82,9 @@
 	return name
 }
 
-// weightedScore returns -weight/ln(u), where u is the score scaled to a uniform value between 0 and 1.
-// The probability that a member has the highest weighted score is proportional to its weight.
+// weightedScore returns -weight/ln(u), where u is the score scaled to a uniform value between 0
+// and 1. The probability that a member has the highest weighted score is proportional to its
+// weight.
 func weightedScore(key string, m Weighted) float64 {
 	u := (float64(Score(key, m.Name)>>scoreShift) + 0.5) / (1 << scoreMantissaBits)
 	return -m.Weight / math.Log(u)
