--- a/share/modules/setup/load.go
+++ b/share/modules/setup/load.go
@@ -1,5 +1,6 @@
-// Package setup loads the settings of a process. Flags override environment variables, which override
-// the TOML file. A flag is named after the table and the key of the file, with a dot between them.
+// Package setup loads the settings of a process. Flags override environment variables, which
+// override the TOML file. A flag is named after the table and the key of the file, with a dot
+// between them.
 package setup
 
 import (
@@ -66,8 +67,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads the settings into the sections. It returns all faults at once, as Faults. The fault of a
-// key that the file contains begins with the file and the line.
+// Load reads the settings into the sections. It returns all faults at once, as Faults. The fault of
+// a key that the file contains begins with the file and the line.
 func Load(sections []Section, options Options) (Result, error) {
 	fs := NewFlagSet(options.Program, sections)
 	fs.SetOutput(options.Output)
@@ -109,8 +110,8 @@
 	return result, nil
 }
 
-// LoadOrExit loads the settings. It ends the process with status 0 after --check-config, --version or
-// --help, and with status 2 after it printed all faults if the settings are invalid.
+// LoadOrExit loads the settings. It ends the process with status 0 after --check-config, --version
+// or --help, and with status 2 after it printed all faults if the settings are invalid.
 func LoadOrExit(sections []Section, options Options) {
 	result, err := Load(sections, options)
 	if errors.Is(err, flag.ErrHelp) {
@@ -136,8 +137,8 @@
 	}
 }
 
-// fileParser passes each key of a TOML file to ff and collects all faults instead of stopping at the
-// first.
+// fileParser passes each key of a TOML file to ff and collects all faults instead of stopping at
+// the first.
 type fileParser struct {
 	flags  *flag.FlagSet
 	faults []error
@@ -171,8 +172,8 @@
 	return nil
 }
 
-// setKey sets the value of one key. It rejects a duplicate key, because the second value would silently
-// override the first.
+// setKey sets the value of one key. It rejects a duplicate key, because the second value would
+// silently override the first.
 func (p *fileParser) setKey(key string, line int, text string, set func(name, value string) error) {
 	first, duplicate := p.lines[key]
 	if duplicate {
@@ -195,8 +196,8 @@
 	p.faults = append(p.faults, errs.New("%d: %s: %v", line, key, fault))
 }
 
-// locate prefixes a fault that begins with a key of the file with the file and the line. It returns nil
-// for a key that parse has already reported.
+// locate prefixes a fault that begins with a key of the file with the file and the line. It returns
+// nil for a key that parse has already reported.
 func (p *fileParser) locate(path string, fault error) []error {
 	key, _, _ := strings.Cut(fault.Error(), ":")
 	if p.reported[key] {
--- a/share/modules/setup/sections.go
+++ b/share/modules/setup/sections.go
@@ -224,8 +224,8 @@
 	return nil
 }
 
-// WriteAddresses writes the addresses that the process listens on to AddressFile, for the program that
-// started the process.
+// WriteAddresses writes the addresses that the process listens on to AddressFile, for the program
+// that started the process.
 func (m *Metrics) WriteAddresses(addresses map[string]netip.AddrPort) error {
 	if m.AddressFile == "" {
 		return nil
--- a/share/modules/setup/tls.go
+++ b/share/modules/setup/tls.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// CheckListen returns a fault if a listener without TLS has an address that other machines can reach.
-// key is the setting of the address.
+// CheckListen returns a fault if a listener without TLS has an address that other machines can
+// reach. key is the setting of the address.
 func (s *TLS) CheckListen(key string, address netip.AddrPort) []error {
 	if s.Cert == "" && address.IsValid() && !address.Addr().IsLoopback() {
 		return []error{errs.New("%s: %s needs [tls]; plain is for loopback only", key, address)}
--- a/share/modules/setup/tls_test.go
+++ b/share/modules/setup/tls_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// Guards against accepting incomplete or unreadable TLS settings, or a listener without TLS that other
-// machines can reach.
+// Guards against accepting incomplete or unreadable TLS settings, or a listener without TLS that
+// other machines can reach.
 func TestTLSSettings(t *testing.T) {
 	is := is.New(t)
 	complete := newAuthority(t).issue(t, "agent", "127.0.0.1")
