--- a/share/modules/spans/spans_test.go
+++ b/share/modules/spans/spans_test.go
@@ -50,8 +50,8 @@
 	w.Header().Set("Content-Type", "application/x-protobuf")
 }
 
-// Guards against separate traces when two processes export the spans of one request. The collector must
-// receive one trace in which the agent's span is a child of the entry's.
+// Guards against separate traces when two processes export the spans of one request. The collector
+// must receive one trace in which the agent's span is a child of the entry's.
 func TestProcessesExportOneTrace(t *testing.T) {
 	is := is.New(t)
 	s := &fakeCollector{}
