--- a/share/modules/stats/stats.go
+++ b/share/modules/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats serves the expvar variables, profiles, health and readiness of a process on a separate
-// address.
+// Package stats serves the expvar variables, profiles, health and readiness of a process on a
+// separate address.
 package stats
 
 import (
@@ -29,8 +29,8 @@
 	listener net.Listener
 }
 
-// NewServer listens on the address and starts to serve. The address is for operators' tools, not for
-// callers. /readyz fails with the error of ready, if any.
+// NewServer listens on the address and starts to serve. The address is for operators' tools, not
+// for callers. /readyz fails with the error of ready, if any.
 func NewServer(address netip.AddrPort, ready ReadyFunc) (*Server, error) {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 	if err != nil {
--- a/share/modules/stats/usage.go
+++ b/share/modules/stats/usage.go
@@ -10,7 +10,8 @@
 // usageName is the name of the expvar variable that holds the Usage of the process.
 const usageName = "process"
 
-// Usage is the CPU time that the process has used since its start and its current number of goroutines.
+// Usage is the CPU time that the process has used since its start and its current number of
+// goroutines.
 type Usage struct {
 	// ProcessorSeconds is the user and system CPU time of all threads, with a resolution of a
 	// microsecond.
@@ -29,8 +30,8 @@
 	return usage
 }
 
-// publishUsage publishes the usage as an expvar variable unless it is already published: tests start
-// several servers in one process, and expvar panics if a name is published twice.
+// publishUsage publishes the usage as an expvar variable unless it is already published: tests
+// start several servers in one process, and expvar panics if a name is published twice.
 func publishUsage() {
 	if expvar.Get(usageName) == nil {
 		expvar.Publish(usageName, expvar.Func(func() any { return GetUsage() }))
