--- a/share/services/admapi/admapi.go
+++ b/share/services/admapi/admapi.go
@@ -9,8 +9,8 @@
 // BodyName is the file name in the problems that are reported for a request's TOML body.
 const BodyName = "body"
 
-// MaxChanges limits the number of changes listed in one answer, so that a first configuration of 19,000
-// teams does not fill the server's write buffer.
+// MaxChanges limits the number of changes listed in one answer, so that a first configuration of
+// 19,000 teams does not fill the server's write buffer.
 const MaxChanges = 2000
 
 // TruncateChanges returns the first MaxChanges changes and the number of omitted ones.
--- a/share/services/admapi/explain.go
+++ b/share/services/admapi/explain.go
@@ -11,7 +11,8 @@
 	Stages   []StageExplanation `json:"stages"`
 }
 
-// StageExplanation describes the choice for one stage of a pipeline, or for direct calls of a service.
+// StageExplanation describes the choice for one stage of a pipeline, or for direct calls of a
+// service.
 type StageExplanation struct {
 	// Pipeline and Stage are empty for direct calls.
 	Pipeline string              `json:"pipeline,omitempty"`
--- a/share/services/admapi/status.go
+++ b/share/services/admapi/status.go
@@ -67,7 +67,8 @@
 	BeyondSpend    float64 `json:"beyond-spend"`
 }
 
-// TeamUsage is the amount of a pool that a team's work in a stage used over the window, in cost units.
+// TeamUsage is the amount of a pool that a team's work in a stage used over the window, in cost
+// units.
 type TeamUsage struct {
 	Pool string `json:"pool"`
 	// Stage is "pipeline/stage", or the name of the service for direct calls.
@@ -84,7 +85,8 @@
 	Runs   uint64  `json:"runs"`
 	Cost   float64 `json:"cost"`
 	Tokens uint64  `json:"tokens"`
-	// Busy is the time that backend servers worked, Queued the time that runs waited in agents' queues.
+	// Busy is the time that backend servers worked, Queued the time that runs waited in agents'
+	// queues.
 	Busy   config.Duration `json:"busy"`
 	Queued config.Duration `json:"queued"`
 }
