--- a/share/services/follow/follow.go
+++ b/share/services/follow/follow.go
@@ -1,6 +1,7 @@
 // Package follow keeps the configuration of a process up to date. It carries out the decisions of
-// package gossip with the key-value service and the sessions to peers. From the heads, the heartbeats
-// of peers and the list of instances it derives the snapshot under which requests are decided.
+// package gossip with the key-value service and the sessions to peers. From the heads, the
+// heartbeats of peers and the list of instances it derives the snapshot under which requests are
+// decided.
 package follow
 
 import (
@@ -77,8 +78,8 @@
 	ControlBusy time.Duration
 	// Adopting is the time spent on decoding configurations from peers, without fetching them.
 	Adopting time.Duration
-	// HeartbeatsSent and HeartbeatsReceived count heartbeats. ListReads counts the reads of the list of
-	// instances.
+	// HeartbeatsSent and HeartbeatsReceived count heartbeats. ListReads counts the reads of the list
+	// of instances.
 	HeartbeatsSent     uint64
 	HeartbeatsReceived uint64
 	ListReads          uint64
@@ -152,10 +153,10 @@
 	return f.meter.fillIn(f.counts)
 }
 
-// GetUsable returns the snapshot under which requests may be decided now, or the reason for refusing
-// them. While there is no configuration or it is unconfirmed, it waits up to confirmTimeout. A process
-// that was frozen finds its confirmation expired and waits here for a new one, so that it does not
-// apply a rule that was replaced in the meantime.
+// GetUsable returns the snapshot under which requests may be decided now, or the reason for
+// refusing them. While there is no configuration or it is unconfirmed, it waits up to
+// confirmTimeout. A process that was frozen finds its confirmation expired and waits here for a new
+// one, so that it does not apply a rule that was replaced in the meantime.
 func (f *Follower) GetUsable(ctx context.Context) (*config.Snapshot, *codes.Result) {
 	deadline := time.Now().Add(confirmTimeout)
 	for {
@@ -176,8 +177,8 @@
 	}
 }
 
-// newContextResult returns the result of a request whose context ended during the wait for a confirmed
-// configuration. It distinguishes a passed deadline from a caller that went away.
+// newContextResult returns the result of a request whose context ended during the wait for a
+// confirmed configuration. It distinguishes a passed deadline from a caller that went away.
 func newContextResult(ctx context.Context) *codes.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return codes.NewResult(codes.DeadlineExceeded, "the deadline passed before the configuration was confirmed").WithOutcome(codes.OutcomeNotRun)
@@ -185,8 +186,8 @@
 	return codes.NewResult(codes.Canceled, "caller went away").WithOutcome(codes.OutcomeNotRun)
 }
 
-// readState returns the status, the snapshot in force, which may be nil, and a channel that is closed
-// after the next event.
+// readState returns the status, the snapshot in force, which may be nil, and a channel that is
+// closed after the next event.
 func (f *Follower) readState() (gossip.Status, *config.Snapshot, <-chan struct{}) {
 	f.lock.RLock()
 	defer f.lock.RUnlock()
@@ -227,8 +228,8 @@
 	}
 }
 
-// AnswerFetch answers a peer's fetch from the configuration in force: with the manifest if the fetch
-// names no hashes, and otherwise with the named chunks that this process has.
+// AnswerFetch answers a peer's fetch from the configuration in force: with the manifest if the
+// fetch names no hashes, and otherwise with the named chunks that this process has.
 func (f *Follower) AnswerFetch(fetch *wire.Fetch) *wire.Chunks {
 	loaded := f.GetLoaded()
 	if loaded == nil {
--- a/share/services/follow/watch.go
+++ b/share/services/follow/watch.go
@@ -12,8 +12,8 @@
 // neverConfirmed is the ConfirmedAge of a report that carries no confirmation.
 const neverConfirmed = -1
 
-// OnPeerHeartbeat passes on the configuration state that a peer reports in a heartbeat. notBefore is
-// the earliest local time at which the peer can have written the heartbeat; zero: unknown.
+// OnPeerHeartbeat passes on the configuration state that a peer reports in a heartbeat. notBefore
+// is the earliest local time at which the peer can have written the heartbeat; zero: unknown.
 func (f *Follower) OnPeerHeartbeat(peer string, heartbeat *wire.Beat, notBefore time.Time) {
 	f.meter.heartbeatsReceived.Add(1)
 	f.Send(gossip.PeerReport{
@@ -24,9 +24,9 @@
 	})
 }
 
-// OnPeerCall passes on the revision under which a peer decided a call, if it is higher than the one in
-// force here. The peer has that configuration, so it can be fetched from the peer at once. The call
-// waits for it, and the peer's next heartbeat would report it up to a second later.
+// OnPeerCall passes on the revision under which a peer decided a call, if it is higher than the one
+// in force here. The peer has that configuration, so it can be fetched from the peer at once. The
+// call waits for it, and the peer's next heartbeat would report it up to a second later.
 func (f *Follower) OnPeerCall(peer string, call *wire.Call, notBefore time.Time) {
 	inForce, _ := f.GetRevision(time.Now())
 	if call.GetRevision() <= inForce {
@@ -40,8 +40,8 @@
 	})
 }
 
-// OnPeerRevision passes on the revision that a peer's answer carries, if it is higher than the one in
-// force here.
+// OnPeerRevision passes on the revision that a peer's answer carries, if it is higher than the one
+// in force here.
 func (f *Follower) OnPeerRevision(peer string, revision uint64) {
 	inForce, _ := f.GetRevision(time.Now())
 	if revision <= inForce {
@@ -55,8 +55,9 @@
 	f.Send(gossip.PeerDisconnected{Peer: peer})
 }
 
-// OnInstances passes on the names of the listed instances in this instance's failure domain, without
-// leaving ones and always with its own. They determine which instances of the domain hold a watch.
+// OnInstances passes on the names of the listed instances in this instance's failure domain,
+// without leaving ones and always with its own. They determine which instances of the domain hold a
+// watch.
 func (f *Follower) OnInstances(instances []member.Instance) {
 	f.meter.listReads.Add(1)
 	names := []string{f.options.Self}
@@ -76,12 +77,13 @@
 	return &wire.Beat{Revision: revision, ConfirmedAgeNanos: int64(age), Leaving: leaving}
 }
 
-// Adopt puts the configuration of a change in force that this process submitted and that was accepted.
+// Adopt puts the configuration of a change in force that this process submitted and that was
+// accepted.
 //
 // It guards against an outage of the key-value service that begins right after the change: the
-// operator was told "accepted", but no process could fetch the configuration until the service
-// recovered. The process that submitted the change has all of its chunks, and its peers fetch them
-// from it.
+// operator had received the verdict "accepted", but no process could fetch the configuration until
+// the service recovered. The process that submitted the change has all of its chunks, and its peers
+// fetch them from it.
 func (f *Follower) Adopt(loaded *config.Loaded) {
 	f.Send(gossip.FetchDone{Loaded: loaded})
 }
