--- a/share/services/kvport/kvport.go
+++ b/share/services/kvport/kvport.go
@@ -1,5 +1,5 @@
-// Package kvport adapts the client of the key-value service to the interfaces that the configuration
-// and the claims use.
+// Package kvport adapts the client of the key-value service to the interfaces that the
+// configuration and the claims use.
 package kvport
 
 import (
@@ -54,8 +54,8 @@
 	return store.Value{Data: pair.Value, Index: pair.ModifyIndex}, nil
 }
 
-// CompareAndSwap writes data if the key still has the index, and reports whether it did. Index 0 means
-// that the key must not exist. After an error the outcome is unknown.
+// CompareAndSwap writes data if the key still has the index, and reports whether it did. Index 0
+// means that the key must not exist. After an error the outcome is unknown.
 func (p *Port) CompareAndSwap(ctx context.Context, key string, data []byte, index uint64) (bool, error) {
 	swapped, err := p.client.CompareAndSwap(ctx, key, data, index)
 	return swapped, ErrPort.Wrap(err)
