--- a/share/services/procs/list.go
+++ b/share/services/procs/list.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// read reads the entries and agents of the list and passes them to the observer. If a read fails, it
-// passes nothing, so that the instances of the last read stay in use.
+// read reads the entries and agents of the list and passes them to the observer. If a read fails,
+// it passes nothing, so that the instances of the last read stay in use.
 func (p *ListPoller) read(ctx context.Context) {
 	instances := []member.Instance{}
 	for _, role := range []member.Role{member.RoleEntry, member.RoleAgent} {
--- a/share/services/procs/procs.go
+++ b/share/services/procs/procs.go
@@ -1,5 +1,6 @@
-// Package procs holds the parts of a process that the programs entry and agent share: the follower of
-// the configuration with its figures, the readiness check and the poller of the list of instances.
+// Package procs holds the parts of a process that the programs entry and agent share: the follower
+// of the configuration with its figures, the readiness check and the poller of the list of
+// instances.
 package procs
 
 import (
@@ -46,8 +47,8 @@
 	return link.FetchChunks(ctx, session, fetch)
 }
 
-// CheckReady returns an error with the reason if the process is not ready: it is leaving, or it has no
-// configuration yet.
+// CheckReady returns an error with the reason if the process is not ready: it is leaving, or it has
+// no configuration yet.
 func CheckReady(follower *follow.Follower, stopper *stops.Stopper) error {
 	if stopper.IsLeaving() {
 		return ErrProcess.New("leaving")
