--- a/share/services/stops/stopper.go
+++ b/share/services/stops/stopper.go
@@ -1,6 +1,6 @@
 // Package stops runs the graceful stop of a process as package drain decides it. It reports the
-// process's signals and the start and end of its work to a drain.Instance. When the process may exit,
-// it lists the work that has not ended.
+// process's signals and the start and end of its work to a drain.Instance. When the process may
+// exit, it lists the work that has not ended.
 package stops
 
 import (
@@ -71,7 +71,7 @@
 	}
 }
 
-// IsLeaving reports whether the drain has begun.
+// IsLeaving reports whether the drain has started.
 func (s *Stopper) IsLeaving() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/share/services/stops/wait.go
+++ b/share/services/stops/wait.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// Wait requests a stop at the first SIGTERM or SIGINT and returns when the process may exit, or when
-// ctx ends. Further signals have no effect.
+// Wait requests a stop at the first SIGTERM or SIGINT and returns when the process may exit, or
+// when ctx ends. Further signals have no effect.
 func Wait(ctx context.Context, stopper *Stopper, log *zap.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
