--- a/share/services/store/reader.go
+++ b/share/services/store/reader.go
@@ -55,8 +55,8 @@
 	return answer, ErrStore.Wrap(err)
 }
 
-// ReadChunks returns the chunks with the given hashes. It fails if one does not exist or does not match
-// its hash.
+// ReadChunks returns the chunks with the given hashes. It fails if one does not exist or does not
+// match its hash.
 func (r *Reader) ReadChunks(ctx context.Context, hashes []config.Hash) ([]config.Chunk, error) {
 	chunks := make([]config.Chunk, 0, len(hashes))
 	for _, hash := range hashes {
@@ -76,8 +76,8 @@
 	return chunks, nil
 }
 
-// Load reads the configuration of a version. It reads only the chunks that old does not hold; old may
-// be nil.
+// Load reads the configuration of a version. It reads only the chunks that old does not hold; old
+// may be nil.
 func (r *Reader) Load(ctx context.Context, old *config.Loaded, version config.Version) (*config.Loaded, error) {
 	return Load(ctx, r, old, version)
 }
--- a/share/services/store/store.go
+++ b/share/services/store/store.go
@@ -47,8 +47,8 @@
 	ReadChunks(ctx context.Context, hashes []config.Hash) ([]config.Chunk, error)
 }
 
-// Load reads the configuration of a version from a source. It reads only the chunks that old does not
-// hold; old may be nil.
+// Load reads the configuration of a version from a source. It reads only the chunks that old does
+// not hold; old may be nil.
 func Load(ctx context.Context, source ChunkSource, old *config.Loaded, version config.Version) (*config.Loaded, error) {
 	chunks, err := source.ReadChunks(ctx, []config.Hash{version.ManifestHash})
 	if err != nil {
--- a/share/services/store/store_test.go
+++ b/share/services/store/store_test.go
@@ -112,8 +112,9 @@
 	return chunks, nil
 }
 
-// The key-value service updates the head, but the connection breaks before its answer arrives. Guards
-// against a change that is reported as failed, or applied twice: the verdict is accepted, revision 1.
+// The key-value service updates the head, but the connection breaks before its answer arrives.
+// Guards against a change that is reported as failed, or applied twice: the verdict is accepted,
+// revision 1.
 func TestSubmitReadsBackALostAnswer(t *testing.T) {
 	is := is.New(t)
 	kv := newFakeKV()
@@ -148,8 +149,8 @@
 	is.Equal(answer.Changes, []config.FieldChange{{Kind: config.KindPool, Name: "gpu", Field: "price", Old: "1", New: "2"}})
 }
 
-// Operators submit changes concurrently from several processes. Guards against accepted changes that
-// overwrite each other: each has its own revision and is in the head's history.
+// Operators submit changes concurrently from several processes. Guards against accepted changes
+// that overwrite each other: each has its own revision and is in the head's history.
 func TestConcurrentWritersLoseNoChange(t *testing.T) {
 	is := is.New(t)
 	kv := newFakeKV()
--- a/share/services/store/writer.go
+++ b/share/services/store/writer.go
@@ -28,8 +28,8 @@
 	return &Writer{kv: kv, reader: reader}
 }
 
-// Submit carries out one submission and returns its result. It sends all requests that the submission
-// needs, retries included, unless ctx ends first.
+// Submit carries out one submission and returns its result. It sends all requests that the
+// submission needs, retries included, unless ctx ends first.
 func (w *Writer) Submit(ctx context.Context, s head.Submission) head.Answer {
 	writer := head.NewWriter(s)
 	actions := writer.Handle(head.Started{}, time.Now())
@@ -61,8 +61,8 @@
 	return answer, ended
 }
 
-// carryOut carries out the first action and returns its result. Package head returns one action at a
-// time.
+// carryOut carries out the first action and returns its result. Package head returns one action at
+// a time.
 func (w *Writer) carryOut(ctx context.Context, actions []head.Action) head.Event {
 	switch a := actions[0].(type) {
 	case head.ReadHead:
@@ -127,9 +127,9 @@
 	return head.ChunksWritten{}
 }
 
-// writeChunk stores a chunk unless its key exists, and reports whether the chunk is stored. An answer
-// that is lost after the write took effect does no harm: the data under a hash is always the same, so
-// the next attempt finds the key with this data.
+// writeChunk stores a chunk unless its key exists, and reports whether the chunk is stored. An
+// answer that is lost after the write took effect does no harm: the data under a hash is always the
+// same, so the next attempt finds the key with this data.
 func (w *Writer) writeChunk(ctx context.Context, chunk config.Chunk) bool {
 	for range maxChunkAttempts {
 		_, err := w.kv.CompareAndSwap(ctx, w.reader.prefix+chunkKeyPrefix+string(chunk.Hash), chunk.Data, 0)
