--- a/share/modules/link/exchange.go
+++ b/share/modules/link/exchange.go
@@ -185,9 +185,9 @@
 	return wire.NewReader(stream).Next()
 }
 
-// exchange sends a frame on a stream of its own and waits for the answer. It closes the stream when
-// the context ends, as the call's own deadline: yamux's acknowledgements belong to the session and
-// not to the call.
+// exchange sends a frame on a stream of its own and waits for the answer. When the context ends it
+// closes the stream: each call needs its own deadline, because yamux's acknowledgements belong to
+// the session and not to the call.
 func exchange(ctx context.Context, s *Session, frame *wire.Frame) (*wire.Frame, error) {
 	stream, err := s.Open()
 	if err != nil {
