--- a/fakes/modules/fault/fault.go
+++ b/fakes/modules/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault describes the faults that a stand-in can be switched to at run time, and decides which
-// calls they apply to.
+// Package fault describes the faults that a stand-in can be switched to at run time, and decides
+// which calls they apply to.
 package fault
 
 import (
@@ -31,10 +31,12 @@
 
 // Settings holds the faults in force. The zero value has none.
 type Settings struct {
-	// Methods limits the faults of calls (all faults except Down and Silent) to these HTTP methods; empty: all methods.
+	// Methods limits the faults of calls (all faults except Down and Silent) to these HTTP methods;
+	// empty: all methods.
 	Methods []string `json:"methods,omitempty"`
-	// Slow delays every call before it takes effect. A call whose caller disconnects during the delay is
-	// still passed to the handler, with a canceled context, and takes effect unless the handler depends on it.
+	// Slow delays every call before it takes effect. A call whose caller disconnects during the
+	// delay is still passed to the handler, with a canceled context, and takes effect unless the
+	// handler depends on it.
 	Slow Duration `json:"slow,omitempty"`
 	// Down closes every connection and refuses new ones.
 	Down bool `json:"down,omitempty"`
@@ -48,16 +50,18 @@
 	Silent bool `json:"silent,omitempty"`
 	// CutAfter closes the connection of a streamed answer after this many writes; 0: never.
 	CutAfter int `json:"cut-after,omitempty"`
-	// Status is the HTTP status of the answer to every call, which then does not reach the handler and takes
-	// no effect; 0: none.
+	// Status is the HTTP status of the answer to every call, which then does not reach the handler
+	// and takes no effect; 0: none.
 	Status int `json:"status,omitempty"`
 }
 
 // LostAnswer selects the calls whose answer is lost.
 type LostAnswer struct {
-	// Count is the number of matching calls whose answer is lost, after which the fault ends; 0: no limit.
+	// Count is the number of matching calls whose answer is lost, after which the fault ends; 0: no
+	// limit.
 	Count int `json:"count,omitempty"`
-	// Probability is the probability that the answer of a matching call is lost, 0 to 1. With a Count, 0 means 1.
+	// Probability is the probability that the answer of a matching call is lost, 0 to 1. With a
+	// Count, 0 means 1.
 	Probability float64 `json:"probability,omitempty"`
 	// Seed makes the selection reproducible.
 	Seed int64 `json:"seed,omitempty"`
@@ -86,7 +90,8 @@
 	return rand.New(rand.NewSource(seed))
 }
 
-// Set replaces the settings in force and restarts the random selection of lost answers from the seed.
+// Set replaces the settings in force and restarts the random selection of lost answers from the
+// seed.
 func (s *Switch) Set(settings Settings) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -118,8 +123,8 @@
 	return settings
 }
 
-// Thawed returns a channel that is closed when the freeze of calls of a method is lifted, or nil without a
-// freeze for them.
+// Thawed returns a channel that is closed when the freeze of calls of a method is lifted, or nil
+// without a freeze for them.
 func (s *Switch) Thawed(method string) <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -129,7 +134,8 @@
 	return s.thawed
 }
 
-// TakeLostAnswer reports whether the answer of this call is to be lost, and counts it against LostAnswer.Count.
+// TakeLostAnswer reports whether the answer of this call is to be lost, and counts it against
+// LostAnswer.Count.
 func (s *Switch) TakeLostAnswer(method string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/fakes/modules/fault/fault_test.go
+++ b/fakes/modules/fault/fault_test.go
@@ -29,7 +29,8 @@
 	return n
 }
 
-// TestLostAnswerCount checks how many of 100 calls lose their answer, by method, count and probability.
+// TestLostAnswerCount checks how many of 100 calls lose their answer, by method, count and
+// probability.
 func TestLostAnswerCount(t *testing.T) {
 	tests := map[string]struct {
 		lost   fault.LostAnswer
@@ -63,7 +64,8 @@
 	is.Equal(takeLostAnswers(s, 50, http.MethodPut), first)
 }
 
-// TestSettingsAsJSON checks that settings have durations with units in JSON and leave out unset faults.
+// TestSettingsAsJSON checks that settings have durations with units in JSON and leave out unset
+// faults.
 func TestSettingsAsJSON(t *testing.T) {
 	is := is.New(t)
 	var settings fault.Settings
