--- a/fakes/modules/ledger/ledger.go
+++ b/fakes/modules/ledger/ledger.go
@@ -1,4 +1,5 @@
-// Package ledger records every call that a stand-in runs, so that tests can count the runs of a request.
+// Package ledger records every call that a stand-in runs, so that tests can count the runs of a
+// request.
 package ledger
 
 import (
@@ -25,8 +26,8 @@
 	// Run is the number of the run, counted from 1 over all runs of the stand-in.
 	Run     int       `json:"run"`
 	Started time.Time `json:"started"`
-	// Finished is when the run ended. It is zero during the run, and stays zero if the run was canceled or
-	// the process exited.
+	// Finished is when the run ended. It is zero during the run, and stays zero if the run was
+	// canceled or the process exited.
 	Finished time.Time `json:"finished,omitzero"`
 }
 
