--- a/fakes/modules/token/token.go
+++ b/fakes/modules/token/token.go
@@ -1,5 +1,5 @@
-// Package token generates the tokens of an engine stand-in's answers. They depend on the prompt and the
-// position only, so a caller can check whether an answer belongs to its own prompt.
+// Package token generates the tokens of an engine stand-in's answers. They depend on the prompt and
+// the position only, so a caller can check whether an answer belongs to its own prompt.
 package token
 
 import (
@@ -40,8 +40,8 @@
 // BlockTokens is the number of tokens of a block in the prefix cache.
 const BlockTokens = 16
 
-// Blocks returns the IDs of the full blocks of a prompt. An ID is a digest of all tokens up to the end of
-// its block, so equal IDs mean equal prefixes.
+// Blocks returns the IDs of the full blocks of a prompt. An ID is a digest of all tokens up to the
+// end of its block, so equal IDs mean equal prefixes.
 func Blocks(prompt string) []string {
 	words := strings.Fields(prompt)
 	blocks := make([]string, 0, len(words)/BlockTokens)
