--- a/fakes/modules/serve/conn.go
+++ b/fakes/modules/serve/conn.go
@@ -9,7 +9,8 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// conn is an accepted connection that faults can mute. A muted connection passes no data and ignores Close.
+// conn is an accepted connection that faults can mute. A muted connection passes no data and
+// ignores Close.
 type conn struct {
 	*nbio.Conn
 	// ctx ends when the connection closes.
@@ -25,14 +26,16 @@
 	return &conn{Conn: inner, ctx: ctx, cancel: cancel}
 }
 
-// publish must be called before the connection is passed to nbio's engine. The accepting goroutine passes
-// it to a poller goroutine through epoll only. That orders the two goroutines, but the race detector does
-// not see it. This store and the load in onData make the order visible to the race detector.
+// publish must be called before the connection is passed to nbio's engine. The accepting goroutine
+// passes it to a poller goroutine through epoll only. That orders the two goroutines, but the race
+// detector does not see it. This store and the load in onData make the order visible to the race
+// detector.
 func (c *conn) publish() {
 	c.muted.Store(false)
 }
 
-// onData returns a data handler that passes received data to parse, and drops it on a muted connection.
+// onData returns a data handler that passes received data to parse, and drops it on a muted
+// connection.
 func (c *conn) onData(parse func(*nbio.Conn, []byte)) func(*nbio.Conn, []byte) {
 	return func(inner *nbio.Conn, data []byte) {
 		if !c.muted.Load() {
@@ -49,7 +52,8 @@
 	return c.Conn.Write(data)
 }
 
-// Close closes the connection. A muted connection stays open, because its peer must not see a close either.
+// Close closes the connection. A muted connection stays open, because its peer must not see a close
+// either.
 func (c *conn) Close() error {
 	if c.muted.Load() {
 		return nil
@@ -57,7 +61,8 @@
 	return c.Conn.Close()
 }
 
-// connOf returns the connection of a response, or nil if the response is not from a Server's connection.
+// connOf returns the connection of a response, or nil if the response is not from a Server's
+// connection.
 func connOf(w http.ResponseWriter) *conn {
 	response, ok := w.(*nbhttp.Response)
 	if !ok || response.Parser == nil {
--- a/fakes/modules/serve/control.go
+++ b/fakes/modules/serve/control.go
@@ -54,7 +54,8 @@
 	return s.calls.get()
 }
 
-// NewControl returns the handler of the control address, which serves the fault settings and the call counts.
+// NewControl returns the handler of the control address, which serves the fault settings and the
+// call counts.
 func (s *Server) NewControl() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /fault", s.getFault)
--- a/fakes/modules/serve/handler.go
+++ b/fakes/modules/serve/handler.go
@@ -7,8 +7,8 @@
 	"verbenaroad.example/fakes/modules/fault"
 )
 
-// SetFault replaces the fault settings in force. It closes the listener and all connections if the settings
-// have Down, and listens again if they do not.
+// SetFault replaces the fault settings in force. It closes the listener and all connections if the
+// settings have Down, and listens again if they do not.
 func (s *Server) SetFault(settings fault.Settings) error {
 	s.faults.Set(settings)
 	if settings.Silent {
@@ -68,9 +68,9 @@
 	s.waitThaw(r.Method, c.ctx.Done())
 }
 
-// delayCall waits for delay, and then until no freeze is in force. It returns false if the server stops first.
-// It does not return early when the caller disconnects, because a real service carries out a request that it
-// has read.
+// delayCall waits for delay, and then until no freeze is in force. It returns false if the server
+// stops first. It does not return early when the caller disconnects, because a real service carries
+// out a request that it has read.
 func (s *Server) delayCall(method string, delay time.Duration) bool {
 	if delay > 0 {
 		timer := time.NewTimer(delay)
@@ -84,8 +84,8 @@
 	return s.waitThaw(method, nil)
 }
 
-// waitThaw waits until no freeze is in force for calls of a method. It returns false if gone is closed or the
-// server stops first.
+// waitThaw waits until no freeze is in force for calls of a method. It returns false if gone is
+// closed or the server stops first.
 func (s *Server) waitThaw(method string, gone <-chan struct{}) bool {
 	thawed := s.faults.Thawed(method)
 	if thawed == nil {
@@ -101,7 +101,8 @@
 	}
 }
 
-// writer delays the parts of an answer during a freeze, and closes the connection where CutAfter requires it.
+// writer delays the parts of an answer during a freeze, and closes the connection where CutAfter
+// requires it.
 type writer struct {
 	http.ResponseWriter
 	server *Server
--- a/fakes/modules/serve/server.go
+++ b/fakes/modules/serve/server.go
@@ -1,5 +1,5 @@
-// Package serve runs a stand-in as an nbhttp server whose faults are switched over a second address, the
-// control address.
+// Package serve runs a stand-in as an nbhttp server whose faults are switched over a second
+// address, the control address.
 package serve
 
 import (
@@ -78,8 +78,9 @@
 		ServerExecutor:    s.execute,
 		SupportServerOnly: true,
 	})
-	// The hook is set on nbio's engine because nbhttp's engine queues its hook on the connection's job list
-	// behind the handler, so a running handler would not learn that its caller has disconnected.
+	// The hook is set on nbio's engine because nbhttp's engine queues its hook on the connection's
+	// job list behind the handler, so a running handler would not be notified that its caller
+	// has disconnected.
 	s.engine.Engine.OnClose(s.onClose)
 	return s
 }
@@ -99,7 +100,8 @@
 	return s.address
 }
 
-// Stop closes the listener, waits for the calls in flight until ctx ends, and then closes all connections.
+// Stop closes the listener, waits for the calls in flight until ctx ends, and then closes all
+// connections.
 func (s *Server) Stop(ctx context.Context) error {
 	s.mutex.Lock()
 	s.stopped = true
@@ -188,7 +190,8 @@
 	}
 }
 
-// addConn sets up an accepted connection as nbhttp does, but with a conn in between that faults can mute.
+// addConn sets up an accepted connection as nbhttp does, but with a conn in between that faults can
+// mute.
 func (s *Server) addConn(accepted net.Conn) {
 	inner, err := nbio.NBConn(accepted)
 	if err != nil {
@@ -212,8 +215,8 @@
 	_ = inner.SetReadDeadline(time.Now().Add(keepaliveTime))
 }
 
-// countingExecutor returns the executor of the connection's job list. It counts the jobs, so that Stop waits
-// until their answers are written.
+// countingExecutor returns the executor of the connection's job list. It counts the jobs, so that
+// Stop waits until their answers are written.
 func (s *Server) countingExecutor(inner *nbio.Conn) func(func()) bool {
 	return func(job func()) bool {
 		s.addJobs(1)
@@ -228,7 +231,8 @@
 	}
 }
 
-// removeConn removes a closed connection and cancels its context, so that the handler stops working for it.
+// removeConn removes a closed connection and cancels its context, so that the handler stops working
+// for it.
 func (s *Server) removeConn(inner *nbio.Conn) {
 	s.mutex.Lock()
 	c := s.conns[inner]
