--- a/fakes/cmds/relay.go
+++ b/fakes/cmds/relay.go
@@ -59,8 +59,8 @@
 	return list, errCommand.Wrap(lines.Err())
 }
 
-// runRelay opens the links, serves the control address, writes the address files and blocks until ctx
-// ends.
+// runRelay opens the links, serves the control address, writes the address files and blocks until
+// ctx ends.
 func (c *standIn) runRelay(ctx context.Context, r *relay.Relay, targets []relay.Target) error {
 	defer r.Close()
 	lines := []string{}
