--- a/fakes/services/engine/batch.go
+++ b/fakes/services/engine/batch.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// batch models continuous batching: sequences enter and leave between steps, and each step generates
-// one token for every sequence whose prefill is done.
+// batch models continuous batching: sequences enter and leave between steps, and each step
+// generates one token for every sequence whose prefill is done.
 type batch struct {
 	options Options
 	cache   *cache
@@ -67,7 +67,8 @@
 	b.admit(now)
 }
 
-// remove drops a waiting or running sequence and admits waiting sequences to the free slots at once.
+// remove drops a waiting or running sequence and admits waiting sequences to the free slots at
+// once.
 func (b *batch) remove(s *sequence, now time.Time) {
 	b.waiting = without(b.waiting, s)
 	b.running = without(b.running, s)
@@ -110,8 +111,8 @@
 	return false
 }
 
-// advance executes every step that is due and returns the set of sequences that received tokens. Each
-// is signaled once, so that tokens that are due together are written together.
+// advance executes every step that is due and returns the set of sequences that received tokens.
+// Each is signaled once, so that tokens that are due together are written together.
 func (b *batch) advance(now time.Time) map[*sequence]struct{} {
 	advanced := map[*sequence]struct{}{}
 	for len(b.running) > 0 && !b.nextStep.After(now) {
--- a/fakes/services/engine/completion.go
+++ b/fakes/services/engine/completion.go
@@ -98,8 +98,8 @@
 	return completion, nil
 }
 
-// generate sends the answer, a stream's tokens as they are generated. It returns false if the caller
-// disconnected or the engine stopped before the answer was complete.
+// generate sends the answer, a stream's tokens as they are generated. It returns false if the
+// caller disconnected or the engine stopped before the answer was complete.
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request, completion Completion, s *sequence, run int) bool {
 	a := newAnswerBuilder(completion, s, run)
 	if completion.Stream {
--- a/fakes/services/engine/engine.go
+++ b/fakes/services/engine/engine.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// advance executes the steps that are due and signals the sequences that received tokens. It returns
-// the time of the next step; busy is false if no sequence is running.
+// advance executes the steps that are due and signals the sequences that received tokens. It
+// returns the time of the next step; busy is false if no sequence is running.
 func (e *Engine) advance(now time.Time) (next time.Time, busy bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/fakes/services/engine/engine_test.go
+++ b/fakes/services/engine/engine_test.go
@@ -241,8 +241,8 @@
 	is.Equal(answer.Choices[0].Text, token.MakeText("next", 2))
 }
 
-// The connection of a stream breaks in the middle. The caller recognizes the incomplete answer by the
-// missing [DONE] event, and the engine frees the slot.
+// The connection of a stream breaks in the middle. The caller recognizes the incomplete answer by
+// the missing [DONE] event, and the engine frees the slot.
 func TestBrokenConnectionFreesSlot(t *testing.T) {
 	is := is.New(t)
 	s := newTestEngine(t, engine.Options{Slots: 1, TokenInterval: time.Millisecond})
