--- a/fakes/services/plain/service.go
+++ b/fakes/services/plain/service.go
@@ -1,5 +1,5 @@
-// Package plain is a stand-in for a backend server of a plain service. It accepts any call, waits for
-// the service time and answers with a digest of the body.
+// Package plain is a stand-in for a backend server of a plain service. It accepts any call, waits
+// for the service time and answers with a digest of the body.
 package plain
 
 import (
