--- a/fakes/services/relay/relay.go
+++ b/fakes/services/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is a stand-in for the network links between regions. It forwards TCP connections with
-// a delay in each direction, counts their bytes, and can cut the links of a region without closing a
-// connection.
+// Package relay is a stand-in for the network links between regions. It forwards TCP connections
+// with a delay in each direction, counts their bytes, and can cut the links of a region without
+// closing a connection.
 package relay
 
 import (
@@ -187,8 +187,8 @@
 	}
 }
 
-// runWrite writes the queued chunks when they are due. The close of the reading end is forwarded with
-// the same delay.
+// runWrite writes the queued chunks when they are due. The close of the reading end is forwarded
+// with the same delay.
 func (p *pipe) runWrite() {
 	last := time.Now()
 	for next := range p.chunks {
