--- a/fakes/services/keyval/fault_test.go
+++ b/fakes/services/keyval/fault_test.go
@@ -36,7 +36,7 @@
 	is.True(swapped)
 }
 
-// The service is so slow that the write times out. The error must not say that the write was not
+// The service is so slow that the write times out. The error must not state that the write was not
 // sent: it could still take effect.
 func TestSlowWriteHasUnknownOutcome(t *testing.T) {
 	is := is.New(t)
--- a/fakes/services/keyval/session.go
+++ b/fakes/services/keyval/session.go
@@ -37,7 +37,8 @@
 	return created.id
 }
 
-// renewSession extends the session by its TTL and returns a copy of it, or nil if it does not exist.
+// renewSession extends the session by its TTL and returns a copy of it, or nil if it does not
+// exist.
 func (s *Store) renewSession(id string) *session {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/fakes/services/keyval/store.go
+++ b/fakes/services/keyval/store.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// pair is a key and its value as Consul's API returns them; the field names are part of that format.
+// pair is a key and its value as Consul's API returns them; the field names are part of that
+// format.
 type pair struct {
 	LockIndex   uint64
 	Key         string
