--- a/fakes/services/hosted/calls.go
+++ b/fakes/services/hosted/calls.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// checkFault applies the fault of the address to the request and reports whether the request is to be served.
+// checkFault applies the fault of the address to the request and reports whether the request is to
+// be served.
 func (s *Store) checkFault(p *port, w http.ResponseWriter, r *http.Request) bool {
 	s.lock.Lock()
 	fault := p.fault
@@ -70,11 +71,12 @@
 	reply(w, http.StatusOK, map[string]any{"Items": items, "HasMore": more, "At": s.revision})
 }
 
-// pageItems is the maximum number of items of a page of a listing. It is small so that listings in tests
-// have several pages.
+// pageItems is the maximum number of items of a page of a listing. It is small so that listings in
+// tests have several pages.
 const pageItems = 10
 
-// serveWatch returns the events under a prefix after a revision, and waits for one if there is none yet.
+// serveWatch returns the events under a prefix after a revision, and waits for one if there is none
+// yet.
 func (s *Store) serveWatch(p *port, w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get("After"), 10, 64)
--- a/fakes/services/hosted/pool.go
+++ b/fakes/services/hosted/pool.go
@@ -86,8 +86,9 @@
 	return true
 }
 
-// produceResult produces the result of an item. The handle names the item's Id, phase and segment, and the
-// item's Id becomes the owner of the result. An input with another owner is recorded as a violation.
+// produceResult produces the result of an item. The handle names the item's Id, phase and segment,
+// and the item's Id becomes the owner of the result. An input with another owner is recorded as a
+// violation.
 func (s *Server) produceResult(i stageItem) stageResult {
 	for _, input := range i.Inputs {
 		if !s.world.isHeld(input) {
--- a/fakes/services/hosted/server.go
+++ b/fakes/services/hosted/server.go
@@ -15,11 +15,12 @@
 // Fault selects how a backend server mishandles a request.
 type Fault string
 
-// The faults. Plain requests, streams and pool calls each support some of them and ignore the others.
+// The faults. Plain requests, streams and pool calls each support some of them and ignore the
+// others.
 const (
 	// NoFault handles the request normally.
 	NoFault Fault = ""
-	// RefuseNotRun answers 503 with the header that says that the request was not run.
+	// RefuseNotRun answers 503 with the header that marks the request as not run.
 	RefuseNotRun Fault = "shed"
 	// UnclassifiedFailure runs the request and answers 503 without that header.
 	UnclassifiedFailure Fault = "vague"
@@ -51,13 +52,13 @@
 	Header    http.Header
 	Body      string
 	StartedAt time.Time
-	// CanceledAt is when the run ended because its connection had closed before the answer was complete;
-	// zero otherwise.
+	// CanceledAt is when the run ended because its connection had closed before the answer was
+	// complete; zero otherwise.
 	CanceledAt time.Time
 }
 
-// Server is a backend server: of a plain service, of an engine if Events is above 0, or of a pool if
-// MaxBatch is above 0.
+// Server is a backend server: of a plain service, of an engine if Events is above 0, or of a pool
+// if MaxBatch is above 0.
 type Server struct {
 	ID      string
 	Service string
@@ -69,7 +70,8 @@
 	// Events is the number of events of a stream, EventInterval the time before each of them.
 	Events        int
 	EventInterval time.Duration
-	// MaxBatch is the maximum number of items of a pool call, MaxResults the maximum number of results held.
+	// MaxBatch is the maximum number of items of a pool call, MaxResults the maximum number of
+	// results held.
 	MaxBatch   int
 	MaxResults int
 	// Advertised is the address to register in the store if a proxy stands in front of the server;
@@ -136,11 +138,12 @@
 	}
 	s.store.Put("servers/"+s.ID, map[string]any{
 		"Service": s.Service, "Address": address.String(), "Zone": s.Zone, "Version": version,
-		"Slots": slots, "State": state, "ColdRemainingMs": s.ColdRemaining.Milliseconds(), "Sequence": 1, "born": 1 + restarts,
+		"Slots": registeredSlots, "State": state, "ColdRemainingMs": s.ColdRemaining.Milliseconds(), "Sequence": 1, "born": 1 + restarts,
 	})
 }
 
-// Crash closes the listener and all connections and leaves the registration in the store. Restart undoes it.
+// Crash closes the listener and all connections and leaves the registration in the store. Restart
+// undoes it.
 func (s *Server) Crash() { s.server.close() }
 
 // Restart listens on the same address again and registers the server as ready.
@@ -157,7 +160,8 @@
 	return nil
 }
 
-// crashFor crashes the server and restarts it after downTime; it does nothing if such a crash is not over yet.
+// crashFor crashes the server and restarts it after downTime; it does nothing if such a crash is
+// not over yet.
 func (s *Server) crashFor(downTime time.Duration) {
 	s.lock.Lock()
 	crashed := s.crashed
@@ -178,8 +182,8 @@
 	s.busy = false
 }
 
-// Crashes returns the number of pool calls that crashed the server. Crashes by plain requests and streams,
-// and calls of Crash, are not counted.
+// Crashes returns the number of pool calls that crashed the server. Crashes by plain requests and
+// streams, and calls of Crash, are not counted.
 func (s *Server) Crashes() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -196,8 +200,8 @@
 	s.crashed = false
 }
 
-// slots is the number of slots that every server registers.
-const slots = 6
+// registeredSlots is the number of slots that every server registers.
+const registeredSlots = 6
 
 // takeFault removes and returns the fault of the next request.
 func (s *Server) takeFault() Fault {
@@ -251,7 +255,8 @@
 	s.answer(w, r, fault)
 }
 
-// checkInputs reports whether all input results of a request are held, and refuses the request if not.
+// checkInputs reports whether all input results of a request are held, and refuses the request if
+// not.
 func (s *Server) checkInputs(w http.ResponseWriter, r *http.Request) bool {
 	for _, handle := range strings.Split(r.Header.Get("X-Verbenaroad-Input-Count"), ",") {
 		if handle != "" && !s.world.isHeld(handle) {
@@ -327,7 +332,8 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// stream sends the events after Last-Event-Id; the data of each event is the attempt ID of the request.
+// stream sends the events after Last-Event-Id; the data of each event is the attempt ID of the
+// request.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, fault Fault) {
 	after, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
--- a/fakes/services/hosted/store.go
+++ b/fakes/services/hosted/store.go
@@ -1,5 +1,6 @@
-// Package hosted has stand-ins for the users' platform: its store, and backend servers that register
-// there. Each can be switched to faults, and the servers record the runs of requests for checks in tests.
+// Package hosted has stand-ins for the users' platform: its store, and backend servers that
+// register there. Each can be switched to faults, and the servers record the runs of requests for
+// checks in tests.
 package hosted
 
 import (
@@ -36,8 +37,8 @@
 	Deleted  bool `json:",omitempty"`
 }
 
-// Store is the platform's key-value store. It listens on several addresses, so that it can fail for some
-// callers while it serves others.
+// Store is the platform's key-value store. It listens on several addresses, so that it can fail for
+// some callers while it serves others.
 type Store struct {
 	lock     sync.Mutex
 	changed  *sync.Cond
@@ -155,7 +156,8 @@
 	s.changed.Broadcast()
 }
 
-// loop ends expired leases and wakes the waiting watches, which then check whether their time is over.
+// loop ends expired leases and wakes the waiting watches, which then check whether their time is
+// over.
 func (s *Store) loop() {
 	for {
 		time.Sleep(20 * time.Millisecond)
--- a/fakes/services/hosted/world.go
+++ b/fakes/services/hosted/world.go
@@ -17,7 +17,8 @@
 	held       map[string]heldResult
 	violations []string
 	version    int
-	// poisonBody is the body of plain and stream requests that crash the server that runs them; empty: none.
+	// poisonBody is the body of plain and stream requests that crash the server that runs them;
+	// empty: none.
 	poisonBody string
 	// downTime is how long a server that crashed on a poisonous request stays down before it restarts.
 	downTime time.Duration
@@ -87,16 +88,16 @@
 	return runs
 }
 
-// SetPoison makes a server crash when it starts a plain or stream request with this body. The server restarts
-// after downTime.
+// SetPoison makes a server crash when it starts a plain or stream request with this body. The
+// server restarts after downTime.
 func (w *World) SetPoison(body string, downTime time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.poisonBody, w.downTime = body, downTime
 }
 
-// SetPoisonKey makes a server crash when it starts a pool call that has an item with this key. The server
-// restarts after downTime.
+// SetPoisonKey makes a server crash when it starts a pool call that has an item with this key. The
+// server restarts after downTime.
 func (w *World) SetPoisonKey(key string, downTime time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -133,8 +134,8 @@
 	return count
 }
 
-// Violations describes each input of a pool call that was produced for another item ID, and each failed
-// restart of a server.
+// Violations describes each input of a pool call that was produced for another item ID, and each
+// failed restart of a server.
 func (w *World) Violations() []string {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -192,7 +193,8 @@
 	return w.held[handle].owner
 }
 
-// release drops the result and frees its place on its server; it does nothing if the result is not held.
+// release drops the result and frees its place on its server; it does nothing if the result is not
+// held.
 func (w *World) release(handle string) {
 	w.lock.Lock()
 	h, known := w.held[handle]
