--- a/vctl/cmds/apply.go
+++ b/vctl/cmds/apply.go
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// check validates the files as a complete configuration. It needs no server, so it also serves before
-// the first one is started.
+// check validates the files as a complete configuration. It needs no server, so it also serves
+// before the first one is started.
 func (a *app) check(d *documents) error {
 	problems := config.Validate(d.patch.Set)
 	source := config.NewSourceMap(admapi.BodyName, d.text)
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// addRetryCommand adds the command line for a retry to the error of a change whose outcome is unknown.
-// The command line contains the base, so that the retry can't overwrite a later change.
+// addRetryCommand adds the command line for a retry to the error of a change whose outcome is
+// unknown. The command line contains the base, so that the retry can't overwrite a later change.
 func (a *app) addRetryCommand(err error, o *applyOptions, names []string) error {
 	var exit *exitError
 	if errors.As(err, &exit) && exit.code == ExitUnknown {
--- a/vctl/cmds/cmds.go
+++ b/vctl/cmds/cmds.go
@@ -135,7 +135,8 @@
 	}
 }
 
-// newFlags returns a flag set for a subcommand that already holds the flags shared by all subcommands.
+// newFlags returns a flag set for a subcommand that already holds the flags shared by all
+// subcommands.
 func (a *app) newFlags(name string) *flag.FlagSet {
 	flags := flag.NewFlagSet("vctl "+name, flag.ContinueOnError)
 	flags.SetOutput(a.streams.Err)
--- a/vctl/cmds/cmds_test.go
+++ b/vctl/cmds/cmds_test.go
@@ -150,8 +150,8 @@
 }
 
 // The connection breaks after the change was sent. The outcome is unknown, and vctl must print a
-// command line for the retry with the same change id and base. The retry then reports that the change
-// was accepted.
+// command line for the retry with the same change id and base. The retry then reports that the
+// change was accepted.
 func TestLostAnswerPrintsRetryCommand(t *testing.T) {
 	is := is.New(t)
 	s, address := startServer(t,
@@ -210,8 +210,8 @@
 }
 
 // A drain with --wait must not end while the agent is not drained, has an older revision than the
-// drain or still runs work, nor when a poll fails. If work still runs at the timeout, the command must
-// fail with a message that says so.
+// drain or still runs work, nor when a poll fails. If work still runs at the timeout, the command
+// must fail with a message that states this.
 func TestDrainWaitsUntilNothingRuns(t *testing.T) {
 	is := is.New(t)
 	const accepted = `{"verdict":"accepted","change-id":"d1","revision":8}`
--- a/vctl/cmds/drain.go
+++ b/vctl/cmds/drain.go
@@ -14,7 +14,8 @@
 	"verbenaroad.example/share/services/admapi"
 )
 
-// drainPollInterval is half of the default heartbeat interval. Heartbeats report the polled figures.
+// drainPollInterval is half of the default heartbeat interval. Heartbeats report the polled
+// figures.
 const drainPollInterval = 500 * time.Millisecond
 
 func (a *app) newDrain() *ffcli.Command {
@@ -47,9 +48,9 @@
 	})
 }
 
-// waitDrained polls the status until the agent has the revision of the drain and has no work. Before
-// it has that revision, an entry with an older revision may still send it work, so being idle proves
-// nothing. Afterwards the agent refuses such work as not run.
+// waitDrained polls the status until the agent has the revision of the drain and has no work.
+// Before it has that revision, an entry with an older revision may still send it work, so being
+// idle proves nothing. Afterwards the agent refuses such work as not run.
 func (a *app) waitDrained(ctx context.Context, instance string, revision uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, a.timeout)
 	defer cancel()
--- a/vctl/cmds/ingress.go
+++ b/vctl/cmds/ingress.go
@@ -102,8 +102,8 @@
 	return rows
 }
 
-// formatOutcomes lists the number of requests for each outcome other than outcomeAnswered, for example
-// "overloaded=2".
+// formatOutcomes lists the number of requests for each outcome other than outcomeAnswered, for
+// example "overloaded=2".
 func formatOutcomes(outcomes map[string]uint64) string {
 	parts := []string{}
 	for _, outcome := range slices.Sorted(maps.Keys(outcomes)) {
--- a/vctl/cmds/ingress_test.go
+++ b/vctl/cmds/ingress_test.go
@@ -26,8 +26,8 @@
 `
 
 // One of several ingresses is cut off from the store and, with an older configuration, refuses a
-// team's new key. The operator must see its configuration version and store age; an ingress that does
-// not answer must not hide the others.
+// team's new key. The operator must see its configuration version and store age; an ingress that
+// does not answer must not hide the others.
 func TestIngressesAreCompared(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/vctl/cmds/page_test.go
+++ b/vctl/cmds/page_test.go
@@ -15,8 +15,8 @@
 	"verbenaroad.example/vctl/cmds"
 )
 
-// findCommands returns the vctl command lines of a documentation page: indented lines, with or without
-// a prompt.
+// findCommands returns the vctl command lines of a documentation page: indented lines, with or
+// without a prompt.
 func findCommands(t *testing.T, page string) []string {
 	t.Helper()
 	text, err := os.ReadFile(page)
@@ -30,7 +30,8 @@
 	return found
 }
 
-// splitLine splits a command line into arguments. Of the shell's quoting it knows double quotes only.
+// splitLine splits a command line into arguments. Of the shell's quoting it knows double quotes
+// only.
 func splitLine(line string) []string {
 	word := regexp.MustCompile(`"[^"]*"|[^\s"]+`)
 	args := word.FindAllString(line, -1)
