--- a/vload/cmds/meter.go
+++ b/vload/cmds/meter.go
@@ -15,11 +15,11 @@
 
 // meterCommand implements the subcommand meter: it measures the resource use of processes.
 type meterCommand struct {
-	options meter.Options
-	targets string
-	given   string
-	file    string
-	windows int
+	options      meter.Options
+	targets      string
+	extraColumns string
+	file         string
+	windows      int
 }
 
 // newMeterCommand returns the subcommand that measures the resource use of processes over time
@@ -32,7 +32,7 @@
 	flags.TextVar(&m.options.List, "list", netip.AddrPort{}, "ip:port of the control address of the list's stand-in")
 	flags.DurationVar(&m.options.Window, "for", 5*time.Second, "length of a window")
 	flags.IntVar(&m.windows, "windows", 1, "number of windows, one record each")
-	flags.StringVar(&m.given, "row", "", "NAME=NUMBER of the first columns, separated by commas")
+	flags.StringVar(&m.extraColumns, "row", "", "NAME=NUMBER of the first columns, separated by commas")
 	flags.StringVar(&m.file, "out", "", "CSV file that the records are added to")
 	return &ffcli.Command{
 		Name:       "meter",
@@ -74,7 +74,7 @@
 		}
 		m.options.Targets = append(m.options.Targets, meter.Target{PID: number, Metrics: page})
 	}
-	for part := range strings.SplitSeq(m.given, ",") {
+	for part := range strings.SplitSeq(m.extraColumns, ",") {
 		name, text, _ := strings.Cut(part, "=")
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
--- a/vload/cmds/run.go
+++ b/vload/cmds/run.go
@@ -95,14 +95,14 @@
 // offer offers the load and writes the results. An interrupted run writes no results, because its
 // figures do not cover the whole scenario.
 func (r *runCommand) offer(ctx context.Context, s *scene.Scenario) error {
-	book := tally.NewCounter(s)
+	counter := tally.NewCounter(s)
 	reader := gauge.NewReader()
 	before := gauge.StartDelayedRead(ctx, reader, s.Metrics.Addresses, s.LeadingWarmUp())
-	if err := runner.New(s, book, rand.Text()).Run(ctx); err != nil {
+	if err := runner.New(s, counter, rand.Text()).Run(ctx); err != nil {
 		return ErrCommand.Wrap(err)
 	}
 	after := reader.ReadAll(ctx, s.Metrics.Addresses)
-	rows := append(book.Rows(), gauge.Rows(s.Metrics.Keys, before.Pages(), after, book.Offered())...)
+	rows := append(counter.Rows(), gauge.Rows(s.Metrics.Keys, before.Pages(), after, counter.Offered())...)
 	for i := range rows {
 		rows[i].Scenario = s.Name
 		rows[i].Policy = s.Policy
@@ -147,7 +147,7 @@
 	model     string
 }
 
-// newDirectCommand returns the subcommand that offers load to backend servers in place of the
+// newDirectCommand returns the subcommand that offers load to backend servers instead of the
 // target in the scenario file.
 func newDirectCommand(out io.Writer) *ffcli.Command {
 	d := &directCommand{runCommand: runCommand{out: out}}
--- a/vload/cmds/sample.go
+++ b/vload/cmds/sample.go
@@ -26,60 +26,60 @@
 // newSampleCommand returns the subcommand that records the resource use and expvar figures of
 // processes.
 func newSampleCommand(out io.Writer) *ffcli.Command {
-	w := &sampleCommand{out: out}
+	s := &sampleCommand{out: out}
 	flags := newFlags("sample")
-	flags.StringVar(&w.pids, "pids", "", `file with lines "PID" or "NAME PID"`)
-	flags.StringVar(&w.file, "out", "", "CSV file; none: printed")
-	flags.StringVar(&w.addresses, "expvar", "", "ip:port of expvar pages, separated by commas")
-	flags.StringVar(&w.keys, "keys", "", "NAME=PATH of expvar figures, separated by commas")
-	flags.DurationVar(&w.options.Interval, "every", time.Second, "interval")
-	flags.DurationVar(&w.options.Duration, "for", 0, "length of the recording; 0: until interrupted")
+	flags.StringVar(&s.pids, "pids", "", `file with lines "PID" or "NAME PID"`)
+	flags.StringVar(&s.file, "out", "", "CSV file; none: printed")
+	flags.StringVar(&s.addresses, "expvar", "", "ip:port of expvar pages, separated by commas")
+	flags.StringVar(&s.keys, "keys", "", "NAME=PATH of expvar figures, separated by commas")
+	flags.DurationVar(&s.options.Interval, "every", time.Second, "interval")
+	flags.DurationVar(&s.options.Duration, "for", 0, "length of the recording; 0: until interrupted")
 	return &ffcli.Command{
 		Name:       "sample",
 		ShortUsage: "vload sample --pids FILE [--every 1s] [--for 60s] [--out CSV] [--expvar IP:PORT,..] [--keys NAME=PATH,..]",
 		ShortHelp:  "records processor time, memory and expvar figures",
 		FlagSet:    flags,
-		Exec:       w.exec,
+		Exec:       s.exec,
 	}
 }
 
 // exec records until the length of --for has passed or ctx is canceled.
-func (w *sampleCommand) exec(ctx context.Context, _ []string) error {
-	if err := w.parseFlags(); err != nil {
+func (s *sampleCommand) exec(ctx context.Context, _ []string) error {
+	if err := s.parseFlags(); err != nil {
 		return err
 	}
-	out := w.out
-	if w.file != "" {
-		file, err := os.Create(w.file)
+	out := s.out
+	if s.file != "" {
+		file, err := os.Create(s.file)
 		if err != nil {
 			return ErrCommand.Wrap(err)
 		}
 		defer file.Close() //nolint:errcheck // the sampler reports failed writes
 		out = file
 	}
-	return sample.NewSampler(w.options, out).Record(ctx)
+	return sample.NewSampler(s.options, out).Record(ctx)
 }
 
 // parseFlags checks the flags and sets the options from them.
-func (w *sampleCommand) parseFlags() error {
-	if w.options.Interval <= 0 {
+func (s *sampleCommand) parseFlags() error {
+	if s.options.Interval <= 0 {
 		return ErrCommand.New("--every must be over 0")
 	}
-	if w.pids != "" {
-		file, err := os.Open(w.pids)
+	if s.pids != "" {
+		file, err := os.Open(s.pids)
 		if err != nil {
 			return ErrCommand.Wrap(err)
 		}
 		defer file.Close() //nolint:errcheck // the file was only read
-		if w.options.Processes, err = sample.ReadProcesses(file); err != nil {
+		if s.options.Processes, err = sample.ReadProcesses(file); err != nil {
 			return err
 		}
 	}
 	var err error
-	if w.options.Addresses, err = parseAddresses(w.addresses); err != nil {
+	if s.options.Addresses, err = parseAddresses(s.addresses); err != nil {
 		return err
 	}
-	w.options.Keys, err = parseKeys(w.keys)
+	s.options.Keys, err = parseKeys(s.keys)
 	return err
 }
 
