--- a/vload/models/report/row.go
+++ b/vload/models/report/row.go
@@ -60,7 +60,7 @@
 	Unit   string `json:"unit"`
 }
 
-// NotAvailable returns the figure that stands for a missing measurement.
+// NotAvailable returns the figure that represents a missing measurement.
 func NotAvailable() Figure {
 	return Figure(math.NaN())
 }
