--- a/vload/services/runner/prompt.go
+++ b/vload/services/runner/prompt.go
@@ -39,7 +39,8 @@
 	return c
 }
 
-// cut returns count consecutive words, or the whole corpus if that is shorter, from a random start.
+// cut returns count consecutive words of the corpus from a random start, or all words if it has
+// fewer.
 func (c *corpus) cut(random *rand.Rand, count int) string {
 	count = min(count, corpusWords)
 	from := random.IntN(corpusWords - count + 1)
--- a/vload/services/runner/runner.go
+++ b/vload/services/runner/runner.go
@@ -112,7 +112,8 @@
 	return all
 }
 
-// Run sends the whole load and returns when every answer has ended or ctx is canceled.
+// Run sends the load of all phases and returns when every answer has ended. If ctx is canceled, it
+// stops sending, and the requests in flight are canceled.
 func (r *Runner) Run(ctx context.Context) error {
 	defer r.shared.CloseIdleConnections()
 	var err error
