--- a/vload/services/tally/cell.go
+++ b/vload/services/tally/cell.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// add counts one sample; duplicate and differs say whether its request id was seen before and
-// whether its text differs from an earlier answer to the same prompt.
+// add counts one sample. duplicate is set if its request id occurred before, differs if its text
+// differs from that of an earlier answer to the same prompt.
 func (c *cell) add(s *Sample, duplicate, differs bool) {
 	c.offered++
 	c.endings[s.Ending]++
