--- a/proofs/hosted/change_test.go
+++ b/proofs/hosted/change_test.go
@@ -118,8 +118,8 @@
 		}
 	}
 	d.Store.Remove("servers/" + d.plainServers[0].ID)
-	for _, seen := range d.plainServers[0].Runs() {
-		is.True(seen.StartedAt.Sub(drainingSince) < time.Second)
+	for _, run := range d.plainServers[0].Runs() {
+		is.True(run.StartedAt.Sub(drainingSince) < time.Second)
 	}
 }
 
--- a/proofs/hosted/faults_test.go
+++ b/proofs/hosted/faults_test.go
@@ -14,8 +14,8 @@
 )
 
 // A non-idempotent order reaches a server that has one of the faults of the stand-in. Whatever the
-// fault, the order must run at most once, and the answer may carry Retry-After only if the order did
-// not run and never will.
+// fault, the order must run at most once, and the answer may carry Retry-After only if the order
+// did not run and never will.
 func TestOrderRunsAtMostOnce(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, c := range []struct {
@@ -68,8 +68,9 @@
 }
 
 // A server has crashed and its entry is still in the store. An order cannot be sent to it, so it
-// must go to another server. When all servers have crashed, callers must learn within a second that
-// their order did not run. A restarted server must be used again.
+// must go to another server. When all servers have crashed, callers must receive status 503
+// within a second, which states that their order did not run. A restarted server must be used
+// again.
 func TestCrashedServers(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
@@ -113,7 +114,7 @@
 }
 
 // A read goes to the only server that takes new work. The server runs it and cuts the connection,
-// and no server is left for a retry. The caller must not be told that the request did not run.
+// and no server is left for a retry. The answer must not state that the request did not run.
 func TestNoRefusalAfterARun(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, 1)
--- a/proofs/hosted/places_test.go
+++ b/proofs/hosted/places_test.go
@@ -33,8 +33,8 @@
 		}
 	}
 	for _, s := range []*hosted.Server{d.plainServers[0], d.engines[0], d.poolServers[0]} {
-		for _, seen := range s.Runs() {
-			is.True(seen.StartedAt.Before(knownSince))
+		for _, run := range s.Runs() {
+			is.True(run.StartedAt.Before(knownSince))
 		}
 	}
 	d.Store.Remove(evacuateA1)
@@ -95,8 +95,8 @@
 	}
 	d.sendOrders(40)
 	times := []time.Time{}
-	for _, seen := range d.plainServers[0].Runs() {
-		times = append(times, seen.StartedAt)
+	for _, run := range d.plainServers[0].Runs() {
+		times = append(times, run.StartedAt)
 	}
 	for n := range times {
 		is.True(n < rate || times[n].Sub(times[n-rate]) > time.Second)
--- a/proofs/hosted/soak_check_test.go
+++ b/proofs/hosted/soak_check_test.go
@@ -157,8 +157,8 @@
 		}
 		s.checkCall(c)
 	}
-	for _, note := range s.Violations() {
-		s.t.Error(note)
+	for _, violation := range s.Violations() {
+		s.t.Error(violation)
 	}
 	if served*4 < len(calls) {
 		s.t.Errorf("only %d of %d requests were served", served, len(calls))
--- a/proofs/hosted/soak_test.go
+++ b/proofs/hosted/soak_test.go
@@ -25,7 +25,7 @@
 func failedSeeds() []uint64 {
 	return []uint64{
 		102, // a fault of the test itself: a server was crashed twice at once and then started twice
-		715, // a batcher that was stopping dropped a job, and the caller was answered as if it had canceled
+		715, // a stopping batcher dropped a job, and the caller was answered as if it had canceled
 	}
 }
 
