--- a/proofs/harns/answers_test.go
+++ b/proofs/harns/answers_test.go
@@ -15,9 +15,9 @@
 // answerTokens is the number of tokens that most drafts request.
 const answerTokens = 40
 
-// checkTextOrPrefix fails the test unless the reply is the complete answer to the prompt, or is refused
-// or reported as incomplete and contains no more than a prefix of that answer. A reply with text must
-// not state that the request did not run.
+// checkTextOrPrefix fails the test unless the reply is the complete answer to the prompt, or is
+// refused or reported as incomplete and contains no more than a prefix of that answer. A reply with
+// text must not state that the request did not run.
 func checkTextOrPrefix(t *testing.T, prompt string, r reply) {
 	t.Helper()
 	if r.ok() && r.hasEnd {
@@ -68,8 +68,8 @@
 }
 
 // Guards against an incomplete or foreign answer when the session between an agent and an entry is
-// cut after some bytes. The request may be refused, but an answer to it is the complete answer to its
-// own prompt, and a stream that was cut is reported as incomplete.
+// cut after some bytes. The request may be refused, but an answer to it is the complete answer to
+// its own prompt, and a stream that was cut is reported as incomplete.
 func TestStreamCutBetweenAgentAndEntry(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -91,9 +91,10 @@
 	checkText(t, "after", answerTokens, d.send(0, draftRequest("after", answerTokens, true)))
 }
 
-// Guards against lost or doubled requests when the open sessions between entries and agents carry
-// nothing any more but new ones work, as after a middlebox lost its connection state. Requests in
-// flight and those sent next are answered or refused truthfully, orders run once, and service recovers.
+// Guards against lost or doubled requests when the open sessions between entries and agents no
+// longer carry data but new ones work, as after a middlebox lost its connection state. Requests in
+// flight and those sent next are answered or refused truthfully, orders run once, and service
+// recovers.
 func TestSilentSessions(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -137,9 +138,9 @@
 	}
 }
 
-// Guards against answers that reach the wrong request. Many requests share sessions that are delayed,
-// held back and dropped, so that answers arrive late, out of order, and for abandoned attempts. Every
-// complete answer must be the one to its own prompt.
+// Guards against answers that reach the wrong request. Many requests share sessions that are
+// delayed, held back and dropped, so that answers arrive late, out of order, and for abandoned
+// attempts. Every complete answer must be the one to its own prompt.
 func TestLateAnswersOnSharedSessions(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -173,8 +174,8 @@
 	t.Logf("complete answers: %d of 96", complete)
 }
 
-// Guards against an incomplete stream that passes for complete when the entry is killed during it: the
-// stream must lack its end record. The same request then succeeds at the other entry.
+// Guards against an incomplete stream that passes for complete when the entry is killed during it:
+// the stream must lack its end record. The same request then succeeds at the other entry.
 func TestEntryKilledDuringStream(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/proofs/harns/bench_test.go
+++ b/proofs/harns/bench_test.go
@@ -91,8 +91,8 @@
 	pending
 }
 
-// run sends the request. Like a load balancer, it sends the request to the fallback entry if the port
-// is closed or the reply is draining.
+// run sends the request. Like a load balancer, it sends the request to the fallback entry if the
+// port is closed or the reply is draining.
 func (s *loadRequest) run() {
 	defer close(s.done)
 	s.reply = send(s.address, s.request)
@@ -312,7 +312,8 @@
 	writeTable(t, table.String())
 }
 
-// rates holds the calls per second that the store receives in one state of the system, by kind of call.
+// rates holds the calls per second that the store receives in one state of the system, by kind of
+// call.
 type rates struct {
 	state     string
 	perSecond map[string]float64
--- a/proofs/harns/client_test.go
+++ b/proofs/harns/client_test.go
@@ -40,7 +40,7 @@
 }
 
 // ok reports whether the reply has status 200 and no error. A stream that lacks its end record also
-// counts; hasEnd tells the two apart.
+// counts; hasEnd distinguishes the two.
 func (r reply) ok() bool {
 	return r.err == nil && r.status == http.StatusOK && r.failure.Code == codes.OK
 }
@@ -163,8 +163,8 @@
 	}
 }
 
-// orderRequest returns a non-idempotent request to the service "orders". The body is derived from the
-// idempotency key.
+// orderRequest returns a non-idempotent request to the service "orders". The body is derived from
+// the idempotency key.
 func orderRequest(key string) clientRequest {
 	return clientRequest{method: http.MethodPost, path: "/v1/services/orders/orders", key: key, body: orderBody(key), deadline: "15s"}
 }
@@ -248,7 +248,8 @@
 // sameBody reports whether two replies have the same body.
 func sameBody(a, b reply) bool { return bytes.Equal(a.body, b.body) }
 
-// notesRequest returns a request to the pipeline "notes", which has two stages: encode and generate.
+// notesRequest returns a request to the pipeline "notes", which has two stages: encode and
+// generate.
 func notesRequest(prompt string, tokens int) clientRequest {
 	q := draftRequest(prompt, tokens, false)
 	q.path = "/v1/pipelines/notes"
--- a/proofs/harns/config_test.go
+++ b/proofs/harns/config_test.go
@@ -33,8 +33,8 @@
 	return processes
 }
 
-// revision returns the latest revision in the history that an entry reports, and how many entries of
-// the history have this change id.
+// revision returns the latest revision in the history that an entry reports, and how many entries
+// of the history have this change id.
 func (d *deployment) revision(entry int, change string) (revision uint64, times int) {
 	d.t.Helper()
 	history := admapi.History{}
@@ -85,8 +85,9 @@
 	revision uint64
 }
 
-// newHeadModel returns a model of the head as a register. An apply whose base is the head increments
-// it; one with another base is a conflict and leaves it as it is. A head of 0 is not known yet.
+// newHeadModel returns a model of the head as a register. An apply whose base is the head
+// increments it; one with another base is a conflict and leaves it as it is. State 0 means that the
+// head is not known yet; a read of any revision is valid then.
 func newHeadModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return uint64(0) },
@@ -157,9 +158,10 @@
 	})
 }
 
-// Guards against lost or doubled changes when operators change the configuration concurrently through
-// two entries. Each change is accepted once on top of its base or refused as a conflict. The results
-// are linearizable, no process goes back to a lower revision, and all reach the last one.
+// Guards against lost or doubled changes when operators change the configuration concurrently
+// through two entries. Each change is accepted once on top of its base or refused as a conflict.
+// The results are linearizable, no process goes back to a lower revision, and all reach the last
+// one.
 func TestConcurrentOperators(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -250,8 +252,9 @@
 }
 
 // Guards against a change that is lost, applied twice or misreported because the store applies a
-// write and loses its answer, or holds the write until vctl has timed out. vctl must report the true
-// outcome or unknown. The same change id sent again is accepted, and the change is in force once.
+// write and loses its answer, or holds the write until vctl has timed out. vctl must report the
+// true outcome or unknown. The same change id sent again is accepted, and the change is in force
+// once.
 func TestLostAnswerOfHeadWrite(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -291,8 +294,9 @@
 }
 
 // Guards against a store outage that blocks requests or hides an accepted change. The store is down
-// before a change, slow during it and down right after it. vctl reports that nothing changed or that
-// the outcome is unknown; the accepted change reaches every process, from peers where necessary.
+// before a change, slow during it and down right after it. vctl reports that nothing changed or
+// that the outcome is unknown; the accepted change reaches every process, from peers where
+// necessary.
 func TestStoreOutageAroundChange(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -319,8 +323,8 @@
 	is.Equal(times, 1)
 }
 
-// Guards against processes that miss a change because their open connections to the store, including
-// the watches, carry nothing any more while new connections work.
+// Guards against processes that miss a change because their open connections to the store,
+// including the watches, no longer carry data while new connections work.
 func TestSilentStoreConnections(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -359,9 +363,10 @@
 	is.Equal(len(d.servers["llm-2"].runs()), before)
 }
 
-// Guards against decisions under an outdated configuration after a freeze. An entry, or an entry and
-// an agent, is frozen while an operator forbids a backend server. A resumed process has to confirm its
-// configuration first, so no request that waited at the entry reaches the forbidden server.
+// Guards against decisions under an outdated configuration after a freeze. An entry, or an entry
+// and an agent, is frozen while an operator forbids a backend server. A resumed process has to
+// confirm its configuration first, so no request that waited at the entry reaches the forbidden
+// server.
 func TestProcessFrozenDuringChange(t *testing.T) {
 	t.Parallel()
 	for name, alsoAgent := range map[string]bool{"entry": false, "entry and agent": true} {
@@ -412,8 +417,8 @@
 }
 
 // Guards against a configuration that is too large for one value of the store. An operator applies
-// 19,000 teams and then changes one of them. Both changes reach every process, and every entry still
-// serves.
+// 19,000 teams and then changes one of them. Both changes reach every process, and every entry
+// still serves.
 func TestNineteenThousandTeams(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -439,9 +444,9 @@
 	}
 }
 
-// Guards against requests that fail because the configuration changes under load. An agent refuses an
-// order that was decided under an older revision; the entry must submit it again instead of failing
-// it, so that every request is answered and each order runs once.
+// Guards against requests that fail because the configuration changes under load. An agent refuses
+// an order that was decided under an older revision; the entry must submit it again instead of
+// failing it, so that every request is answered and each order runs once.
 func TestRequestsDuringChanges(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/proofs/harns/deploy_test.go
+++ b/proofs/harns/deploy_test.go
@@ -24,8 +24,8 @@
 	teamToken         = "proof-team"
 	heartbeatInterval = "300ms"
 	region            = "osrednja"
-	// minSubset is a number of agents of a service to which an entry always keeps sessions, unless the
-	// service has fewer.
+	// minSubset is a lower bound of the number of a service's agents to which an entry keeps sessions.
+	// If the service has fewer agents, the entry keeps sessions to all of them.
 	minSubset = 8
 )
 
@@ -159,8 +159,8 @@
 	return backend{name: name, kind: "service", service: "orders", slots: 8, fakeFlags: []string{"--service-time", "20ms"}}
 }
 
-// slowOrderServer returns an order server with a service time that is long enough for a fault to occur
-// while an order runs.
+// slowOrderServer returns an order server with a service time that is long enough for a fault to
+// occur while an order runs.
 func slowOrderServer(name, serviceTime string) backend {
 	b := orderServer(name)
 	b.fakeFlags = []string{"--service-time", serviceTime}
@@ -177,8 +177,8 @@
 	return backend{name: name, kind: "pool", service: "encoder", slots: 16, fakeFlags: []string{"--service-time", "5ms"}}
 }
 
-// deploy starts the processes of the plan and applies the initial configuration. It returns once every
-// process is ready and every entry has its sessions.
+// deploy starts the processes of the plan and applies the initial configuration. It returns once
+// every process is ready and every entry has its sessions.
 func deploy(t *testing.T, p plan) *deployment {
 	t.Helper()
 	d := &deployment{
@@ -354,8 +354,8 @@
 	return path
 }
 
-// waitReady waits until every process is ready and every entry has its sessions. It returns at once if
-// the plan applies no configuration, because no process becomes ready then.
+// waitReady waits until every process is ready and every entry has its sessions. It returns at once
+// if the plan applies no configuration, because no process becomes ready then.
 func (d *deployment) waitReady() {
 	d.t.Helper()
 	if d.plan.configText == "none" {
--- a/proofs/harns/dispatch_test.go
+++ b/proofs/harns/dispatch_test.go
@@ -101,9 +101,9 @@
 	is.Equal(d.countRuns("copied"), 1)
 }
 
-// Guards against an order that runs after its entry abandoned it. The agent confirms that the attempt
-// is tombstoned, and then the dispatch arrives late; it is refused as not run. The same holds for a
-// dispatch that names an earlier incarnation of the agent.
+// Guards against an order that runs after its entry abandoned it. The agent confirms that the
+// attempt is tombstoned, and then the dispatch arrives late; it is refused as not run. The same
+// holds for a dispatch that names an earlier incarnation of the agent.
 func TestLateDispatch(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/proofs/harns/drain_test.go
+++ b/proofs/harns/drain_test.go
@@ -95,7 +95,8 @@
 	return callers
 }
 
-// waitAnswers waits for each caller in turn until it has received the given number of further replies.
+// waitAnswers waits for each caller in turn until it has received the given number of further
+// replies.
 func waitAnswers(t *testing.T, callers []*caller, more int) {
 	t.Helper()
 	for _, c := range callers {
@@ -104,8 +105,8 @@
 	}
 }
 
-// finishAndCheck stops the callers and fails the test unless every request has its own complete answer
-// or another reply that isAllowed accepts. It returns the number of each.
+// finishAndCheck stops the callers and fails the test unless every request has its own complete
+// answer or another reply that isAllowed accepts. It returns the number of each.
 func finishAndCheck(t *testing.T, callers []*caller, isAllowed func(r reply) bool) (complete, other int) {
 	t.Helper()
 	for _, c := range callers {
@@ -138,8 +139,8 @@
 }
 
 // Guards against requests that are cut when an entry is stopped under load. Streams and orders in
-// flight complete; later requests are refused as not run or find the port closed; the entry logs that
-// it cut nothing, and each order runs once.
+// flight complete; later requests are refused as not run or find the port closed; the entry logs
+// that it cut nothing, and each order runs once.
 func TestEntryStoppedUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -167,9 +168,9 @@
 	}
 }
 
-// Guards against requests that fail when an agent is stopped under load while another agent serves the
-// same service. Every caller gets complete answers, each order runs once, and the agent logs that it
-// cut nothing.
+// Guards against requests that fail when an agent is stopped under load while another agent serves
+// the same service. Every caller gets complete answers, each order runs once, and the agent logs
+// that it cut nothing.
 func TestAgentStoppedUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -189,9 +190,10 @@
 	}
 }
 
-// Guards against a lost answer when an entry and agents receive SIGTERM twice while the store is down.
-// The stream and the order in flight complete, although the order's answer cannot be written yet. The
-// agents write it before they exit, once the store recovers, so that a retry does not run the order.
+// Guards against a lost answer when an entry and agents receive SIGTERM twice while the store is
+// down. The stream and the order in flight complete, although the order's answer cannot be written
+// yet. The agents write it before they exit, once the store recovers, so that a retry does not run
+// the order.
 func TestRepeatedStopsDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -230,9 +232,9 @@
 	is.Equal(d.countRuns("last"), 1)
 }
 
-// Guards against a false outcome when the grace period of a stop is too short for the stream and the
-// order in flight. The processes still stop, and their logs name the cut requests. The stream is
-// visibly incomplete, and the order is not reported as not run.
+// Guards against a false outcome when the grace period of a stop is too short for the stream and
+// the order in flight. The processes still stop, and their logs name the cut requests. The stream
+// is visibly incomplete, and the order is not reported as not run.
 func TestGracePeriodTooShort(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -260,8 +262,8 @@
 }
 
 // Guards against new work at a backend server that is leaving. The leave is announced by the list
-// only, by the agent only while the list lags or is down, by the list while the store is down, or by
-// both with a delay. Four seconds later the server gets no new work in any of these cases.
+// only, by the agent only while the list lags or is down, by the list while the store is down, or
+// by both with a delay. Four seconds later the server gets no new work in any of these cases.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	sources := map[string]func(d *deployment){
--- a/proofs/harns/orders_test.go
+++ b/proofs/harns/orders_test.go
@@ -11,9 +11,9 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Guards against an order that runs twice because a load balancer sends the caller's retry to another
-// entry. The same order is sent to two entries at once and retried at both. It runs once, every
-// answer is the same, and another body under the same key is refused.
+// Guards against an order that runs twice because a load balancer sends the caller's retry to
+// another entry. The same order is sent to two entries at once and retried at both. It runs once,
+// every answer is the same, and another body under the same key is refused.
 func TestSameOrderAtTwoEntries(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -46,8 +46,8 @@
 }
 
 // Guards against an order that runs twice or is refused because the store applies the writes of its
-// claim and loses the answers to them. The caller gets the answer of a single run, and a retry at the
-// other entry returns the same answer.
+// claim and loses the answers to them. The caller gets the answer of a single run, and a retry at
+// the other entry returns the same answer.
 func TestLostAnswersOfClaimWrites(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -65,8 +65,8 @@
 }
 
 // Guards against replies that contradict the ledger while the store loses half of its answers. An
-// answered order has run once, one refused as not run has not run, and none runs twice. Once the store
-// works again, a retry of each order returns its answer.
+// answered order has run once, one refused as not run has not run, and none runs twice. Once the
+// store works again, a retry of each order returns its answer.
 func TestStoreAnswersLostAtRandom(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -101,8 +101,8 @@
 }
 
 // Guards against orders that run without a claim while the store is down, slow, frozen or answers
-// with status 500. At-most-once execution cannot be guaranteed then, so orders are refused as not run
-// with Retry-After. After the fault, a retry at the other entry runs the order once.
+// with status 500. At-most-once execution cannot be guaranteed then, so orders are refused as not
+// run with Retry-After. After the fault, a retry at the other entry runs the order once.
 func TestOrdersDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -133,9 +133,9 @@
 	is.Equal(d.countRuns("before"), 1)
 }
 
-// Guards against a lost answer when the store goes down while an order runs. The caller still gets the
-// answer. The agent writes it once the store recovers, and a retry at the other entry returns the same
-// answer.
+// Guards against a lost answer when the store goes down while an order runs. The caller still gets
+// the answer. The agent writes it once the store recovers, and a retry at the other entry returns
+// the same answer.
 func TestStoreOutageDuringRun(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -152,9 +152,9 @@
 	is.Equal(d.countRuns("during"), 1)
 }
 
-// Guards against an order that runs again after its agent is killed. One order runs and one is queued;
-// both are reported as outcome unknown. The agent's record of its attempts is lost, so the outcome
-// stays unknown permanently, and retries after the restart run neither of the orders.
+// Guards against an order that runs again after its agent is killed. One order runs and one is
+// queued; both are reported as outcome unknown. The agent's record of its attempts is lost, so the
+// outcome stays unknown permanently, and retries after the restart run neither of the orders.
 func TestAgentKilledWithOrders(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -194,9 +194,9 @@
 	is.Equal(d.countRuns("orphan"), 1)
 }
 
-// Guards against an order that runs twice because its entry is killed while the write of its claim is
-// in flight, and the write takes effect later. Retries at the other entry, before and after that, run
-// the order once.
+// Guards against an order that runs twice because its entry is killed while the write of its claim
+// is in flight, and the write takes effect later. Retries at the other entry, before and after
+// that, run the order once.
 func TestEntryKilledDuringClaim(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -220,9 +220,9 @@
 	is.Equal(d.countRuns("claimed"), 1)
 }
 
-// Guards against a false outcome or a second run when an agent freezes with one order running and one
-// queued. Both callers receive outcome unknown. After the agent resumes, retries return the answers,
-// and each order has run once.
+// Guards against a false outcome or a second run when an agent freezes with one order running and
+// one queued. Both callers receive outcome unknown. After the agent resumes, retries return the
+// answers, and each order has run once.
 func TestAgentFrozenWithOrderQueued(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -246,9 +246,9 @@
 	is.Equal(d.countRuns("late"), 1)
 }
 
-// Guards against an order that runs although it was reported as not run. It is sent to a frozen agent,
-// waits in a socket buffer, and is read after its deadline. If it was reported as not run, it must not
-// run then; a retry leads to a single run.
+// Guards against an order that runs although it was reported as not run. It is sent to a frozen
+// agent, waits in a socket buffer, and is read after its deadline. If it was reported as not run,
+// it must not run then; a retry leads to a single run.
 func TestOrderBufferedAtFrozenAgent(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -269,8 +269,8 @@
 }
 
 // Guards against a lost answer when the caller disconnects while its order runs. The run continues,
-// and a retry at the other entry returns its answer, also after restarts of the agent and of the first
-// entry.
+// and a retry at the other entry returns its answer, also after restarts of the agent and of the
+// first entry.
 func TestStoredAnswerReturnedOnRetry(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -293,8 +293,8 @@
 }
 
 // Guards against an order that runs again because the backend server's connection closes before the
-// answer is complete. The order is not reported as not run, and neither the HTTP client nor a retry at
-// either entry runs it again.
+// answer is complete. The order is not reported as not run, and neither the HTTP client nor a retry
+// at either entry runs it again.
 func TestBackendClosesWithoutAnswer(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/proofs/harns/process_test.go
+++ b/proofs/harns/process_test.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// getJSON reads a page of a process and, if into is not nil, decodes it. It reports whether the answer
-// had status 200 and was decoded.
+// getJSON reads a page of a process and, if into is not nil, decodes it. It reports whether the
+// answer had status 200 and was decoded.
 func getJSON(url string, into any) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/proofs/harns/refusal_test.go
+++ b/proofs/harns/refusal_test.go
@@ -12,9 +12,10 @@
 	"verbenaroad.example/share/modules/codes"
 )
 
-// Guards against orders that run, at once or later, although they were reported as not run, and against
-// second runs. Short deadlines and callers that disconnect make queued orders expire, cancellations
-// race with starts and claims come too late, while the store is slow or loses answers.
+// Guards against orders that run, at once or later, although they were reported as not run, and
+// against second runs. Short deadlines and callers that disconnect make queued orders expire,
+// cancellations race with starts and claims come too late, while the store is slow or loses
+// answers.
 func TestNotRunRepliesMatchLedger(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/proofs/harns/settle_test.go
+++ b/proofs/harns/settle_test.go
@@ -27,8 +27,8 @@
 	waitFor(d.t, "runs of key "+key, func() bool { return d.countRuns(key) >= count })
 }
 
-// restartAgent kills the agent of a backend server, starts a new one, registers its address and waits
-// until it is ready and has a session with every entry.
+// restartAgent kills the agent of a backend server, starts a new one, registers its address and
+// waits until it is ready and has a session with every entry.
 func (d *deployment) restartAgent(name string) {
 	d.t.Helper()
 	b := d.findBackend(name)
