--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every daily task of the project; `make help` lists them.
+# Development tasks of the project; `make help` lists them.
 
 SHELL := /bin/bash
 GOLANGCI_VERSION := v2.15.0
