--- a/mk/product.mk
+++ b/mk/product.mk
@@ -1,4 +1,4 @@
-# Daily use of the product: a deployment that stays up, the generated pages.
+# Targets that run a persistent local deployment, and that generate and check documentation pages.
 
 demo up: $(or $(shell command -v curl),install-curl)
 
@@ -14,7 +14,8 @@
 docs: ## makes the generated pages anew
 	go test ./share/modules/codes -run TestPage -update
 
-# Pages lie outside the modules, so that the cache of test results does not see them change.
+# -count=1: the pages lie outside the Go modules, so the cache of test results does not notice when
+# they change.
 .PHONY: check-pages
 check-pages: ## checks pages and example files against the code
 	go test -count=1 -run 'Page|Example|Deploy' ./share/models/config ./share/modules/codes ./vctl/cmds ./entry/cmds ./agent/cmds
