--- a/scripts/bench/faults.sh
+++ b/scripts/bench/faults.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures, with the real programs and the stand-ins on loopback, what each
-# fault costs callers, and how the calls of the key-value service grow with the
-# fleet. Usage: scripts/bench/faults.sh [TABLE] [TestBenchFaults|TestBenchRates]
+# Measures, with the real programs and the stand-ins on loopback, how each fault affects callers,
+# and how the number of calls to the key-value service grows with the size of the fleet.
+# Usage: scripts/bench/faults.sh [TABLE] [TestBenchFaults|TestBenchRates]
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 TABLE=${1:-$(mktemp)}
--- a/scripts/bench/growth.sh
+++ b/scripts/bench/growth.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Runs two ingresses between stand-ins under a steady load and prints the memory of each
-# every 30 seconds: whether it grows. LENGTH: seconds (600).
+# Detects memory growth: runs two ingresses between stand-ins under a steady load and prints the
+# resident memory of each every 30 seconds. LENGTH is the duration in seconds (default 600).
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 LENGTH=${LENGTH:-600}
-SAMPLE=30 # seconds between two readings
-CALLERS=6 # loops of one order and one review after the other at each ingress
+SAMPLE=30 # seconds between two samples
+CALLERS=6 # concurrent callers per ingress; each sends an order and a review in turn
 RUN=$(mktemp -d)
 PIDS=()
 cleanup() {
@@ -18,9 +18,9 @@
 PIDS+=($!)
 until grep -q store= "$RUN/platform.log"; do sleep 0.1; done
 STORE=$(sed -n 's/^store=//p' "$RUN/platform.log")
-BASE=$((21000 + RANDOM % 9000))
+BASE_PORT=$((21000 + RANDOM % 9000))
 for n in 0 1; do
-  port=$((BASE + 10 * n))
+  port=$((BASE_PORT + 10 * n))
   cat >"$RUN/ingress-$n.toml" <<TOML
 [place]
 name = "ingress-$n"
@@ -41,12 +41,12 @@
   PIDS+=($!)
 done
 for n in 0 1; do
-  until curl -sf "http://127.0.0.1:$((BASE + 10 * n + 1))/readyz" >/dev/null; do sleep 0.1; done
+  until curl -sf "http://127.0.0.1:$((BASE_PORT + 10 * n + 1))/readyz" >/dev/null; do sleep 0.1; done
 done
 
-# load sends requests to one ingress until the time is up.
-load() { # ingress, caller
-  local port=$((BASE + 10 * $1)) count=0
+# load sends requests to one ingress until LENGTH seconds have passed.
+load() { # number of the ingress, number of the caller
+  local port=$((BASE_PORT + 10 * $1)) count=0
   while [ $SECONDS -lt "$LENGTH" ]; do
     count=$((count + 1))
     for path in /order/1 /review/1; do
@@ -65,7 +65,7 @@
 
 echo "seconds resident-kb-0 resident-kb-1 answered-0"
 while [ $SECONDS -lt "$LENGTH" ]; do
-  figures=$(curl -s "http://127.0.0.1:$((BASE + 3))/metrics")
+  figures=$(curl -s "http://127.0.0.1:$((BASE_PORT + 3))/metrics")
   answered=$(awk '/^verbenaroad_request_seconds_count.*answered/ {n += $2} END {print n + 0}' <<<"$figures")
   echo "$SECONDS $(awk '/VmRSS/ {print $2}' "/proc/${PIDS[1]}/status") $(awk '/VmRSS/ {print $2}' "/proc/${PIDS[2]}/status") $answered"
   sleep $SAMPLE
--- a/scripts/bench/path.sh
+++ b/scripts/bench/path.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures what entry and agent add to a call: the same load straight at a
-# backend server and through both, in one run. Results go to out/path.
+# Measures the overhead that entry and agent add to a call: one run sends the same load directly to
+# a backend server and through both. Results go to out/path.
 #
 #   scripts/bench/path.sh [echo|tokens|all] [DURATION]
 set -euo pipefail
@@ -39,13 +39,15 @@
 wait_ready entry-1
 sleep 2
 
-# cpu NAME prints the processor seconds that a process has used.
+# cpu NAME prints the CPU seconds that a process has used.
 cpu() {
   awk -v hz="$(getconf CLK_TCK)" '{print ($14 + $15) / hz}' "/proc/${PID_OF[$1]}/stat"
 }
+# rss NAME prints the resident memory of a process in MiB.
 rss() { awk '/VmRSS/ {print $2 / 1024}' "/proc/${PID_OF[$1]}/status"; }
 
-# load TEMPLATE NAME POLICY KIND ADDRESS RATE MODE WORKERS TOKENS runs one load and adds a line to the table.
+# load TEMPLATE NAME POLICY KIND ADDRESS RATE MODE WORKERS TOKENS runs one load and appends a row
+# to the table.
 load() {
   local file=$RUN/$2-$3.toml before after
   sed -e "s|@NAME@|$2|; s|@POLICY@|$3|; s|@KIND@|$4|; s|@ADDRESS@|$5|; s|@RATE@|$6|; s|@MODE@|$7|; s|@WORKERS@|$8|; s|@TOKENS@|$9|; s|@DURATION@|$DURATION|" \
@@ -54,11 +56,12 @@
   mkdir -p "$OUT/$2/$3"
   bin/vload run --scenario "$file" --out "$OUT/$2/$3" >"$OUT/$2/$3/table.txt"
   after="$(cpu entry-1) $(cpu echo-1) $(cpu llm-1)"
-  line "$2" "$3" "$before" "$after" "$OUT/$2/$3/table.txt"
+  append_row "$2" "$3" "$before" "$after" "$OUT/$2/$3/table.txt"
 }
 
-# line prints the figures of one load; processor seconds are over the warm-up too.
-line() {
+# append_row prints the figures of one load and appends them to the table; the CPU seconds include the
+# warm-up.
+append_row() {
   awk -v name="$1" -v policy="$2" -v before="$3" -v after="$4" -v entry="$(rss entry-1)" -v agent="$(rss llm-1)" '
     $1 == "all" { value[$2] = $3 }
     END {
--- a/scripts/bench/policy.sh
+++ b/scripts/bench/policy.sh
@@ -1,15 +1,14 @@
 #!/usr/bin/env bash
-# Offers each scenario to every policy in turns: the real programs and the
-# stand-ins at the sizes of a deployment, three regions, three entries for each
-# policy. The baselines' agents queue first in, first out, and their entries
-# admit everything; both kinds of agents stand before the same backend servers.
-# Results go to OUT/SCENARIO/POLICY/RUN.
+# Runs each scenario against every policy in turn, with the real programs and stand-ins at the
+# sizes of a deployment: three regions, and three entries for each policy. The agents of the
+# baselines queue first in, first out, and their entries admit every request; the agents of both
+# queue modes share the same backend servers. Results go to OUT/SCENARIO/POLICY/RUN.
 #
 #   scripts/bench/policy.sh RUNS SCENARIO...
 #
-# Environment: OUT (out/policy), DURATION (5s), RATE (58 requests a second),
-# OVERLOAD (106, 1.3 times what the engines can do),
-# POLICIES, FIRST (number of the first run; runs are seeds).
+# Environment (defaults in brackets): OUT (out/policy), DURATION (5s), RATE (58 requests per
+# second), OVERLOAD (106 requests per second, 1.3 times the capacity of the engines), POLICIES,
+# FIRST (1: the number of the first run; a run's number is its seed, see load for the exception).
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 RUNS=${1:?number of runs}
@@ -57,7 +56,7 @@
   esac
 }
 
-# start_agents MODE starts an agent of that queue mode before each backend server.
+# start_agents MODE starts, for each backend server, an agent with that queue mode.
 start_agents() {
   local name kind service region slots
   LIST=$(cat "$RUN/list-$1-${REGIONS[0]}.addr")
@@ -68,8 +67,10 @@
   done < <(backends)
 }
 
-# connect MODE lists the agents in every region: its own directly, the others' by the region's relay.
-connect() {
+# register_agents MODE registers the agents of that queue mode in the list of every region: the
+# region's own agents with their own addresses, those of other regions with addresses of the
+# region's relay.
+register_agents() {
   local name kind service region slots here pid pids=()
   for here in "${REGIONS[@]}"; do
     while read -r name kind service region slots; do
@@ -93,11 +94,12 @@
   done
 }
 
-# mode_of POLICY prints the queue mode of its agents; variants of the policy are named deadline-...
+# mode_of POLICY prints the queue mode of the policy's agents; variants of the deadline policy are
+# named deadline-...
 mode_of() { case $1 in deadline*) echo fair ;; *) echo fifo ;; esac; }
 
-# variant POLICY prints the flags of a variant of the policy.
-variant() {
+# variant_flags POLICY prints the additional entry flags of a variant of the deadline policy.
+variant_flags() {
   case $1 in
     deadline-open) echo "--admission.mode=off" ;;
   esac
@@ -112,13 +114,14 @@
     ENTRY_FLAGS=(--trace.share 0 --log.level warn --routing.policy "$1")
     [ "$mode" = fair ] || ENTRY_FLAGS+=(--routing.subset-size 20 --admission.mode off)
     # shellcheck disable=SC2207 # flags hold no spaces
-    [ "$mode" = fifo ] || ENTRY_FLAGS=(--trace.share 0 --log.level warn --routing.policy deadline $(variant "$1"))
+    [ "$mode" = fifo ] || ENTRY_FLAGS=(--trace.share 0 --log.level warn --routing.policy deadline $(variant_flags "$1"))
     start_entry "entry-$1-$region" "$region" "$region-1"
   done
   for region in "${REGIONS[@]}"; do
     wait_file "$RUN/entry-$1-$region.addr"
     LIST=$(cat "$RUN/list-$mode-$region.addr")
-    # Only the entries under test count as live; team limits are divided among them.
+    # Only the entries of the policy under test are registered as live: team limits are divided among
+    # the registered entries.
     [ "$mode" = fifo ] || register_entry "entry-$1-$region" "$region" "$region-1"
   done
 }
@@ -142,7 +145,7 @@
   for mode in fifo fair; do start_agents "$mode"; done
   for mode in fifo fair; do
     while read -r name rest; do wait_file "$RUN/$name-$mode.addr"; done < <(backends)
-    connect "$mode"
+    register_agents "$mode"
   done
   for policy in "${POLICIES[@]}"; do start_entries "$policy"; done
 }
@@ -156,10 +159,10 @@
   bin/vctl apply --server "$(address "$RUN/entry-${POLICIES[0]}-${REGIONS[0]}.addr" admin)" "$RUN/config.toml" >"$RUN/apply.txt" 2>&1 || die "apply: $(cat "$RUN/apply.txt")"
 }
 
-# control NAME PATH BODY switches a stand-in.
+# control NAME PATH BODY sends a PUT request to the control address of a stand-in.
 control() { curl -sS -X PUT -d "$3" "http://$(cat "$RUN/$1.addr.control")$2" >/dev/null; }
 
-# fault SCENARIO on|off injects or lifts the scenario's fault.
+# fault SCENARIO on|off injects or clears the scenario's fault.
 fault() {
   local n name body='{}' here mode
   case $1 in
@@ -208,10 +211,12 @@
       -e "s|@BURST_RATE@|$(awk -v r="$rate" 'BEGIN { print r * 28.5 / 10.5 }')|" >"$RUN/scenario.toml"
 }
 
-# load SCENARIO POLICY RUN offers one load; a fault begins 1 s into the measured part.
+# load SCENARIO POLICY RUN POSITION runs one load; a fault begins 1 s into the measured part.
+# POSITION is the policy's position in the order of this run.
 load() {
   local out=$OUT/$1/$2/$3 seed=$3 pid
-  # Engines keep their caches over policies, so prompts of the cache scenarios differ by policy.
+  # The engines' caches persist from one policy to the next, so in the cache scenarios the seed, and
+  # with it the prompts, also depends on the position.
   case $1 in cold | prefixes) seed=$(($3 * 100 + $4)) ;; esac
   mkdir -p "$out"
   scenario "$1" "$2"
@@ -237,10 +242,11 @@
 read -r _ user nice system idle rest </proc/stat
 for name in "${SCENARIOS[@]}"; do
   for ((run = FIRST; run < FIRST + RUNS; run++)); do
-    for ((at = 0; at < ${#POLICIES[@]}; at++)); do
-      load "$name" "${POLICIES[$(((at + run) % ${#POLICIES[@]}))]}" "$run" "$at"
+    for ((position = 0; position < ${#POLICIES[@]}; position++)); do
+      load "$name" "${POLICIES[$(((position + run) % ${#POLICIES[@]}))]}" "$run" "$position"
     done
-    # A region comes back to sessions that were silent; the next load must not find them so.
+    # Sessions that were silent during the fault need time to recover; without the wait the next load
+    # would begin while they still count as silent.
     case $name in region-cut | replicas-gone | kv-down) sleep 3 ;; esac
   done
 done
--- a/scripts/bench/policy/report.sh
+++ b/scripts/bench/policy/report.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Sets the policies side by side: a table, the figures as CSV, one plot for each scenario.
-# SECONDS_MEASURED is the length of a run without its warm-up, COMMITTED the
-# committed amount of the engines' pool in cost units a second.
+# Compares the policies: writes a table, the figures as CSV and one plot per scenario.
+# SECONDS_MEASURED is the length of a run without its warm-up; COMMITTED is the committed capacity
+# of the engine pool in cost units per second.
 #
 #   scripts/bench/policy/report.sh DIR TO
 set -euo pipefail
--- a/scripts/bench/policy/table.awk
+++ b/scripts/bench/policy/table.awk
@@ -1,4 +1,5 @@
-# Makes the page's tables from compare.csv: medians, the spread of attainment in brackets.
+# Generates the page's tables from compare.csv: medians, and for attainment also the lowest and the
+# highest value, in brackets.
 function get(class, metric) { return median[scenario, class, metric, policy] }
 function num(v, format) { return v == "" || v == "not-available" ? "-" : sprintf(format, v) }
 function spread(class) {
--- a/scripts/bench/regress.sh
+++ b/scripts/bench/regress.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Scores the deployments that regression runs are made on, one after the other, with the
-# users' bench. The two oldest ones (zavod-cembalo and legoff-formes in their first
-# sizes) are replaced by zavod-cembalo-large.
+# Scores the deployments of regression runs, one after the other, with the users' bench.
+# zavod-cembalo-large replaces the two oldest deployments (zavod-cembalo and legoff-formes in their
+# first sizes).
 #   regress.sh BENCH SITES   BENCH: the program; SITES: the directory of the site files
 set -euo pipefail
 
--- a/scripts/bench/series.sh
+++ b/scripts/bench/series.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs one scenario several times under one policy, with seeds 1 to RUNS, into DIR/POLICY/RUN.
-# The same seeds offer every policy the same load, so that `vload compare --dir DIR` sets them
-# side by side. Further arguments go to vload.
+# Runs one scenario RUNS times under one policy, with seeds 1 to RUNS; results go to DIR/POLICY/RUN.
+# The same seeds give every policy the same load, so that `vload compare --dir DIR` can compare
+# policies. Additional arguments are passed to vload.
 #
 #   scripts/bench/series.sh run|direct SCENARIO DIR POLICY RUNS [ARGUMENT...]
 set -euo pipefail
--- a/scripts/bench/slopes.sh
+++ b/scripts/bench/slopes.sh
@@ -1,18 +1,17 @@
 #!/usr/bin/env bash
-# Measures what control and traffic cost per process, against one size at a
-# time, with the real programs beside light stand-ins on one machine.
+# Measures the cost of control work and of traffic per process, varying one size at a time, with the
+# real programs beside lightweight stand-ins on one machine.
 #
 #   scripts/bench/slopes.sh [PART...]
 #
 # Parts: peers list teams pipelines changes requests tokens orders store outage whole.
-# Each rewrites its own CSV files in docs/slopes; WINDOW and WINDOWS shorten a trial,
-# OUT takes the files elsewhere.
+# Each part rewrites its own CSV files in docs/slopes. WINDOW and WINDOWS can shorten a trial, and
+# OUT sets another output directory.
 #
-# Control is told from traffic in two ways: a process without traffic does
-# control alone, so its processor time and bytes are all control (peers to
-# changes); under traffic, the line over the load has the control cost as its
-# intercept and the traffic cost as its slope, and the control loops' own
-# accounting (busy-percent) has to stay level.
+# The cost of control work is separated from that of traffic in two ways. A process without traffic
+# does only control work, so all its CPU time and bytes count as control (parts peers to changes).
+# Under traffic, a line fitted over the load has the control cost as its intercept and the traffic
+# cost as its slope; the control loops' own accounting (busy-percent) has to stay constant.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 OUT=${OUT:-docs/slopes}
@@ -30,9 +29,10 @@
 export VCTL_TOKEN=token-of-ana
 trap 'stop_all; rm -rf "$RUN"' EXIT
 
-# begin starts the platform with a configuration of TEAMS teams, PIPELINES pipelines and
-# SERVICES engine services; "admin" is an entry in another domain that takes the changes.
-begin() {
+# start_point starts the processes of one measuring point: the platform's stand-ins and "admin", an
+# entry in another domain that accepts configuration changes. It applies a configuration of TEAMS
+# teams, PIPELINES pipelines and SERVICES engine services.
+start_point() {
   AGENT_FLAGS=(--trace.file= --trace.share 0 --log.level error --platform.list-every "${LIST_EVERY:-600s}" "${EXTRA_AGENT[@]}")
   ENTRY_FLAGS=(--trace.file= --trace.share 0 --log.level error --platform.list-every "${LIST_EVERY:-600s}" "${EXTRA_ENTRY[@]}")
   start_fake kv kv
@@ -52,24 +52,25 @@
   wait_ready admin
 }
 
-# finish ends every process of a point.
-finish() {
+# stop_point ends every process of a measuring point and removes its files.
+stop_point() {
   stop_all
   PIDS=()
   PID_OF=()
   rm -f "$RUN"/*
 }
 
-# stand ARGS... starts stand-ins and waits until all are up.
-stand() {
-  local name="stand-$((++STANDS))"
+# start_stand_ins ARGS... starts stand-ins with `vload stand` and waits until all are up.
+start_stand_ins() {
+  local name="stand-$((++STAND_IN_RUNS))"
   start "$name" bin/vload stand --list "$LIST" "$@"
   wait_file "$RUN/$name.log"
   grep -q up "$RUN/$name.log" || die "$(cat "$RUN/$name.log")"
 }
-STANDS=0
+STAND_IN_RUNS=0
 
-# start_agent_under_test goes before start_entry_under_test, so that the entry finds the agent on the list.
+# start_agent_under_test must be called before start_entry_under_test, so that the entry finds the
+# agent in the instance list.
 start_agent_under_test() {
   start_agent agent-1 real north north-1 127.0.0.1:9 tier=reserved 8
   wait_file "$RUN/agent-1.addr"
@@ -89,7 +90,7 @@
   echo "${PID_OF[$1]}@$(address "$RUN/$1.addr" metrics)"
 }
 
-# meter FILE ROW NAME... measures processes together and records their mean.
+# meter FILE ROW NAME... measures processes together and appends their mean to FILE.csv.
 meter() {
   local file=$1 row=$2 targets="" name
   shift 2
@@ -106,7 +107,7 @@
   wait "$first"
 }
 
-fresh() {
+remove_tables() {
   local name
   for name in "$@"; do rm -f "$OUT/$name.csv"; done
 }
@@ -115,44 +116,44 @@
   curl -sf "http://$STORE_CONTROL/stats" | sed -n 's/^{"calls":{[^}]*"read":\([0-9]*\).*/\1/p'
 }
 
-used_seconds() {
+cpu_seconds() {
   curl -sf "http://$(address "$RUN/$1.addr" metrics)/debug/vars" | sed -n 's/.*"processor-seconds":\([0-9.e-]*\).*/\1/p'
 }
 
 part_peers() {
-  fresh entry-peers agent-peers
-  local point n beat
+  remove_tables entry-peers agent-peers
+  local point n heartbeat
   for point in "10 1" "30 1" "100 1" "300 1" "300 5"; do
-    read -r n beat <<<"$point"
-    EXTRA_ENTRY=(--routing.subset-size "$n" --routing.subset-max "$n" --routing.beat-every "${beat}s")
-    EXTRA_AGENT=(--peers.beat-every "${beat}s")
-    begin
-    stand --agents "$n" --services 1 --beat-every "${beat}s"
-    stand --listed 40 --domain north-1
+    read -r n heartbeat <<<"$point"
+    EXTRA_ENTRY=(--routing.subset-size "$n" --routing.subset-max "$n" --routing.beat-every "${heartbeat}s")
+    EXTRA_AGENT=(--peers.beat-every "${heartbeat}s")
+    start_point
+    start_stand_ins --agents "$n" --services 1 --beat-every "${heartbeat}s"
+    start_stand_ins --listed 40 --domain north-1
     start_agent_under_test
-    stand --entries "$n" --target "$AGENT_PEERS" --beat-every "${beat}s"
+    start_stand_ins --entries "$n" --target "$AGENT_PEERS" --beat-every "${heartbeat}s"
     start_entry_under_test
     sleep "$SETTLE"
-    meter_pair peers "peers=$n,beat-seconds=$beat,exchanges=$((n / beat))"
-    finish
+    meter_pair peers "peers=$n,beat-seconds=$heartbeat,exchanges=$((n / heartbeat))"
+    stop_point
   done
 }
 
 part_list() {
-  fresh entry-list agent-list
+  remove_tables entry-list agent-list
   local point agents listed
   for point in "40 20" "200 100" "400 200" "790 420"; do
     read -r agents listed <<<"$point"
     LIST_EVERY=2s EXTRA_AGENT=() EXTRA_ENTRY=(--routing.subset-size 1 --routing.subset-max 1)
-    begin
-    stand --agents "$agents" --services 27
-    stand --listed "$listed" --domain north-1
+    start_point
+    start_stand_ins --agents "$agents" --services 27
+    start_stand_ins --listed "$listed" --domain north-1
     start_agent_under_test
     start_entry_under_test
     sleep "$SETTLE"
-    # A window holds three reads of the list.
+    # A window of 6 s contains three reads of the list, one every 2 s.
     WINDOW=6s meter_pair list "instances=$((agents + listed)),list-bytes=$(list_bytes)"
-    finish
+    stop_point
     LIST_EVERY=
   done
 }
@@ -166,13 +167,13 @@
 }
 
 part_teams() {
-  fresh entry-teams agent-teams agent-start
+  remove_tables entry-teams agent-teams agent-start
   local reads before
   for TEAMS in 100 1000 5000 19000; do
     EXTRA_AGENT=() EXTRA_ENTRY=()
-    begin
-    stand --listed 40 --domain north-1
-    stand --agents 10
+    start_point
+    start_stand_ins --listed 40 --domain north-1
+    start_stand_ins --agents 10
     sleep 1
     for repeat in 1 2 3; do
       before=$(store_reads)
@@ -181,41 +182,41 @@
       wait_ready "start-$repeat"
       reads=$(($(store_reads) - before))
       [ -s "$OUT/agent-start.csv" ] || echo "teams,store-reads,processor-seconds" >"$OUT/agent-start.csv"
-      echo "$TEAMS,$reads,$(used_seconds "start-$repeat")" >>"$OUT/agent-start.csv"
+      echo "$TEAMS,$reads,$(cpu_seconds "start-$repeat")" >>"$OUT/agent-start.csv"
       kill -TERM "${PID_OF[start-$repeat]}"
     done
     start_agent_under_test
-    stand --entries 10 --target "$AGENT_PEERS"
+    start_stand_ins --entries 10 --target "$AGENT_PEERS"
     start_entry_under_test
     sleep "$SETTLE"
     WINDOW=3s meter_pair teams "teams=$TEAMS"
-    finish
+    stop_point
   done
   TEAMS=
 }
 
 part_pipelines() {
-  fresh entry-pipelines agent-pipelines
+  remove_tables entry-pipelines agent-pipelines
   local point
   for point in "1 1" "8 6" "16 12" "29 23"; do
     read -r PIPELINES SERVICES <<<"$point"
     EXTRA_AGENT=() EXTRA_ENTRY=()
-    begin
-    stand --listed 40 --domain north-1
-    stand --agents "$SERVICES" --services "$SERVICES"
+    start_point
+    start_stand_ins --listed 40 --domain north-1
+    start_stand_ins --agents "$SERVICES" --services "$SERVICES"
     start_agent_under_test
-    stand --entries 10 --target "$AGENT_PEERS"
+    start_stand_ins --entries 10 --target "$AGENT_PEERS"
     start_entry_under_test
     sleep "$SETTLE"
     WINDOW=3s meter_pair pipelines "pipelines=$PIPELINES,services=$SERVICES"
-    finish
+    stop_point
   done
   PIPELINES=
   SERVICES=
 }
 
-# change_at RATE SECONDS applies one-team changes at a rate a minute.
-change_at() {
+# apply_changes_at RATE SECONDS applies changes of one team each, at RATE per minute for SECONDS.
+apply_changes_at() {
   local n count=$(($1 * $2 / 60))
   for ((n = 1; n <= count; n++)); do
     bin/vload draft --teams "$TEAMS" --change "$((++CHANGES))" >"$RUN/change.toml"
@@ -230,11 +231,12 @@
 }
 
 part_changes() {
-  fresh entry-changes agent-changes store-head
+  remove_tables entry-changes agent-changes store-head
   local rate n
-  # The list is read often, so that only two of the domain's four processes watch.
+  # The list is read every 2 s, so that the domain's four processes find each other and only two of
+  # them watch the store.
   TEAMS=19000 LIST_EVERY=2s EXTRA_AGENT=() EXTRA_ENTRY=()
-  begin
+  start_point
   for n in 1 2 3; do
     start_agent "agent-$n" real north north-1 127.0.0.1:9 tier=reserved 8
     wait_file "$RUN/agent-$n.addr"
@@ -248,20 +250,20 @@
     local first=$!
     WINDOW=20s WINDOWS=1 meter agent-changes "changes-per-minute=$rate" agent-1 agent-2 agent-3 &
     local second=$!
-    [ "$rate" = 0 ] || change_at "$rate" 20
+    [ "$rate" = 0 ] || apply_changes_at "$rate" 20
     wait "$first" "$second"
   done
   echo "moves,head-bytes" >"$OUT/store-head.csv"
   for n in 1 2 3 4; do
     echo "$((CHANGES + 1)),$(head_bytes)" >>"$OUT/store-head.csv"
-    [ "$n" = 4 ] || many_changes 35
+    [ "$n" = 4 ] || apply_changes 35
   done
-  finish
+  stop_point
   TEAMS='' LIST_EVERY=''
 }
 
-# many_changes N applies N changes one after the other.
-many_changes() {
+# apply_changes N applies N changes without a pause between them.
+apply_changes() {
   local n
   for ((n = 0; n < $1; n++)); do
     bin/vload draft --teams "$TEAMS" --change "$((++CHANGES))" >"$RUN/change.toml"
@@ -273,7 +275,7 @@
 begin_traffic() {
   local line name kind service
   TEAMS=100 PIPELINES=1 SERVICES=1 EXTRA_AGENT=() EXTRA_ENTRY=()
-  begin
+  start_point
   BACKENDS=("enc pool encoder" "ret pool retriever" "rer pool reranker" "llm-1 engine service-00" "llm-2 engine service-00" "ord-1 service orders" "ord-2 service orders")
   for line in "${BACKENDS[@]}"; do
     read -r name kind service <<<"$line"
@@ -291,8 +293,8 @@
   CALLERS=$(address "$RUN/entry-1.addr" callers)
 }
 
-# offer RATE CLASS... offers load while the processes are measured.
-offer() {
+# start_load RATE CLASS starts a load in the background; CLASS is TOML text for the load's only class.
+start_load() {
   local rate=$1
   cat >"$RUN/scene.toml" <<SCENE
 name = "slopes"
@@ -318,18 +320,18 @@
   sleep 2
 }
 
-# end_load waits for the load and fails unless nearly all of it was whole.
+# end_load waits for the load and fails unless its attainment is above 0.98.
 end_load() {
   wait "$LOAD" || die "load: $(tail -3 "$RUN/load.txt")"
   awk '$1 == "all" && $2 == "attainment" {print "  attainment " $3; ok = ($3 > 0.98)} END {exit !ok}' "$RUN/load.txt" || die "attainment: $(cat "$RUN/load.txt")"
 }
 
 part_requests() {
-  fresh entry-requests agent-requests
+  remove_tables entry-requests agent-requests
   local rate
   begin_traffic
   for rate in 5 20 60 120; do
-    offer "$rate" 'pipeline = "pipeline-00"
+    start_load "$rate" 'pipeline = "pipeline-00"
 max-tokens = 4'
     WINDOW=3s meter entry-requests "requests=$rate" entry-1 &
     local first=$!
@@ -337,15 +339,15 @@
     wait "$first"
     end_load
   done
-  finish
+  stop_point
 }
 
 part_tokens() {
-  fresh entry-tokens agent-tokens
+  remove_tables entry-tokens agent-tokens
   local tokens
   begin_traffic
   for tokens in 8 60 200 400; do
-    offer 10 "pipeline = \"pipeline-00\"
+    start_load 10 "pipeline = \"pipeline-00\"
 stream = true
 max-tokens = $tokens"
     WINDOW=3s meter entry-tokens "tokens=$((10 * tokens)),requests=10" entry-1 &
@@ -354,15 +356,15 @@
     wait "$first"
     end_load
   done
-  finish
+  stop_point
 }
 
 part_orders() {
-  fresh entry-orders agent-orders
+  remove_tables entry-orders agent-orders
   local rate
   begin_traffic
   for rate in 2 10 30 60; do
-    offer "$rate" 'service = "orders"
+    start_load "$rate" 'service = "orders"
 path = "/orders"
 key = "unique"
 body = "{\"order\":1}"'
@@ -372,17 +374,17 @@
     wait "$first"
     end_load
   done
-  finish
+  stop_point
 }
 
-# start_many AGENTS ENTRIES starts real processes over seven domains and registers them.
-start_many() {
+# start_fleet AGENTS ENTRIES starts real processes spread over seven domains and registers them.
+start_fleet() {
   local i domain
-  MANY=()
+  FLEET=()
   for ((i = 1; i <= $1; i++)); do
     domain=$((i % 7 + 1))
     start_agent "agent-$i" service-00 north "north-$domain" 127.0.0.1:9 tier=reserved 8
-    MANY+=("agent-$i")
+    FLEET+=("agent-$i")
   done
   for ((i = 1; i <= $1; i++)); do
     wait_file "$RUN/agent-$i.addr"
@@ -390,30 +392,30 @@
   done
   for ((i = 1; i <= $2; i++)); do
     start_entry "entry-$i" north "north-$((i % 7 + 1))"
-    MANY+=("entry-$i")
+    FLEET+=("entry-$i")
   done
   for ((i = 1; i <= $2; i++)); do
     wait_file "$RUN/entry-$i.addr"
     register_entry "entry-$i" north "north-$((i % 7 + 1))"
   done
-  for domain in "${MANY[@]}"; do wait_ready "$domain"; done
+  for domain in "${FLEET[@]}"; do wait_ready "$domain"; done
 }
 
 part_store() {
-  fresh store-processes
+  remove_tables store-processes
   local n
   for n in 18 40 70 110; do
     LIST_EVERY=2s EXTRA_AGENT=() EXTRA_ENTRY=(--routing.subset-size 120 --routing.subset-max 120)
-    begin
-    start_many "$((n - 4))" 4
+    start_point
+    start_fleet "$((n - 4))" 4
     sleep 4
-    WINDOW=10s WINDOWS=1 meter store-processes "processes=$n" "${MANY[@]}"
-    finish
+    WINDOW=10s WINDOWS=1 meter store-processes "processes=$n" "${FLEET[@]}"
+    stop_point
     LIST_EVERY=
   done
 }
 
-# fault JSON sets the key-value stand-in's fault.
+# fault JSON sets the fault of the key-value service's stand-in.
 fault() {
   curl -sf -X PUT -d "$1" "http://$STORE_CONTROL/fault" >/dev/null || die "fault $1"
 }
@@ -432,71 +434,71 @@
   awk -v a="$started" -v b="$EPOCHREALTIME" 'BEGIN {printf "%.2f", b - a}'
 }
 
-# part_outage starts all processes of a domain while the key-value service
-# refuses every call: without peers they become ready once it is back, with an
-# entry of another domain that has the configuration, at once.
+# part_outage starts all processes of a domain while the key-value service refuses every call.
+# Without peers they become ready once the service has recovered; if an entry of another domain has
+# the configuration, they become ready at once.
 part_outage() {
-  fresh outage-alone outage-down outage-peers
+  remove_tables outage-alone outage-down outage-peers
   local n i before reads seconds
   for n in 5 10 20 40; do
     TEAMS=19000 LIST_EVERY=2s EXTRA_AGENT=() EXTRA_ENTRY=(--routing.subset-size 120 --routing.subset-max 120)
-    begin
+    start_point
     fault '{"status": 503}'
     start_domain "$n"
     sleep 2
-    WINDOW=6s WINDOWS=1 meter outage-down "processes=$n" "${MANY[@]}"
+    WINDOW=6s WINDOWS=1 meter outage-down "processes=$n" "${FLEET[@]}"
     before=$(store_reads)
     fault '{}'
-    seconds=$(seconds_until_ready "${MANY[@]}")
+    seconds=$(seconds_until_ready "${FLEET[@]}")
     reads=$(($(store_reads) - before))
     [ -s "$OUT/outage-alone.csv" ] || echo "processes,seconds-until-ready,reads-until-ready" >"$OUT/outage-alone.csv"
     echo "$n,$seconds,$reads" >>"$OUT/outage-alone.csv"
-    finish
-    begin
+    stop_point
+    start_point
     fault '{"status": 503}'
     start_domain "$n"
     before=$(store_reads)
     for ((i = 1; i <= n; i++)); do register_agent "agent-$i" service-00 north north-1 tier=reserved; done
-    seconds=$(seconds_until_ready "${MANY[@]}")
+    seconds=$(seconds_until_ready "${FLEET[@]}")
     reads=$(($(store_reads) - before))
     [ -s "$OUT/outage-peers.csv" ] || echo "processes,seconds-until-ready,reads-until-ready" >"$OUT/outage-peers.csv"
     echo "$n,$seconds,$reads" >>"$OUT/outage-peers.csv"
     fault '{}'
-    finish
+    stop_point
     LIST_EVERY= TEAMS=
   done
 }
 
-# start_domain N starts N agents of one domain, not yet on the list.
+# start_domain N starts N agents of one domain without registering them in the instance list.
 start_domain() {
   local i
-  MANY=()
+  FLEET=()
   for ((i = 1; i <= $1; i++)); do
     start_agent "agent-$i" service-00 north north-1 127.0.0.1:9 tier=reserved 8
-    MANY+=("agent-$i")
+    FLEET+=("agent-$i")
   done
   for ((i = 1; i <= $1; i++)); do wait_file "$RUN/agent-$i.addr"; done
 }
 
-# part_whole puts one entry and one agent into the target's state at once, with
-# the settings of docs/CAPACITY.md, to hold the worked-out rows against; GC is
-# the runtime's GOGC, on which memory depends.
+# part_whole measures one entry and one agent at all sizes of the capacity target at once, with the
+# settings of docs/CAPACITY.md, so that the calculated rows can be compared with a measurement.
+# gc is the Go runtime's GOGC, on which memory depends.
 part_whole() {
-  fresh entry-whole agent-whole
+  remove_tables entry-whole agent-whole
   local gc
   TEAMS=19000 PIPELINES=29 SERVICES=23
   EXTRA_ENTRY=(--routing.subset-size 8 --routing.subset-max 16 --routing.beat-every 5s)
   EXTRA_AGENT=(--peers.beat-every 5s)
   for gc in 100 50; do
-    GOGC=$gc begin
-    stand --agents 790 --services 29 --beat-every 5s
-    stand --listed 297 --domain north-1
+    GOGC=$gc start_point
+    start_stand_ins --agents 790 --services 29 --beat-every 5s
+    start_stand_ins --listed 297 --domain north-1
     GOGC=$gc start_agent_under_test
-    stand --entries 123 --target "$AGENT_PEERS" --beat-every 5s
+    start_stand_ins --entries 123 --target "$AGENT_PEERS" --beat-every 5s
     GOGC=$gc start_entry_under_test
     sleep "$SETTLE"
     WINDOW=10s WINDOWS=2 meter_pair whole "gogc=$gc"
-    finish
+    stop_point
   done
   TEAMS='' PIPELINES='' SERVICES=''
 }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts a deployment small, runs a pipeline and an order, changes a selector
-# while requests run, prints what came of it, and stops everything gracefully.
-# Ends with 0 only if all of it held.
+# Starts a small version of a deployment, runs a pipeline and an order, changes a selector
+# while requests are in flight, prints the results, and stops all processes gracefully.
+# Exits with 0 only if every check passed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 DEPLOYMENT=${1:-ljubljana}
@@ -81,10 +81,10 @@
 [ "$BEFORE" = "$AFTER" ] || die "the forbidden backend server still got work"
 
 echo "== attainment and cost by stage"
-echo "requests $(figure offered), attained in time $(figure attained), attainment $(figure attainment)"
-echo "whole answer p50 $(figure latency-p50) ms, p99 $(figure latency-p99) ms; first token p50 $(figure first-token-p50) ms; between regions $(figure cross-region-bytes) bytes"
+echo "requests $(load_metric offered), attained in time $(load_metric attained), attainment $(load_metric attainment)"
+echo "whole answer p50 $(load_metric latency-p50) ms, p99 $(load_metric latency-p99) ms; first token p50 $(load_metric first-token-p50) ms; between regions $(load_metric cross-region-bytes) bytes"
 awk '$1 == "all" && $2 ~ /^cost\// { sub("cost/", "", $2); printf "cost of %-28s %s %s\n", $2, $3, $4 }' "$RUN/load.txt"
-[ "$(figure offered)" -gt 0 ] && [ "$(figure attained)" = "$(figure offered)" ] || die "not all were attained: $(cat "$RUN/load.txt")"
+[ "$(load_metric offered)" -gt 0 ] && [ "$(load_metric attained)" = "$(load_metric offered)" ] || die "not all were attained: $(cat "$RUN/load.txt")"
 
 echo "== stop everything gracefully"
 for region in "${REGIONS[0]}" "${REGIONS[1]}"; do stop "entry-$region" || die "entry-$region"; done
--- a/scripts/demo/le-goff.sh
+++ b/scripts/demo/le-goff.sh
@@ -1,4 +1,5 @@
-# The Le Goff deployment, small. Each backend: name, stand-in, service, region, labels, slots.
+# A small version of the Le Goff deployment. Fields of a backend: name, kind of stand-in, service,
+# region, labels, slots.
 REGIONS=(bretagne pays-loire normandie)
 BACKENDS=(
   "enc-1 pool encoder bretagne tier=committed 16"
--- a/scripts/demo/ljubljana.sh
+++ b/scripts/demo/ljubljana.sh
@@ -1,4 +1,5 @@
-# The Ljubljana deployment, small. Each backend: name, stand-in, service, region, labels, slots.
+# A small version of the Ljubljana deployment. Fields of a backend: name, kind of stand-in, service,
+# region, labels, slots.
 REGIONS=(osrednja stajerska primorska)
 BACKENDS=(
   "enc-1 pool encoder osrednja tier=spare 16"
--- a/scripts/demo/platform.sh
+++ b/scripts/demo/platform.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the path of the users' platform on loopback: a stand-in of the platform with six
-# servers, two ingresses, an order and a review with a stage, and a graceful stop.
-# Ends with 0 only if all of it held.
+# Runs the product on loopback as on the users' platform: starts a stand-in of the platform with six
+# servers and two ingresses, sends an order to each ingress and a review with a stage, and stops the
+# ingresses gracefully. Exits with 0 only if every check passed.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 RUN=$(mktemp -d)
@@ -13,7 +13,8 @@
 trap cleanup EXIT
 die() { echo "demo: $*" >&2; exit 1; }
 
-# wait_until tries a command for ten seconds.
+# wait_until COMMAND... retries a command until it succeeds, 0.1 s apart and for about ten seconds
+# (100 attempts).
 wait_until() {
   for _ in $(seq 100); do "$@" >/dev/null 2>&1 && return; sleep 0.1; done
   die "not in time: $*"
@@ -23,10 +24,10 @@
 PIDS+=($!)
 wait_until grep -q store= "$RUN/platform.log"
 STORE=$(sed -n 's/^store=//p' "$RUN/platform.log")
-BASE=$((21000 + RANDOM % 9000))
+BASE_PORT=$((21000 + RANDOM % 9000))
 echo "== start: the platform's stand-in at $STORE, two ingresses"
 for n in 0 1; do
-  port=$((BASE + 10 * n))
+  port=$((BASE_PORT + 10 * n))
   cat >"$RUN/ingress-$n.toml" <<TOML
 [place]
 name = "ingress-$n"
@@ -49,11 +50,11 @@
   bin/ingress --config "$RUN/ingress-$n.toml" >"$RUN/ingress-$n.log" 2>&1 &
   PIDS+=($!)
 done
-for n in 0 1; do wait_until curl -sf "http://127.0.0.1:$((BASE + 10 * n + 1))/readyz"; done
+for n in 0 1; do wait_until curl -sf "http://127.0.0.1:$((BASE_PORT + 10 * n + 1))/readyz"; done
 wait_until sh -c "[ \$(grep -c event=server-seen $RUN/ingress-1.log) -ge 6 ]"
 
-send() { # ingress, id, path, more
-  local port=$((BASE + 10 * $1)) id=$2 path=$3
+send() { # ingress, attempt id, path, further curl arguments
+  local port=$((BASE_PORT + 10 * $1)) id=$2 path=$3
   shift 3
   curl -sS --max-time 10 -H "Host: kits.example" -H "X-Verbenaroad-Attempt-Id: $id" -H "X-Verbenaroad-Deadline-Ms: 8000" \
     -H "X-Verbenaroad-Key: demo-key" "$@" -d "two boards of spruce" "http://127.0.0.1:$port$path"
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,5 +1,5 @@
-# Functions for scripts that start a small deployment on loopback. Every
-# process is started here, by the script, and ended by its id.
+# Functions for scripts that start a small deployment on loopback. A script ends only processes
+# that it started itself, and ends them by process id.
 # shellcheck shell=bash
 
 declare -A PID_OF=()
@@ -9,7 +9,7 @@
   exit 1
 }
 
-# start NAME PROGRAM ARGS... runs a program in the background, its output in $RUN/NAME.log.
+# start NAME PROGRAM ARGS... runs a program in the background, with its output in $RUN/NAME.log.
 start() {
   local name=$1
   shift
@@ -32,18 +32,19 @@
   sed -n "s/^$2=//p" "$1"
 }
 
-# count_runs KEY prints how often a key was run, summed over the ledgers of all
-# order servers. A run leaves one line when it starts and another when it ends.
+# count_runs KEY prints how often the order with this idempotency key was run, summed over the
+# ledgers of all order servers. A run writes one line when it starts and another, with "finished",
+# when it ends.
 count_runs() {
   cat "$RUN"/ord-*.ledger | grep -F "\"key\":\"$1\"" | grep -vc '"finished"' || true
 }
 
-# figure METRIC prints the metric's value in the row "all" of the load's report.
-figure() {
+# load_metric METRIC prints the metric's value for the class "all" in the load's report.
+load_metric() {
   awk -v metric="$1" '$1 == "all" && $2 == metric { print $3 }' "$RUN/load.txt"
 }
 
-# stop NAME asks a process to end gracefully and waits for it.
+# stop NAME sends SIGTERM to a process and waits until it has ended.
 stop() {
   local pid=${PID_OF[$1]:-}
   [ -n "$pid" ] || return 0
@@ -51,14 +52,14 @@
   wait "$pid"
 }
 
-# stop_all ends whatever is left, also after a failure: first gracefully, after
-# a while by force, so that a process that hangs is not left behind. Only
-# children of this shell that still run are signalled.
+# stop_all ends all remaining processes, also after a failure: it sends SIGTERM and, if any still
+# runs after about 15 s, SIGKILL, so that no hanging process is left behind. It signals only
+# running children of this shell.
 stop_all() {
   local pid n
   for pid in $(jobs -pr); do
     kill -TERM "$pid" 2>/dev/null || true
-    # A process that a run froze hears its signal only when it goes on.
+    # A process that was stopped with SIGSTOP handles SIGTERM only after SIGCONT.
     kill -CONT "$pid" 2>/dev/null || true
   done
   for n in $(seq 1 300); do
@@ -71,7 +72,7 @@
   wait 2>/dev/null || true
 }
 
-# cleanup ends everything and removes the run's files, unless KEEP_RUN is set.
+# cleanup ends all processes and removes the run's files; with KEEP_RUN set it keeps the files.
 cleanup() {
   local code=$?
   trap '' INT TERM
@@ -80,7 +81,8 @@
   exit "$code"
 }
 
-# start_fake NAME KIND ARGS... starts a stand-in; its addresses stand in $RUN/NAME.addr and $RUN/NAME.addr.control.
+# start_fake NAME KIND ARGS... starts a stand-in, which writes its addresses to $RUN/NAME.addr and
+# $RUN/NAME.addr.control.
 start_fake() {
   local name=$1 kind=$2
   shift 2
@@ -96,7 +98,8 @@
     --trace.file "$RUN/$1.spans" --stop.grace 10s "${AGENT_FLAGS[@]}"
 }
 
-# register_agent NAME SERVICE REGION DOMAIN LABELS puts an agent on the platform's list.
+# register_agent NAME SERVICE REGION DOMAIN LABELS registers an agent in the platform's list of
+# instances.
 register_agent() {
   bin/fakes register --list "$LIST" --name "$1" --role agent --service "$2" --region "$3" --domain "$4" \
     --labels "$5" --address "$(address "$RUN/$1.addr" peers)" >>"$RUN/register.log" 2>&1 || die "register $1"
@@ -110,13 +113,13 @@
     --admin.bootstrap-sha256 "$BOOTSTRAP" --trace.file "$RUN/$1.spans" --stop.grace 10s "${ENTRY_FLAGS[@]}"
 }
 
-# register_entry NAME REGION DOMAIN puts an entry on the platform's list.
+# register_entry NAME REGION DOMAIN registers an entry in the platform's list of instances.
 register_entry() {
   bin/fakes register --list "$LIST" --name "$1" --role entry --region "$2" --domain "$3" \
     --address "$(address "$RUN/$1.addr" callers)" >>"$RUN/register.log" 2>&1 || die "register $1"
 }
 
-# wait_ready NAME waits until a process says that it is ready.
+# wait_ready NAME waits until /readyz of a process returns success.
 wait_ready() {
   local metrics n
   metrics=$(address "$RUN/$1.addr" metrics)
@@ -127,7 +130,7 @@
   die "$1 is not ready: $(tail -3 "$RUN/$1.log")"
 }
 
-# start_platform starts the stand-ins of the platform.
+# start_platform starts the stand-ins of the platform's key-value service and instance list.
 start_platform() {
   start_fake kv kv
   start_fake list list --lag 200ms
@@ -137,7 +140,8 @@
   LIST=$(cat "$RUN/list.addr")
 }
 
-# start_backends starts the backend servers of $BACKENDS, each with its agent.
+# start_backends starts the backend servers of $BACKENDS, each with its agent, and registers the
+# agents.
 start_backends() {
   local line name kind service region labels slots
   for line in "${BACKENDS[@]}"; do
@@ -159,7 +163,7 @@
   done
 }
 
-# start_entries starts an entry in each of the first two regions.
+# start_entries starts and registers an entry in each of the first two regions.
 start_entries() {
   local region
   for region in "${REGIONS[0]}" "${REGIONS[1]}"; do
--- a/scripts/unit.sh
+++ b/scripts/unit.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the Go tests of every module. Tests that KNOWN-RED.txt lists (a line each,
-# the test's name and a colon first) may fail: they are printed and passed over, and only they.
+# Runs go test with the given arguments. A failed test is tolerated, and its entry printed, only if
+# KNOWN-RED.txt lists it: one line per test, beginning with the test's name and a colon.
 set -uo pipefail
 output=$(mktemp)
 trap 'rm -f "$output"' EXIT
@@ -8,7 +8,7 @@
 status=${PIPESTATUS[0]}
 [ "$status" -eq 0 ] && exit 0
 failed=$(grep -oE '^--- FAIL: [A-Za-z0-9_]+' "$output" | awk '{print $3}' | sort -u)
-# A package that fails without a failed test did not build, crashed or ran out of time.
+# A package that fails without a failed test did not build, crashed or timed out.
 grep -qE '\[build failed\]|^panic:|\[setup failed\]' "$output" && exit "$status"
 [ -n "$failed" ] || exit "$status"
 for name in $failed; do
--- a/scripts/up.sh
+++ b/scripts/up.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Starts a deployment small, applies its configuration, prints where it can be
-# reached and keeps it until it is interrupted (Ctrl-C). The directory it
-# prints holds the processes' logs, and env.sh for other shells.
+# Starts a small version of a deployment, applies its configuration, prints its addresses and keeps
+# it running until it is interrupted (Ctrl-C). The directory that it prints holds the processes'
+# logs, and env.sh, which sets the addresses and tokens in other shells.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 DEPLOYMENT=${1:-ljubljana}
 RUN=$(mktemp -d)
-# Further flags of every agent and entry, for trials.
+# Additional flags for every agent and entry, for experiments.
 read -ra AGENT_FLAGS <<<"${AGENT_FLAGS:-}"
 read -ra ENTRY_FLAGS <<<"${ENTRY_FLAGS:-}"
 # shellcheck source=scripts/lib.sh
