--- a/proofs/doc.go
+++ b/proofs/doc.go
@@ -1,2 +1,3 @@
-// Package proofs holds the process tests: real programs and stand-ins under failure.
+// Package proofs holds the process tests, which run the real programs together with stand-ins of
+// their environment and inject failures.
 package proofs
