--- a/spec/attempt.pml
+++ b/spec/attempt.pml
@@ -1,36 +1,36 @@
 /*
- * One attempt of a caller at an ingress that reaches backend servers directly,
- * without claims: up to SENDS servers are asked one after the other. A copy that
- * was sent may run at once, later (its bytes were held up) or never; its answer may
- * come, be lost, be another attempt's, or be a 503 of a server that has run it.
+ * One attempt of a caller at an ingress that calls backend servers directly, without claims:
+ * the ingress tries up to SENDS servers in turn. A copy of the request that was sent may run
+ * at once, later (its bytes were delayed) or never. Its answer may arrive, be lost, belong to
+ * another attempt, or be a 503 from a server that has run it.
  *
- * Mirrors flow/plain.go and reach of the ingress: a connection of its own for each
- * copy, and a refusal that is told only while nothing may have run.
+ * Mirrors flow/plain.go and the package reach of the ingress: each copy has its own connection,
+ * and a request is reported as "not run" only while no copy may have run.
  *
- * Held: a request that is not idempotent runs once at most; one that is told as not
- * run has not run and never will, idempotent or not; what is told as the answer is
- * the answer to a copy of this very attempt that ran.
+ * Properties: a non-idempotent request runs at most once. A request that is reported as not run
+ * has not run and never will, whether idempotent or not. An answer that is delivered to the
+ * caller is the answer to a copy of this attempt that ran.
  */
 #define SENDS 3
 
-/* what became of a copy */
+/* states of a copy; NONE: not sent */
 #define NONE 0
-#define FLYING 1             /* its server may begin it at any time */
-#define DONE 2               /* it ran, or its server said that it never will */
+#define IN_FLIGHT 1 /* its server may start it at any time */
+#define DONE 2      /* it ran, or its server reported that it never will */
 
-mtype = { notsent, word, answer, shed, cut, foreign };
+mtype = { notsent, notrun, answer, plain503, cut, otherattempt };
 
 byte copy[SENDS];
 bool ran[SENDS];
-byte runs;                   /* of all copies */
+byte runs;           /* number of copies that ran */
 byte sends;
-byte maybe;                  /* copies that ran or may have, as the ingress knows */
-bool refused;                /* the caller was told: not run */
+byte possibleRuns;   /* copies that may have run, as far as the ingress knows */
+bool reportedNotRun; /* the caller received "not run" */
 bool answered;
-bool over;
-mtype seen;
+bool ended;
+mtype outcome;
 
-#define NEVER_AGAIN(i) copy[i] = DONE
+#define DISCARD(i) copy[i] = DONE
 
 inline begin(i) {
 	ran[i] = true;
@@ -39,77 +39,77 @@
 #ifndef IDEMPOTENT
 	assert(runs <= 1);
 #endif
-	assert(!refused)
+	assert(!reportedNotRun)
 }
 
-/* a server may begin what has reached it at any time, also long after the ingress gave up */
+/* a server may start a copy that reached it at any time, also long after the ingress timed out */
 active proctype servers() {
 end:
 	do
-	:: atomic { copy[0] == FLYING -> begin(0) }
-	:: atomic { copy[1] == FLYING -> begin(1) }
-	:: atomic { copy[2] == FLYING -> begin(2) }
+	:: atomic { copy[0] == IN_FLIGHT -> begin(0) }
+	:: atomic { copy[1] == IN_FLIGHT -> begin(1) }
+	:: atomic { copy[2] == IN_FLIGHT -> begin(2) }
 	od
 }
 
-/* sends copy i and sets what the ingress sees of it */
+/* sends copy i and sets the outcome that the ingress observes */
 inline send(i) {
 	if
-	:: seen = notsent                          /* no connection: no byte left */
-	:: copy[i] = FLYING ->
+	:: outcome = notsent /* no connection, so no byte was sent */
+	:: copy[i] = IN_FLIGHT ->
 		if
-		:: atomic { copy[i] == FLYING -> NEVER_AGAIN(i); seen = word }
-		:: atomic { ran[i] -> seen = answer }
-		:: seen = shed                         /* a 503 without the server's word */
-		:: seen = cut
-		:: seen = foreign
+		:: atomic { copy[i] == IN_FLIGHT -> DISCARD(i); outcome = notrun }
+		:: atomic { ran[i] -> outcome = answer }
+		:: outcome = plain503 /* a 503 that does not state "not run" */
+		:: outcome = cut
+		:: outcome = otherattempt
 		fi
 	fi
 #ifdef MUTANT_KEPT_CONNECTION
-	/* a kept connection breaks, and the HTTP library sends again by itself */
+	/* a reused connection breaks, and the HTTP library retries by itself */
 	if
-	:: seen == cut && i + 1 < SENDS -> copy[i + 1] = FLYING
+	:: outcome == cut && i + 1 < SENDS -> copy[i + 1] = IN_FLIGHT
 	:: else
 	fi
 #endif
 }
 
-inline tell_refused() {
-	over = true;
+inline report_not_run() {
+	ended = true;
 	if
 #ifndef MUTANT_REFUSAL_AFTER_A_RUN
-	:: maybe > 0                               /* told as unknown */
+	:: possibleRuns > 0 /* reported as unknown */
 #endif
-	:: else -> atomic { refused = true; assert(runs == 0) }
+	:: else -> atomic { reportedNotRun = true; assert(runs == 0) }
 	fi
 }
 
 active proctype ingress() {
 	do
-	:: over -> break
-	:: !over && sends == SENDS -> tell_refused()
-	:: !over && sends < SENDS ->
+	:: ended -> break
+	:: !ended && sends == SENDS -> report_not_run()
+	:: !ended && sends < SENDS ->
 		send(sends);
 		sends++;
 		if
-		:: seen == notsent || seen == word     /* the next server */
-		:: seen == answer -> answered = true; over = true; assert(ran[sends - 1])
+		:: outcome == notsent || outcome == notrun /* try the next server */
+		:: outcome == answer -> answered = true; ended = true; assert(ran[sends - 1])
 #ifdef MUTANT_FOREIGN_ANSWER
-		:: seen == foreign -> answered = true; over = true; assert(ran[sends - 1])
+		:: outcome == otherattempt -> answered = true; ended = true; assert(ran[sends - 1])
 #else
-		:: seen == foreign -> maybe++
+		:: outcome == otherattempt -> possibleRuns++
 #endif
 #ifdef MUTANT_503_IS_A_WORD
-		:: seen == shed
+		:: outcome == plain503
 #else
-		:: seen == shed -> maybe++
+		:: outcome == plain503 -> possibleRuns++
 #endif
-		:: seen == cut -> maybe++
+		:: outcome == cut -> possibleRuns++
 		fi;
 		if
 #ifndef IDEMPOTENT
 #ifndef MUTANT_RESEND
-		:: !over && maybe > 0 -> over = true   /* told as unknown */
+		:: !ended && possibleRuns > 0 -> ended = true /* reported as unknown */
 #endif
 #endif
 		:: else
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,13 +1,13 @@
 #!/bin/bash
-# Checks every model exhaustively, and that each mutant (one guard removed)
-# is found. Works in a temporary directory; needs spin and gcc.
+# Checks every model exhaustively, and checks that each mutant (a model with one guard removed)
+# violates an assertion. Works in temporary directories; needs spin and gcc.
 #   check.sh          the sizes that CI runs
-#   check.sh --full   also the largest size of the claim: some 40 million states, 2.2 GB
+#   check.sh --full   also the largest size of claim.pml: about 40 million states, 2.2 GB
 set -u
 
 here=$(cd "$(dirname "$0")" && pwd)
-jobs=4 # models at once, each within 0.9 GB
-limit=900 # megabytes for one model
+jobs=4 # models checked in parallel, each within 0.9 GB
+limit=900 # memory limit of one model in megabytes
 if [ "${1:-}" = --full ]; then
 	limit=3500
 fi
@@ -20,7 +20,7 @@
 	fi
 done
 
-# kind | model | name | macros
+# list prints the checks, one per line: kind | model | name | macros
 list() {
 	cat <<-'LIST'
 		holds|claim|2+2 submissions, no restart|-DRESTARTS=0
@@ -81,13 +81,14 @@
 	fi
 }
 
-# check prints one line; "FAIL" begins the line of a model that breaks, a mutant that passes or an error.
+# check runs one line of list and prints its result. The result begins with FAIL if a model violates
+# a property, a mutant passes, or the check does not complete.
 check() {
 	IFS='|' read -r kind model name macros <<<"$1"
 	work=$(mktemp -d)
 	cd "$work" || exit 1
 	cp "$here/$model.pml" .
-	# shellcheck disable=SC2086 # macros are several words
+	# shellcheck disable=SC2086 # macros holds several words
 	spin -a $macros "$model.pml" >spin.out 2>&1 &&
 		gcc -O2 -w -DSAFETY -DCOLLAPSE -DMEMLIM=$limit -o pan pan.c 2>gcc.out &&
 		timeout 300 ./pan -n -m200000 >pan.out 2>&1
@@ -100,7 +101,7 @@
 	states=$(awk '/states, stored/ {print $1; exit}' pan.out 2>/dev/null)
 	depth=$(sed -n 's/.*depth reached \([0-9]*\).*/\1/p' pan.out 2>/dev/null)
 	seconds=$(sed -n 's/.*elapsed time \([0-9.]*\).*/\1/p' pan.out 2>/dev/null)
-	# a search cut short by memory or depth proves nothing
+	# A search that memory or depth cut short proves nothing.
 	if [ -z "$errors" ] || { [ "$1" = holds ] && grep -qE 'max search depth too small|out of memory|reached -DMEMLIM|Search not completed' pan.out; }; then
 		echo "FAIL   $2: $3: the search did not end"
 		cat spin.out gcc.out pan.out 2>/dev/null | tail -5
@@ -120,8 +121,8 @@
 result=$(mktemp)
 list "${1:-}" | xargs -d '\n' -P "$jobs" -I{} bash -c 'check "$1"' _ {} | tee "$result"
 failed=$(grep -c '^FAIL' "$result")
-done=$(grep -cE '^(holds|found)' "$result")
-wanted=$(list "${1:-}" | wc -l)
+passed=$(grep -cE '^(holds|found)' "$result")
+expected=$(list "${1:-}" | wc -l)
 echo "spec: $(grep -c '^holds' "$result") models hold, $(grep -c '^found' "$result") mutants found, $failed failed, $((SECONDS - start)) s"
 rm -f "$result"
-[ "$failed" = 0 ] && [ "$done" = "$wanted" ]
+[ "$failed" = 0 ] && [ "$passed" = "$expected" ]
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,20 +1,20 @@
 /*
- * At-most-once claim of one key: two entries with two submissions each, one
- * agent that restarts, a key-value service that loses answers and lets
- * writes take effect late, dispatches that wait in buffers for any time and
- * may be delivered twice, callers that repeat the key at any moment.
+ * At-most-once claim of one key: two entries with two submissions each, one agent that
+ * restarts, a key-value service that loses answers and applies writes late, dispatches that
+ * stay in buffers for any time and may be delivered twice, and callers that submit the key
+ * again at any moment.
  *
  * Mirrors Submission and Guard of share/decide/claim.
  *
- * Held: one run at most; "not run" is said only of an attempt that has not
- * run and never will; an answer is given only when the run has ended.
+ * Properties: at most one attempt runs. "Not run" is reported only for an attempt that has not
+ * run and never will. An answer is returned only when the run has ended.
  */
 #define ATTEMPTS 4
 #define NONE 255
 
 /*
- * Sizes: SUBMISSIONS of the first entry and OTHERS of the second, RESTARTS
- * of the agent; with -DECHO one dispatch arrives a second time.
+ * Sizes: SUBMISSIONS is the number of submissions of the first entry, OTHERS that of the second,
+ * RESTARTS the number of the agent's restarts. With -DECHO one dispatch arrives a second time.
  */
 #ifndef SUBMISSIONS
 #define SUBMISSIONS 2
@@ -34,7 +34,7 @@
 #define TOMB 2
 #define DONE 3
 
-/* states of an attempt at the agent */
+/* states of an attempt in the agent */
 #define UNSEEN 0
 #define QUEUED 1
 #define RUNNING 2
@@ -42,39 +42,40 @@
 #define FINISHED 4
 #define LOST_ANSWER 5
 
-/* what travels back to an entry */
+/* results that an entry receives: of a write, of a dispatch, and, with T_, of a query to the agent */
 #define SWAPPED 1
 #define LOST 2
-#define UNSURE 3
+#define UNKNOWN 3
 #define REFUSED 1
 #define ANSWERED 2
 #define CUT 3
 #define T_TOMBSTONED 1
 #define T_RUNNING 2
 #define T_DONE 3
-#define T_SILENT 4
+#define T_NO_REPORT 4
 
 byte kvState = ABSENT;
 byte kvAttempt = NONE;
 byte kvIndex;
 
-byte lateIndex[ATTEMPTS] = NONE; /* a write that may take effect yet */
+byte lateIndex[ATTEMPTS] = NONE; /* the index of a write that may still take effect */
 
-byte incarnation;                /* the agent's */
-byte chosen[ATTEMPTS];           /* the incarnation an attempt names */
-byte at[ATTEMPTS];               /* attempt's state at the agent */
-bool underWay[ATTEMPTS];        /* the dispatch is in a buffer */
-byte echo = NONE;                /* an attempt whose dispatch arrives a second time */
-bool open[ATTEMPTS];             /* the entry still listens */
-byte reply[ATTEMPTS];            /* on the dispatch's stream */
+byte incarnation;             /* the agent's current incarnation */
+byte incarnationOf[ATTEMPTS]; /* the agent's incarnation that an attempt names */
+byte agentState[ATTEMPTS];    /* an attempt's state in the agent */
+bool inTransit[ATTEMPTS];     /* the dispatch is in a buffer */
+byte duplicate = NONE;        /* an attempt whose dispatch arrives a second time */
+bool listening[ATTEMPTS];     /* the entry still waits for a reply */
+byte reply[ATTEMPTS];         /* received on the dispatch's stream */
 
 byte runs;
-bool ran[ATTEMPTS];              /* kept while the entry may still say "not run" */
-bool saidNotRun[ATTEMPTS];
+bool ran[ATTEMPTS]; /* kept while the entry may still report "not run" */
+bool reportedNotRun[ATTEMPTS];
 
-inline notRun(a) {
+inline reportNotRun(a) {
 	assert(!ran[a]);
-	saidNotRun[a] = dispatched /* the others cannot run: a settled submission dispatches nothing */
+	/* undispatched attempts need not be remembered: a settled submission dispatches nothing */
+	reportedNotRun[a] = dispatched
 }
 
 #ifdef MUTANT_NO_REVISION
@@ -83,8 +84,8 @@
 #define MATCHES(i) (kvIndex == (i))
 #endif
 
-/* drop forgets a late write whose index has passed: it can only be lost. */
-inline drop(x) {
+/* dropLate forgets a late write whose index is outdated: it can no longer take effect. */
+inline dropLate(x) {
 #ifndef MUTANT_NO_REVISION
 	lateIndex[x] = NONE
 #else
@@ -96,75 +97,75 @@
 	kvState = s;
 	kvAttempt = a;
 	kvIndex++;
-	drop(0);
-	drop(1);
-	drop(2);
-	drop(3)
+	dropLate(0);
+	dropLate(1);
+	dropLate(2);
+	dropLate(3)
 }
 
-/* claim writes attempt a over index i: with or without an answer, at once or late. */
+/* claim writes attempt a over index i: with or without an answer, immediately or late. */
 inline claim(a, i) {
 	if
 	:: MATCHES(i) -> apply(a, CLAIMED); result = SWAPPED
-	:: MATCHES(i) -> apply(a, CLAIMED); result = UNSURE
+	:: MATCHES(i) -> apply(a, CLAIMED); result = UNKNOWN
 	:: !MATCHES(i) -> result = LOST
-	:: MATCHES(i) -> lateIndex[a] = i; result = UNSURE
-	:: !MATCHES(i) -> result = UNSURE
+	:: MATCHES(i) -> lateIndex[a] = i; result = UNKNOWN
+	:: !MATCHES(i) -> result = UNKNOWN
 	fi
 }
 
-inline answers(a, v) {
+inline sendReply(a, v) {
 	if
-	:: open[a] && v != 0 -> reply[a] = v
+	:: listening[a] && v != 0 -> reply[a] = v
 	:: else
 	fi
 }
 
-/* ask is the agent's answer about attempt x of incarnation n. */
-inline ask(x, n) {
+/* queryAgent sets agentReport to the agent's report on attempt x of incarnation n. */
+inline queryAgent(x, n) {
 	if
-	:: told = T_SILENT
+	:: agentReport = T_NO_REPORT
 	:: n != incarnation ->
 #ifdef MUTANT_RESTART_IS_TOMBSTONE
-		told = T_TOMBSTONED
+		agentReport = T_TOMBSTONED
 #else
-		told = T_SILENT
+		agentReport = T_NO_REPORT
 #endif
-	:: n == incarnation && at[x] == UNSEEN ->
+	:: n == incarnation && agentState[x] == UNSEEN ->
 #ifndef MUTANT_NO_TOMBSTONE
-		at[x] = TOMBSTONED;
+		agentState[x] = TOMBSTONED;
 #endif
-		told = T_TOMBSTONED
-	:: n == incarnation && at[x] == QUEUED ->
+		agentReport = T_TOMBSTONED
+	:: n == incarnation && agentState[x] == QUEUED ->
 #ifndef MUTANT_QUEUE_KEEPS_TOMBSTONED
-		at[x] = TOMBSTONED;
-		answers(x, REFUSED);
+		agentState[x] = TOMBSTONED;
+		sendReply(x, REFUSED);
 #endif
-		told = T_TOMBSTONED
-	:: n == incarnation && at[x] == TOMBSTONED -> told = T_TOMBSTONED
-	:: n == incarnation && at[x] == RUNNING -> told = T_RUNNING
-	:: n == incarnation && at[x] == FINISHED -> told = T_DONE
-	:: n == incarnation && at[x] == LOST_ANSWER -> told = T_SILENT
+		agentReport = T_TOMBSTONED
+	:: n == incarnation && agentState[x] == TOMBSTONED -> agentReport = T_TOMBSTONED
+	:: n == incarnation && agentState[x] == RUNNING -> agentReport = T_RUNNING
+	:: n == incarnation && agentState[x] == FINISHED -> agentReport = T_DONE
+	:: n == incarnation && agentState[x] == LOST_ANSWER -> agentReport = T_NO_REPORT
 	fi
 }
 
 /*
- * dispatch follows a claim that is known to hold. The time between the two
- * is part of the time that the dispatch spends in a buffer.
+ * dispatch follows a claim that is known to hold. The time between the claim and the dispatch is
+ * modeled as part of the time that the dispatch spends in a buffer.
  */
 inline dispatch(a) {
-	held = kvIndex;
+	heldIndex = kvIndex;
 	if
-	:: notRun(a); goto Release /* frozen past the deadline */
-	:: goto Settled            /* the entry dies */
-	:: underWay[a] = true; dispatched = true; goto Wait
+	:: reportNotRun(a); goto Release /* frozen past the deadline */
+	:: goto Settled /* the entry crashes */
+	:: inTransit[a] = true; dispatched = true; goto Wait
 	fi
 }
 
 proctype Entry(byte first; byte limit) {
-	byte s, a, held, result, told, swaps;
-	byte asked = NONE;
-	bool unsure, dispatched, silent;
+	byte s, a, heldIndex, result, agentReport, swaps;
+	byte queried = NONE;
+	bool writeUnknown, dispatched, noReport;
 
 	do
 	:: s == limit -> break
@@ -172,8 +173,8 @@
 		d_step {
 			a = first + s;
 			s++;
-			chosen[a] = incarnation;
-			open[a] = true
+			incarnationOf[a] = incarnation;
+			listening[a] = true
 		};
 Swap:
 		atomic {
@@ -181,134 +182,134 @@
 			:: swaps == 2 -> goto Settled
 			:: else -> swaps++
 			fi;
-			claim(a, held);
+			claim(a, heldIndex);
 			if
 			:: result == SWAPPED -> result = 0; dispatch(a)
 			:: result == LOST -> result = 0
-			:: result == UNSURE ->
+			:: result == UNKNOWN ->
 				result = 0;
 #ifdef MUTANT_NO_READ_BACK
 				dispatch(a)
 #else
-				unsure = true
+				writeUnknown = true
 #endif
 			fi
 		};
 Read:
 		atomic {
 			if
-			:: !dispatched -> notRun(a); goto Settled /* service down, or the deadline passed */
+			:: !dispatched -> reportNotRun(a); goto Settled /* the service is down, or the deadline passed */
 			:: dispatched -> goto Settled
 			:: kvState == ABSENT ->
 				if
-				:: unsure || dispatched ->
+				:: writeUnknown || dispatched ->
 					if
-					:: !dispatched -> notRun(a)
+					:: !dispatched -> reportNotRun(a)
 					:: else
 					fi;
 					goto Settled
-				:: else -> held = 0; goto Swap
+				:: else -> heldIndex = 0; goto Swap
 				fi
 			:: kvState == DONE -> assert(runs == 1); goto Settled
 			:: kvState == TOMB ->
 				if
-				:: unsure || dispatched -> notRun(a); goto Settled
-				:: else -> held = kvIndex; goto Swap
+				:: writeUnknown || dispatched -> reportNotRun(a); goto Settled
+				:: else -> heldIndex = kvIndex; goto Swap
 				fi
 			:: kvState == CLAIMED ->
 				if
 				:: kvAttempt == a && !dispatched -> dispatch(a)
-				:: (kvAttempt != a || dispatched) && (silent || dispatched || unsure) -> goto Settled
-				:: kvAttempt != a && !silent && !dispatched && !unsure ->
-					held = kvIndex; asked = kvAttempt
+				:: (kvAttempt != a || dispatched) && (noReport || dispatched || writeUnknown) -> goto Settled
+				:: kvAttempt != a && !noReport && !dispatched && !writeUnknown ->
+					heldIndex = kvIndex; queried = kvAttempt
 				fi
 			fi
 		};
 Ask:
-		atomic { ask(asked, chosen[asked]) };
-		/* the answer may wait here for any time */
+		atomic { queryAgent(queried, incarnationOf[queried]) };
+		/* the agent's report may be delayed for any time */
 		atomic {
 			if
-			:: told == T_TOMBSTONED && dispatched -> told = 0; notRun(a); goto Release
-			:: told == T_TOMBSTONED && !dispatched -> told = 0; asked = NONE; goto Swap
-			:: told == T_RUNNING -> goto Settled
-			:: told == T_DONE -> assert(runs == 1); goto Settled
-			:: told == T_SILENT -> told = 0; silent = true; goto Read
+			:: agentReport == T_TOMBSTONED && dispatched -> agentReport = 0; reportNotRun(a); goto Release
+			:: agentReport == T_TOMBSTONED && !dispatched -> agentReport = 0; queried = NONE; goto Swap
+			:: agentReport == T_RUNNING -> goto Settled
+			:: agentReport == T_DONE -> assert(runs == 1); goto Settled
+			:: agentReport == T_NO_REPORT -> agentReport = 0; noReport = true; goto Read
 			fi
 		};
 Wait:
-		/* a refusal, an answer, a cut stream, the deadline, or the entry dies */
+		/* a refusal, an answer, a broken stream, the deadline, or a crash of the entry */
 		atomic {
 			if
-			:: reply[a] == REFUSED -> notRun(a); goto Release
+			:: reply[a] == REFUSED -> reportNotRun(a); goto Release
 			:: reply[a] == ANSWERED -> assert(runs == 1); goto Settled
-			:: asked = a; goto Ask
+			:: queried = a; goto Ask
 			:: goto Settled
 			fi
 		};
 Release:
 		atomic {
 			if
-			:: MATCHES(held) -> apply(a, TOMB)
+			:: MATCHES(heldIndex) -> apply(a, TOMB)
 			:: skip
 			fi
 		};
 Settled:
 		atomic {
-			open[a] = false;
+			listening[a] = false;
 			ran[a] = false;
 			reply[a] = 0;
-			told = 0;
-			held = 0;
-			asked = NONE;
+			agentReport = 0;
+			heldIndex = 0;
+			queried = NONE;
 			swaps = 0;
-			unsure = false;
+			writeUnknown = false;
 			dispatched = false;
-			silent = false
+			noReport = false
 		}
 	od
 }
 
 inline begin(a) {
-	at[a] = RUNNING;
+	agentState[a] = RUNNING;
 	runs++;
-	ran[a] = open[a];
+	ran[a] = listening[a];
 	assert(runs <= 1);
-	assert(!saidNotRun[a])
+	assert(!reportedNotRun[a])
 }
 
 inline deliver(a) {
 	if
 #ifndef MUTANT_NO_INCARNATION
-	:: chosen[a] != incarnation -> answer = REFUSED
-	:: chosen[a] == incarnation && at[a] == UNSEEN -> at[a] = QUEUED
+	:: incarnationOf[a] != incarnation -> answer = REFUSED
+	:: incarnationOf[a] == incarnation && agentState[a] == UNSEEN -> agentState[a] = QUEUED
 #else
-	:: at[a] == UNSEEN -> at[a] = QUEUED
+	:: agentState[a] == UNSEEN -> agentState[a] = QUEUED
 #endif
-	:: chosen[a] == incarnation && at[a] == TOMBSTONED -> answer = REFUSED
+	:: incarnationOf[a] == incarnation && agentState[a] == TOMBSTONED -> answer = REFUSED
 	:: else
 	fi
 }
 
 inline arrive(a) {
-	underWay[a] = false;
+	inTransit[a] = false;
 	deliver(a);
-	answers(a, answer);
+	sendReply(a, answer);
 	answer = 0;
 	if
 #ifdef ECHO
-	:: echo == NONE -> echo = a
+	:: duplicate == NONE -> duplicate = a
 #endif
 	:: skip
 	fi
 }
 
-/* the answer to a second copy has no stream to go to */
+/* the reply to a second copy has no stream and is discarded */
 inline arriveAgain(a) {
-	echo = NONE;
+	duplicate = NONE;
 	deliver(a);
 #ifdef MUTANT_ECHO_ANSWERED
-	answers(a, answer);
+	sendReply(a, answer);
 #endif
 	answer = 0
 }
@@ -318,33 +319,33 @@
 	apply(a, CLAIMED)
 }
 
-#define MOVES(a) \
-	:: atomic { underWay[a] -> arrive(a) } \
-	:: atomic { echo == a -> arriveAgain(a) } \
-	:: atomic { at[a] == QUEUED -> begin(a) } \
-	:: atomic { at[a] == QUEUED -> at[a] = TOMBSTONED; answers(a, REFUSED) } \
-	:: atomic { at[a] == RUNNING -> at[a] = FINISHED; answers(a, ANSWERED) } \
-	:: atomic { at[a] == RUNNING -> at[a] = LOST_ANSWER; answers(a, CUT) } \
-	:: atomic { at[a] == FINISHED && kvAttempt == a && kvState != DONE -> apply(a, DONE) } \
+#define TRANSITIONS(a) \
+	:: atomic { inTransit[a] -> arrive(a) } \
+	:: atomic { duplicate == a -> arriveAgain(a) } \
+	:: atomic { agentState[a] == QUEUED -> begin(a) } \
+	:: atomic { agentState[a] == QUEUED -> agentState[a] = TOMBSTONED; sendReply(a, REFUSED) } \
+	:: atomic { agentState[a] == RUNNING -> agentState[a] = FINISHED; sendReply(a, ANSWERED) } \
+	:: atomic { agentState[a] == RUNNING -> agentState[a] = LOST_ANSWER; sendReply(a, CUT) } \
+	:: atomic { agentState[a] == FINISHED && kvAttempt == a && kvState != DONE -> apply(a, DONE) } \
 	:: atomic { lateIndex[a] != NONE -> arriveLate(a) }
 
-/* the agent, its buffers, and the key-value service's late writes */
+/* the agent, the network's buffers, and the key-value service's late writes */
 active proctype Agent() {
 	byte answer, restarts;
 
 end:
 	do
-	MOVES(0)
-	MOVES(1)
-	MOVES(2)
-	MOVES(3)
+	TRANSITIONS(0)
+	TRANSITIONS(1)
+	TRANSITIONS(2)
+	TRANSITIONS(3)
 	:: atomic { restarts < RESTARTS ->
 		restarts++;
 		incarnation++;
-		at[0] = UNSEEN;
-		at[1] = UNSEEN;
-		at[2] = UNSEEN;
-		at[3] = UNSEEN
+		agentState[0] = UNSEEN;
+		agentState[1] = UNSEEN;
+		agentState[2] = UNSEEN;
+		agentState[3] = UNSEEN
 	   }
 	od
 }
--- a/spec/drain.pml
+++ b/spec/drain.pml
@@ -1,22 +1,21 @@
 /*
- * Planned stop of one instance against two senders: work and news wait at
- * most FLIGHT ticks in the network, running work takes at most WORK ticks,
- * heartbeats may overtake each other, a second stop request may come at any moment,
- * and the instance comes back with a new incarnation.
+ * Planned stop of one instance with two senders: work and announcements spend at most FLIGHT
+ * ticks in the network, running work takes at most WORK ticks, heartbeats may be reordered, a
+ * second stop request may arrive at any moment, and the instance restarts with a new incarnation.
  *
- * Mirrors Instance and Peers of share/decide/drain. A sender knows of the
- * leaving from a heartbeat or a refusal, whichever is first; the lagging
- * list is a third source that adds nothing here.
+ * Mirrors Instance and Peers of share/decide/drain. A sender learns from a heartbeat or from a
+ * refusal, whichever arrives first, that the instance is leaving. The list of instances, which
+ * lags, is a third source; it is left out because it adds nothing here.
  *
- * Held: no running work is cut while WORK <= GRACE; each work that was sent is
- * run or refused, never met by a stopped process; nothing new arrives later
- * than 2 * FLIGHT after the announcement; no sender takes back what it knows of an incarnation.
+ * Properties: no running work is cut off while WORK <= GRACE. All work that was sent is run or
+ * refused and never arrives at a stopped process. No new work arrives later than 2 * FLIGHT after
+ * the announcement. A sender that knows that an incarnation is leaving never reverts this.
  */
 #define FLIGHT 1
 #define WORK 4
 #define GRACE 5
 #ifdef MUTANT_SHORT_LINGER
-#define LINGER 2             /* a round trip: the last work may arrive at that very moment */
+#define LINGER 2 /* a round trip: the last work may arrive in the same tick */
 #else
 #define LINGER 3
 #endif
@@ -27,73 +26,73 @@
 
 byte state = SERVING;
 byte incarnation = 1;
-byte drained;                /* ticks since the announcement, GRACE at most */
+byte drainTicks; /* ticks since the announcement, GRACE at most */
 
-bool offered[2];             /* work under way from each sender */
-byte offeredFor[2];          /* the incarnation it was sent to */
+bool offered[2];    /* work in transit from each sender */
+byte offeredFor[2]; /* the incarnation it was sent to */
 byte offeredAge[2];
 bool working[2];
 byte workingAge[2];
 
-bool news[2];                /* announcement under way to each sender */
-byte newsAge[2];
-byte newsOf[2];
-bool old[2];                 /* a heartbeat sent before it, under way: not leaving */
-byte oldOf[2];
+bool announcement[2]; /* announcement in transit to each sender */
+byte announcementAge[2];
+byte announcementOf[2];
+bool heartbeat[2];    /* a heartbeat in transit, sent before the announcement: not leaving */
+byte heartbeatOf[2];
 bool refusal[2];
 byte refusalOf[2];
 
-byte known[2] = 1;           /* the incarnation each sender knows */
+byte knownIncarnation[2] = 1; /* the latest incarnation that each sender knows */
 bool leaving[2];
-bool told[2];                /* that incarnation's leaving reached the sender */
+bool leavingReported[2];      /* the sender received that this incarnation is leaving */
 
 #define IDLE (!working[0] && !working[1])
 
-inline older(x) {
+inline addTick(x) {
 	if
 	:: x < GRACE -> x++
 	:: else
 	fi
 }
 
-/* time goes on only while nothing is overdue */
-#define ONTIME(s) ((!offered[s] || offeredAge[s] < FLIGHT) && (!news[s] || newsAge[s] < FLIGHT) && (!working[s] || workingAge[s] < WORK))
+/* time advances only while nothing is overdue */
+#define ONTIME(s) ((!offered[s] || offeredAge[s] < FLIGHT) && (!announcement[s] || announcementAge[s] < FLIGHT) && (!working[s] || workingAge[s] < WORK))
 #ifdef MUTANT_NO_LINGER
-#define DUE ((IDLE) || drained >= GRACE)
+#define STOP_DUE ((IDLE) || drainTicks >= GRACE)
 #else
-#define DUE ((IDLE && drained >= LINGER) || drained >= GRACE)
+#define STOP_DUE ((IDLE && drainTicks >= LINGER) || drainTicks >= GRACE)
 #endif
 
 active proctype Clock() {
 end:
 	do
-	:: d_step { ONTIME(0) && ONTIME(1) && !(state == DRAINING && DUE) ->
+	:: d_step { ONTIME(0) && ONTIME(1) && !(state == DRAINING && STOP_DUE) ->
 		if
-		:: offered[0] -> older(offeredAge[0])
+		:: offered[0] -> addTick(offeredAge[0])
 		:: else
 		fi;
 		if
-		:: offered[1] -> older(offeredAge[1])
+		:: offered[1] -> addTick(offeredAge[1])
 		:: else
 		fi;
 		if
-		:: news[0] -> older(newsAge[0])
+		:: announcement[0] -> addTick(announcementAge[0])
 		:: else
 		fi;
 		if
-		:: news[1] -> older(newsAge[1])
+		:: announcement[1] -> addTick(announcementAge[1])
 		:: else
 		fi;
 		if
-		:: working[0] -> older(workingAge[0])
+		:: working[0] -> addTick(workingAge[0])
 		:: else
 		fi;
 		if
-		:: working[1] -> older(workingAge[1])
+		:: working[1] -> addTick(workingAge[1])
 		:: else
 		fi;
 		if
-		:: state == DRAINING -> older(drained)
+		:: state == DRAINING -> addTick(drainTicks)
 		:: else
 		fi
 	   }
@@ -101,9 +100,9 @@
 }
 
 inline announce(s) {
-	news[s] = true;
-	newsAge[s] = 0;
-	newsOf[s] = incarnation
+	announcement[s] = true;
+	announcementAge[s] = 0;
+	announcementOf[s] = incarnation
 }
 
 inline arrive(s) {
@@ -112,7 +111,7 @@
 	if
 	:: offeredFor[s] == incarnation ->
 		assert(state != STOPPED);
-		assert(state != DRAINING || drained <= 2 * FLIGHT);
+		assert(state != DRAINING || drainTicks <= 2 * FLIGHT);
 		if
 #ifdef MUTANT_ADMITS_WHILE_DRAINING
 		:: true -> working[s] = true; workingAge[s] = 0
@@ -121,7 +120,7 @@
 		:: state != SERVING -> refusal[s] = true; refusalOf[s] = incarnation
 #endif
 		fi
-	:: else /* another incarnation's: refused as not run */
+	:: else /* for another incarnation: refused as not run */
 	fi;
 	offeredFor[s] = 0
 }
@@ -132,7 +131,7 @@
 }
 
 active proctype Instance() {
-	byte stops, returns;
+	byte stops, restarts;
 
 end:
 	do
@@ -140,14 +139,14 @@
 	:: atomic { offered[1] -> arrive(1) }
 	:: atomic { working[0] -> working[0] = false; workingAge[0] = 0 }
 	:: atomic { working[1] -> working[1] = false; workingAge[1] = 0 }
-	:: atomic { state == SERVING && !old[0] -> old[0] = true; oldOf[0] = incarnation }
-	:: atomic { state == SERVING && !old[1] -> old[1] = true; oldOf[1] = incarnation }
+	:: atomic { state == SERVING && !heartbeat[0] -> heartbeat[0] = true; heartbeatOf[0] = incarnation }
+	:: atomic { state == SERVING && !heartbeat[1] -> heartbeat[1] = true; heartbeatOf[1] = incarnation }
 	:: atomic { stops < 2 && state != STOPPED ->
 		stops++;
 		if
 		:: state == SERVING ->
 			state = DRAINING;
-			drained = 0;
+			drainTicks = 0;
 			announce(0);
 			announce(1)
 		:: state == DRAINING ->
@@ -159,45 +158,45 @@
 		fi
 	   }
 #ifdef MUTANT_NO_WAIT_FOR_WORK
-	:: atomic { state == DRAINING && drained >= LINGER -> stop() }
+	:: atomic { state == DRAINING && drainTicks >= LINGER -> stop() }
 #else
-	:: atomic { state == DRAINING && DUE -> stop() }
+	:: atomic { state == DRAINING && STOP_DUE -> stop() }
 #endif
-	:: atomic { state == STOPPED && returns < 1 ->
-		returns++;
+	:: atomic { state == STOPPED && restarts < 1 ->
+		restarts++;
 		state = SERVING;
-		drained = 0;
+		drainTicks = 0;
 		incarnation++
 	   }
 	od
 }
 
-/* heard is the instance's own word about incarnation i */
-inline heard(s, i, l) {
+/* observe handles the instance's own report on incarnation i; l: it is leaving */
+inline observe(s, i, l) {
 	if
-	:: i < known[s] -> skip /* a retired incarnation */
-	:: i == known[s] ->
+	:: i < knownIncarnation[s] -> skip /* an earlier incarnation: ignored */
+	:: i == knownIncarnation[s] ->
 #ifdef MUTANT_TAKES_BACK
 		leaving[s] = l
 #else
 		leaving[s] = leaving[s] || l
 #endif
-	:: i > known[s] -> known[s] = i; leaving[s] = l; told[s] = false
+	:: i > knownIncarnation[s] -> knownIncarnation[s] = i; leaving[s] = l; leavingReported[s] = false
 	fi;
-	told[s] = told[s] || (l && i == known[s])
+	leavingReported[s] = leavingReported[s] || (l && i == knownIncarnation[s])
 }
 
 proctype Sender(byte s) {
 end:
 	do
-	:: atomic { !offered[s] && !working[s] && !leaving[s] && (state != STOPPED || known[s] != incarnation) ->
-		assert(!told[s]);
+	:: atomic { !offered[s] && !working[s] && !leaving[s] && (state != STOPPED || knownIncarnation[s] != incarnation) ->
+		assert(!leavingReported[s]);
 		offered[s] = true;
-		offeredFor[s] = known[s]
+		offeredFor[s] = knownIncarnation[s]
 	   }
-	:: atomic { news[s] -> news[s] = false; newsAge[s] = 0; heard(s, newsOf[s], true); newsOf[s] = 0 }
-	:: atomic { old[s] -> old[s] = false; heard(s, oldOf[s], false); oldOf[s] = 0 }
-	:: atomic { refusal[s] -> refusal[s] = false; heard(s, refusalOf[s], true); refusalOf[s] = 0 }
+	:: atomic { announcement[s] -> announcement[s] = false; announcementAge[s] = 0; observe(s, announcementOf[s], true); announcementOf[s] = 0 }
+	:: atomic { heartbeat[s] -> heartbeat[s] = false; observe(s, heartbeatOf[s], false); heartbeatOf[s] = 0 }
+	:: atomic { refusal[s] -> refusal[s] = false; observe(s, refusalOf[s], true); refusalOf[s] = 0 }
 	od
 }
 
--- a/spec/evacuate.pml
+++ b/spec/evacuate.pml
@@ -1,16 +1,16 @@
 /*
- * Evacuation of a failure domain and its return: one ingress places requests, another
- * one sends them later, when their stages' results are there. Each hears of the
- * operator's word from the store, and the sender from the one that places as well.
+ * Evacuation of a failure domain and its end: one ingress, the placer, places requests, and
+ * another one, the sender, sends them later, when the results of their stages are available.
+ * Both receive the operator's decision from the store, and the sender also from the placer.
  *
- * Mirrors alive.Set, the mirror of the store's records, and flow/stream.go, which looks
- * at what it knows again before it sends. Time goes in rounds; in each the operator may
- * evacuate the domain or take it back, FAULTS times an ingress is frozen, cut off from
- * the store or back, and news that is under way may arrive.
+ * Mirrors alive.Set, the mirror of the store's records, and flow/stream.go, which checks its
+ * current view again before it sends. Time advances in rounds. In each round the operator may
+ * evacuate the domain or end the evacuation, an ingress may freeze, lose its connection to the
+ * store or recover (FAULTS times in total), and updates that are in transit may arrive.
  *
- * Holds: BOUND rounds after the domain was evacuated a sender that was in touch for as
- * long sends nothing there, whoever placed the request, and BOUND rounds after it was
- * taken back such a sender uses it.
+ * Properties: MAX_ROUNDS rounds after the domain was evacuated, a sender that was connected for
+ * as long sends nothing to it, whichever ingress placed the request. MAX_ROUNDS rounds after the
+ * end of the evacuation such a sender no longer regards the domain as evacuated.
  */
 #ifndef CHANGES
 #define CHANGES 3
@@ -18,52 +18,52 @@
 #ifndef FAULTS
 #define FAULTS 3
 #endif
-#define BOUND 3
+#define MAX_ROUNDS 3
 #define PLACER 0
 #define SENDER 1
 
 #define IS_EVACUATED(version) (version % 2 == 1)
 
-mtype = { nowhere, there, elsewhere };
+mtype = { unplaced, inDomain, otherDomain };
 
-byte store = 0;       /* the operator's word by its revision: odd, the domain is evacuated */
-byte since = 0;       /* rounds since it changed */
-byte known[2];
-bool away[2];         /* frozen, or cut off from the store */
-byte calm = 0;        /* rounds for which the sender was in touch */
+byte storeRevision = 0;     /* revision of the operator's decision; odd: the domain is evacuated */
+byte roundsSinceChange = 0; /* rounds since it changed, at most MAX_ROUNDS */
+byte knownRevision[2];
+bool disconnected[2];       /* frozen, or without a connection to the store */
+byte connectedRounds = 0;   /* rounds for which the sender was connected, at most MAX_ROUNDS */
 byte faults = 0;
-mtype place = nowhere;
+mtype placement = unplaced;
 
 inline change() {
 	if
-	:: store < CHANGES -> store++; since = 0
+	:: storeRevision < CHANGES -> storeRevision++; roundsSinceChange = 0
 	:: true
 	fi
 }
 
-inline disturb(i) {
+inline injectFault(i) {
 	if
-	:: faults < FAULTS -> faults++; away[i] = !away[i]
+	:: faults < FAULTS -> faults++; disconnected[i] = !disconnected[i]
 	:: true
 	fi
 }
 
-/* news of the store arrives within BOUND rounds */
-inline hear(i) {
+/* a change in the store arrives within MAX_ROUNDS rounds */
+inline observeStore(i) {
 	if
-	:: !away[i] -> known[i] = store
-	:: !away[i] && since + 1 < BOUND
-	:: away[i]
+	:: !disconnected[i] -> knownRevision[i] = storeRevision
+	:: !disconnected[i] && roundsSinceChange + 1 < MAX_ROUNDS
+	:: disconnected[i]
 	fi
 }
 
-/* the sender is told what the placer knows, which may be behind */
-inline feed() {
+/* the sender receives the placer's revision, which may be older than its own */
+inline updateFromPlacer() {
 	if
 #ifdef MUTANT_ANY_REVISION
-	:: known[SENDER] = known[PLACER]
+	:: knownRevision[SENDER] = knownRevision[PLACER]
 #else
-	:: known[PLACER] > known[SENDER] -> known[SENDER] = known[PLACER]
+	:: knownRevision[PLACER] > knownRevision[SENDER] -> knownRevision[SENDER] = knownRevision[PLACER]
 #endif
 	:: true
 	fi
@@ -71,39 +71,39 @@
 
 inline choose(i) {
 	if
-	:: !IS_EVACUATED(known[i]) -> place = there
-	:: place = elsewhere
+	:: !IS_EVACUATED(knownRevision[i]) -> placement = inDomain
+	:: placement = otherDomain
 	fi
 }
 
 inline send() {
 #ifndef MUTANT_NO_LOOK_BEFORE_SENDING
 	if
-	:: place == there && IS_EVACUATED(known[SENDER]) -> choose(SENDER)
+	:: placement == inDomain && IS_EVACUATED(knownRevision[SENDER]) -> choose(SENDER)
 	:: else
 	fi;
 #endif
-	assert(!(place == there && IS_EVACUATED(store) && since >= BOUND && calm >= BOUND));
-	place = nowhere
+	assert(!(placement == inDomain && IS_EVACUATED(storeRevision) && roundsSinceChange >= MAX_ROUNDS && connectedRounds >= MAX_ROUNDS));
+	placement = unplaced
 }
 
 inline request() {
 	if
-	:: place == nowhere -> choose(PLACER)
-	:: place != nowhere -> send()
+	:: placement == unplaced -> choose(PLACER)
+	:: placement != unplaced -> send()
 	:: true
 	fi
 }
 
 inline tick() {
-	assert(!(!IS_EVACUATED(store) && since >= BOUND && calm >= BOUND && IS_EVACUATED(known[SENDER])));
-	since = (since < BOUND -> since + 1 : BOUND);
-	calm = (away[SENDER] -> 0 : (calm < BOUND -> calm + 1 : BOUND))
+	assert(!(!IS_EVACUATED(storeRevision) && roundsSinceChange >= MAX_ROUNDS && connectedRounds >= MAX_ROUNDS && IS_EVACUATED(knownRevision[SENDER])));
+	roundsSinceChange = (roundsSinceChange < MAX_ROUNDS -> roundsSinceChange + 1 : MAX_ROUNDS);
+	connectedRounds = (disconnected[SENDER] -> 0 : (connectedRounds < MAX_ROUNDS -> connectedRounds + 1 : MAX_ROUNDS))
 }
 
 active proctype rounds() {
 end:
 	do
-	:: atomic { change(); disturb(PLACER); disturb(SENDER); hear(PLACER); hear(SENDER); feed(); request(); tick() }
+	:: atomic { change(); injectFault(PLACER); injectFault(SENDER); observeStore(PLACER); observeStore(SENDER); updateFromPlacer(); request(); tick() }
 	od
 }
--- a/spec/feed.pml
+++ b/spec/feed.pml
@@ -1,16 +1,16 @@
 /*
- * How an ingress on the users' platform hears of the store's changes: it follows
- * one that watches the store for its failure domain, compares the digests of one
- * of another domain, and reads for itself where neither does well.
+ * How an ingress on the users' platform receives the store's changes: it follows an ingress that
+ * watches the store for its failure domain, compares its revisions with those that an ingress of
+ * another domain reports, and reads the store directly if neither is usable.
  *
- * Time goes in rounds of a heartbeat. In each one the two that watch read the
- * store, push, and say in their heartbeat what they know and whether the store
- * answers them; the follower takes that and chooses. Between rounds the store may
- * change, and FAULTS times one that watches is cut off from the store, freezes,
- * is killed, comes back or starts anew without knowing anything.
+ * Time advances in rounds of one heartbeat. In each round the two watchers read the store, push
+ * changes, and report in their heartbeat the revision that they know and whether the store
+ * answers them; the follower processes this and chooses its source. Between rounds the store may
+ * change, and FAULTS times in total a watcher loses its connection to the store, freezes, is
+ * killed, recovers, or restarts with an empty view.
  *
- * Holds: the follower never goes back, never knows what the store has not
- * said, and BOUND rounds after the last event it knows what the store holds.
+ * Properties: the follower never goes back to an earlier revision, never knows a revision that
+ * the store has not had, and knows the store's revision MAX_ROUNDS rounds after the last event.
  */
 #ifndef CHANGES
 #define CHANGES 2
@@ -18,39 +18,39 @@
 #ifndef FAULTS
 #define FAULTS 3
 #endif
-#define BOUND 4  /* rounds until the store's last change is known for certain */
-#define SILENT 2 /* rounds without a heartbeat that end a link */
+#define MAX_ROUNDS 4 /* rounds until the store's last change must be known */
+#define MAX_MISSED 2 /* rounds without a heartbeat after which a watcher is unusable */
 #define SELF 2
 
-byte store = 1;
-byte known[3];     /* what 0 and 1, which watch, and 2, the follower, know */
-bool cut[2];       /* does not reach the store */
-bool frozen[2];    /* neither pushes nor says anything */
-bool dead[2];
-byte silence[2];   /* rounds without a heartbeat */
-bool well[2];      /* last word: the store answers */
-byte told[2];      /* last word: what it knows */
-byte gap[2];       /* rounds for which it was ahead */
-byte follow = 0;
+byte storeRevision = 1;
+byte knownRevision[3];    /* revision known to the watchers, 0 and 1, and to the follower, 2 */
+bool disconnected[2];     /* has no connection to the store */
+bool frozen[2];           /* neither pushes nor sends heartbeats */
+bool stopped[2];
+byte missedHeartbeats[2]; /* rounds without a heartbeat, at most MAX_MISSED */
+bool storeAnswers[2];     /* last heartbeat: the store answers */
+byte reportedRevision[2]; /* last heartbeat: the known revision */
+byte roundsAhead[2];      /* rounds for which it was ahead of the follower */
+byte source = 0;
 byte faults = 0;
-byte quiet = 0;    /* rounds since the last event */
-byte before;
+byte quietRounds = 0;     /* rounds since the last event */
+byte previous;
 
 inline read(i) {
 	if
-	:: !dead[i] && !frozen[i] && !cut[i] -> known[i] = store
+	:: !stopped[i] && !frozen[i] && !disconnected[i] -> knownRevision[i] = storeRevision
 	:: else
 	fi
 }
 
 inline push(i) {
 	if
-	:: follow == i && !dead[i] && !frozen[i] ->
+	:: source == i && !stopped[i] && !frozen[i] ->
 #ifdef MUTANT_ANY_REVISION
-		known[SELF] = known[i]
+		knownRevision[SELF] = knownRevision[i]
 #else
 		if
-		:: known[i] > known[SELF] -> known[SELF] = known[i]
+		:: knownRevision[i] > knownRevision[SELF] -> knownRevision[SELF] = knownRevision[i]
 		:: else
 		fi
 #endif
@@ -58,80 +58,80 @@
 	fi
 }
 
-inline hear(i) {
+inline receiveHeartbeat(i) {
 	if
-	:: !dead[i] && !frozen[i] ->
-		silence[i] = 0;
-		well[i] = !cut[i];
-		told[i] = known[i]
+	:: !stopped[i] && !frozen[i] ->
+		missedHeartbeats[i] = 0;
+		storeAnswers[i] = !disconnected[i];
+		reportedRevision[i] = knownRevision[i]
 	:: else ->
-		silence[i] = (silence[i] < SILENT -> silence[i] + 1 : SILENT)
+		missedHeartbeats[i] = (missedHeartbeats[i] < MAX_MISSED -> missedHeartbeats[i] + 1 : MAX_MISSED)
 	fi
 }
 
-/* what another one has been ahead of for a round is asked for */
+/* the follower fetches the missing records if a watcher is still ahead after one round */
 inline compare(i) {
 	if
-	:: silence[i] == 0 && told[i] > known[SELF] ->
+	:: missedHeartbeats[i] == 0 && reportedRevision[i] > knownRevision[SELF] ->
 		if
-		:: gap[i] > 0 -> known[SELF] = told[i]; gap[i] = 0
-		:: else -> gap[i]++
+		:: roundsAhead[i] > 0 -> knownRevision[SELF] = reportedRevision[i]; roundsAhead[i] = 0
+		:: else -> roundsAhead[i]++
 		fi
-	:: else -> gap[i] = 0
+	:: else -> roundsAhead[i] = 0
 	fi
 }
 
 #ifdef MUTANT_NO_AGE
-#define FIT(i) (silence[i] < SILENT)
+#define USABLE(i) (missedHeartbeats[i] < MAX_MISSED)
 #else
-#define FIT(i) (silence[i] < SILENT && well[i])
+#define USABLE(i) (missedHeartbeats[i] < MAX_MISSED && storeAnswers[i])
 #endif
 
 inline choose() {
 	if
-	:: FIT(0) -> follow = 0
-	:: !FIT(0) && FIT(1) -> follow = 1
+	:: USABLE(0) -> source = 0
+	:: !USABLE(0) && USABLE(1) -> source = 1
 	:: else ->
 #ifdef MUTANT_NEVER_READS
 		skip
 #else
-		follow = SELF
+		source = SELF
 #endif
 	fi
 }
 
 inline fault(i) {
 	if
-	:: !dead[i] -> cut[i] = !cut[i]
-	:: !dead[i] -> frozen[i] = !frozen[i]
-	:: !dead[i] -> dead[i] = true
-	:: dead[i] -> dead[i] = false; frozen[i] = false; known[i] = 0
+	:: !stopped[i] -> disconnected[i] = !disconnected[i]
+	:: !stopped[i] -> frozen[i] = !frozen[i]
+	:: !stopped[i] -> stopped[i] = true
+	:: stopped[i] -> stopped[i] = false; frozen[i] = false; knownRevision[i] = 0
 	fi;
 	faults++;
-	quiet = 0
+	quietRounds = 0
 }
 
 active proctype world() {
 	do
-	:: store <= CHANGES -> atomic { store++; quiet = 0 }
+	:: storeRevision <= CHANGES -> atomic { storeRevision++; quietRounds = 0 }
 	:: faults < FAULTS -> atomic { fault(0) }
 	:: faults < FAULTS -> atomic { fault(1) }
-	:: quiet <= BOUND -> atomic {
-		before = known[SELF];
+	:: quietRounds <= MAX_ROUNDS -> atomic {
+		previous = knownRevision[SELF];
 		read(0); read(1);
 		push(0); push(1);
-		hear(0); hear(1);
+		receiveHeartbeat(0); receiveHeartbeat(1);
 		compare(0); compare(1);
 		choose();
 		if
-		:: follow == SELF -> known[SELF] = store
+		:: source == SELF -> knownRevision[SELF] = storeRevision
 		:: else
 		fi;
-		quiet++;
-		assert(known[SELF] >= before);
-		assert(known[SELF] <= store);
-		assert(quiet < BOUND || known[SELF] == store)
+		quietRounds++;
+		assert(knownRevision[SELF] >= previous);
+		assert(knownRevision[SELF] <= storeRevision);
+		assert(quietRounds < MAX_ROUNDS || knownRevision[SELF] == storeRevision)
 	}
-	:: quiet > BOUND -> break
+	:: quietRounds > MAX_ROUNDS -> break
 	od
 }
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,21 +1,21 @@
 /*
- * Lease with a rising fencing number for orders to one engine: two or
- * three processes, one record moved by compare-and-swap, lost answers and late
- * writes, a clock that goes on while any of them is paused.
+ * Lease with an increasing fencing number for orders to one engine: two or three processes, one
+ * record updated by compare-and-swap, lost answers and late writes, and a clock that advances
+ * while any of the processes is paused.
  *
- * Mirrors Candidate of share/decide/lease. Without -DIGNORES the engine refuses
- * an order with a lower number than one it has seen, and orders may wait
- * for any time after the holder's last look at the clock. With -DIGNORES it
- * takes every order; the look and the sending are one step, and an order's
- * effects end within ORDER ticks.
+ * Mirrors Candidate of share/decide/lease. Without -DIGNORES the engine refuses an order with a
+ * lower fencing number than one it has received, and orders may be delayed for any time after
+ * the holder last checked the clock. With -DIGNORES the engine accepts every order; checking the
+ * clock and sending are one step, and an order's effects end within ORDER ticks.
  *
- * Held: with an engine that checks, the numbers of executed orders never
- * fall and no two processes share one; with one that ignores, no order is sent while an order of another holder may be at work.
+ * Properties: with an engine that checks the number, the numbers of executed orders never
+ * decrease and no two processes share one. With an engine that ignores it, no order is sent while
+ * an order of another holder may still have effects.
  */
-#define LENGTH 4
+#define DURATION 4
 #define MARGIN 1
 #ifndef ORDER
-#define ORDER 3              /* longer than the wait for the old lease leaves over */
+#define ORDER 3 /* longer than the time that remains after the wait for the old lease */
 #endif
 #define NONE 255
 
@@ -27,43 +27,43 @@
 #define WRITES 2
 #endif
 
-byte holder = NONE;          /* the record; NONE: free */
+byte holder = NONE; /* of the record; NONE: free */
 byte number = 1;
-byte count;                  /* the holder's own count */
+byte writeCount;    /* the holder's own count of writes */
 byte index;
 
 byte lateIndex[3] = NONE;
 byte lateNumber[3];
 byte lateWrite[3];
 
-byte hold[3];                /* ticks left until the process stops sending */
-byte sent[3] = NONE;         /* ticks since its last write was sent */
-byte waits[3];               /* ticks left before its first order */
-byte seen[3] = NONE;         /* index last read */
-byte unchanged[3];           /* ticks since that index was first read */
-byte mine[3];                /* its number */
+byte holdTicks[3];              /* ticks left until the process must stop sending */
+byte ticksSinceWrite[3] = NONE; /* ticks since its last write was sent, at most DURATION; NONE: no write yet */
+byte waitTicks[3];              /* ticks left before its first order */
+byte seenIndex[3] = NONE;       /* the index it last read */
+byte unchangedTicks[3];         /* ticks since that index was first read */
+byte ownNumber[3];              /* its fencing number */
 
-byte working[3];             /* ticks left for its last order, engine that ignores */
-byte executed;               /* highest number executed, engine that checks */
-byte executedFor = NONE;     /* the process whose order that was */
+byte orderTicks[3];      /* ticks until its last order has ended; engine that ignores */
+byte executed;           /* highest number executed; engine that checks */
+byte executedFor = NONE; /* the process whose order that was */
 
-#define LEAST(x, y) ((x) < (y) -> (x) : (y))
+#define SMALLER(x, y) ((x) < (y) -> (x) : (y))
 
 inline put(p, n, w) {
 	holder = p;
 	number = n;
-	count = w;
+	writeCount = w;
 	index++
 }
 
-inline down(x) {
+inline decrement(x) {
 	if
 	:: x > 0 -> x--
 	:: else
 	fi
 }
 
-inline up(x, most) {
+inline increment(x, most) {
 	if
 	:: x < most -> x++
 	:: else
@@ -71,11 +71,11 @@
 }
 
 #define TICK(p) \
-	down(hold[p]); \
-	down(waits[p]); \
-	down(working[p]); \
-	up(sent[p], LENGTH); \
-	up(unchanged[p], LENGTH + MARGIN)
+	decrement(holdTicks[p]); \
+	decrement(waitTicks[p]); \
+	decrement(orderTicks[p]); \
+	increment(ticksSinceWrite[p], DURATION); \
+	increment(unchangedTicks[p], DURATION + MARGIN)
 
 active proctype Clock() {
 end:
@@ -107,44 +107,44 @@
 	od
 }
 
-inline look(p) {
+inline observe(p) {
 	if
-	:: seen[p] != index -> seen[p] = index; unchanged[p] = 0
+	:: seenIndex[p] != index -> seenIndex[p] = index; unchangedTicks[p] = 0
 	:: else
 	fi
 }
 
-/* adopt takes the own write for granted: the hold counts from its sending */
-inline adopt(p, dirty) {
-	look(p);
-	mine[p] = number;
-	hold[p] = LENGTH - LEAST(sent[p], LENGTH);
+/* adopt handles the process's own successful write: the lease counts from when it was sent */
+inline adopt(p, tookOver) {
+	observe(p);
+	ownNumber[p] = number;
+	holdTicks[p] = DURATION - SMALLER(ticksSinceWrite[p], DURATION);
 #if defined(IGNORES) && !defined(MUTANT_NO_ORDER_WAIT)
 	if
-	:: dirty -> waits[p] = ORDER
+	:: tookOver -> waitTicks[p] = ORDER
 	:: else
 	fi
 #endif
 }
 
 #ifdef MUTANT_NO_OBSERVED_WAIT
-#define OVER(p) true
+#define EXPIRED(p) true
 #else
-#define OVER(p) (unchanged[p] == LENGTH + MARGIN)
+#define EXPIRED(p) (unchangedTicks[p] == DURATION + MARGIN)
 #endif
 
 #ifdef MUTANT_NO_CLOCK
-#define HOLDS(p) (mine[p] > 0 && waits[p] == 0)
+#define MAY_SEND(p) (ownNumber[p] > 0 && waitTicks[p] == 0)
 #else
-#define HOLDS(p) (hold[p] > 0 && waits[p] == 0)
+#define MAY_SEND(p) (holdTicks[p] > 0 && waitTicks[p] == 0)
 #endif
 
-#define OWN(p, w) (holder == p && count == w)
+#define IS_OWN_WRITE(p, w) (holder == p && writeCount == w)
 
 #ifdef MUTANT_EARLY_RELEASE
-#define RELEASABLE(p) (working[p] == 0)
+#define RELEASABLE(p) (orderTicks[p] == 0)
 #else
-#define RELEASABLE(p) (working[p] == 0 && waits[p] == 0)
+#define RELEASABLE(p) (orderTicks[p] == 0 && waitTicks[p] == 0)
 #endif
 
 #ifdef MUTANT_SAME_NUMBER
@@ -155,13 +155,13 @@
 
 inline send(p) {
 #ifdef REACH_SECOND_HOLDER
-	assert(mine[p] < 3);
+	assert(ownNumber[p] < 3);
 #endif
 #ifdef IGNORES
-	assert(p == 0 || working[0] == 0);
-	assert(p == 1 || working[1] == 0);
-	assert(p == 2 || working[2] == 0);
-	working[p] = ORDER
+	assert(p == 0 || orderTicks[0] == 0);
+	assert(p == 1 || orderTicks[1] == 0);
+	assert(p == 2 || orderTicks[2] == 0);
+	orderTicks[p] = ORDER
 #else
 	skip
 #endif
@@ -184,56 +184,56 @@
 
 proctype Process(byte p) {
 	byte writes, order;
-	bool dirty, released;
+	bool tookOver, released;
 
 end:
 	do
-	/* read; take over a free record, or one whose holder can no longer send */
-	:: atomic { hold[p] == 0 && !released ->
-		look(p);
-		mine[p] = 0;
+	/* read the record, and take it over if it is free or its holder can no longer send */
+	:: atomic { holdTicks[p] == 0 && !released ->
+		observe(p);
+		ownNumber[p] = 0;
 		if
-		:: writes < WRITES && (holder == NONE || OVER(p)) ->
-			dirty = (holder != NONE);
+		:: writes < WRITES && (holder == NONE || EXPIRED(p)) ->
+			tookOver = (holder != NONE);
 			writes++;
-			sent[p] = 0;
+			ticksSinceWrite[p] = 0;
 			if
-			:: put(p, NEXT, writes); adopt(p, dirty)
+			:: put(p, NEXT, writes); adopt(p, tookOver)
 			:: put(p, NEXT, writes); goto Unsure
 			:: lateIndex[p] == NONE -> lateIndex[p] = index; lateNumber[p] = NEXT; lateWrite[p] = writes; goto Unsure
 			fi
 		:: else
 		fi
 	   }
-	/* renew: the write may be lost to another's */
-	:: atomic { hold[p] > 0 && writes < WRITES ->
+	/* renew; the write fails if another process has written */
+	:: atomic { holdTicks[p] > 0 && writes < WRITES ->
 		writes++;
-		sent[p] = 0;
+		ticksSinceWrite[p] = 0;
 		if
-		:: holder == p && seen[p] == index -> put(p, number, writes); adopt(p, false)
-		:: else -> hold[p] = 0
+		:: holder == p && seenIndex[p] == index -> put(p, number, writes); adopt(p, false)
+		:: else -> holdTicks[p] = 0
 		fi
 	   }
-	:: atomic { HOLDS(p) && order == 0 -> send(p);
+	:: atomic { MAY_SEND(p) && order == 0 -> send(p);
 #ifndef IGNORES
-		order = mine[p]
+		order = ownNumber[p]
 #endif
 	   }
 	/* the order arrives at the engine, which may be much later */
 	:: atomic { order > 0 -> execute(p, order); order = 0 }
-	:: atomic { hold[p] > 0 && RELEASABLE(p) && order == 0 && holder == p && seen[p] == index ->
+	:: atomic { holdTicks[p] > 0 && RELEASABLE(p) && order == 0 && holder == p && seenIndex[p] == index ->
 		put(NONE, number, 0);
-		hold[p] = 0;
-		mine[p] = 0;
+		holdTicks[p] = 0;
+		ownNumber[p] = 0;
 		released = true
 	   }
 	od;
 Unsure:
-	/* the answer was lost: read back, at any later time */
+	/* the answer was lost: read the record back, at any later time */
 	atomic {
 		if
-		:: OWN(p, writes) -> adopt(p, dirty)
-		:: else -> look(p)
+		:: IS_OWN_WRITE(p, writes) -> adopt(p, tookOver)
+		:: else -> observe(p)
 		fi;
 		goto end
 	}
